--- a/src/Fleet/list_turns.cpp
+++ b/src/Fleet/list_turns.cpp
@@ -2,38 +2,40 @@
 
 namespace camphorpoint {
 
-void list_turns::was_read(store_place next, instant now) {
-    if (next.era < era_) {
+void list_turns::was_read(store_position next, instant now) {
+    if (next.epoch < era_) {
         // The answer was on its way when the store went back.
         return;
     }
     next_ = next;
-    era_ = next.era;
+    era_ = next.epoch;
     known_ = true;
     gap_ = false;
     whole_ = false;
     since_ = now;
 }
 
-void list_turns::new_era(store_era era, instant at) {
-    if (era > era_) {
-        era_ = era;
+void list_turns::new_era(store_epoch epoch, instant at) {
+    if (epoch > era_) {
+        era_ = epoch;
         era_read_at_ = at;
     }
 }
 
-list_word list_turns::heard(store_place from, store_place to, instant now) {
-    if (known_ && to.era > era_) {
+list_word
+list_turns::heard(store_position from, store_position to, instant now) {
+    if (known_ && to.epoch > era_) {
         return list_word::later_era;
     }
-    if (!known_ || outdated() || to.era != next_.era || further(next_, to)) {
+    if (!known_ || outdated() || to.epoch != next_.epoch ||
+        is_ahead(next_, to)) {
         return list_word::old;
     }
-    if (further(from, next_)) {
+    if (is_ahead(from, next_)) {
         gap_ = true;
         return list_word::gap;
     }
-    bool const fresh = further(to, next_);
+    bool const fresh = is_ahead(to, next_);
     next_ = to;
     since_ = now;
     gap_ = false;
--- a/src/Fleet/list_turns.hpp
+++ b/src/Fleet/list_turns.hpp
@@ -37,25 +37,26 @@
         : longest_(longest) {}
 
     /// This node has read up to a place.
-    void was_read(store_place next, instant now);
+    void was_read(store_position next, instant now);
     /// @param whole what was asked for: all, else what was written from a place
     /// @param from  the place that was asked for
     /// @param next  where the answer ends
     /// @returns false when the store has gone back meanwhile, so that the
     /// answer
     ///          is of other records than those that were asked for
-    bool counts(bool whole, store_place from, store_place next) const noexcept {
-        return next.era >= era_ && (whole || next.era == from.era);
+    bool counts(
+        bool whole, store_position from, store_position next) const noexcept {
+        return next.epoch >= era_ && (whole || next.epoch == from.epoch);
     }
     /// Another node has read the records from one place to another of one era.
-    list_word heard(store_place from, store_place to, instant now);
+    list_word heard(store_position from, store_position to, instant now);
     /// The place to read from is gone from the store's history.
     void forgotten() noexcept { whole_ = true; }
     /// The list is to be read whole at the next turn.
     void read_whole() noexcept { whole_ = true; }
     /// The store is in a later era than was read in.
     /// @param at when this node reads the list whole, another time on each node
-    void new_era(store_era era, instant at);
+    void new_era(store_epoch epoch, instant at);
 
     /// @param draw 0 to 1, another one after each reading
     /// @returns when this node reads next
@@ -63,7 +64,7 @@
     /// @returns true when it reads the list whole then
     bool whole() const noexcept { return whole_ || outdated(); }
     /// @returns where it reads on
-    store_place next() const noexcept { return next_; }
+    store_position next() const noexcept { return next_; }
 
 private:
     /// Pauses are from this part of the longest on. The wider they lie apart,
@@ -71,11 +72,11 @@
     /// the later a leaving is known.
     static constexpr double least_part = 0.7;
 
-    bool outdated() const noexcept { return era_ > next_.era; }
+    bool outdated() const noexcept { return era_ > next_.epoch; }
 
     duration longest_;
-    store_place next_;
-    store_era era_{};
+    store_position next_;
+    store_epoch era_{};
     instant era_read_at_;
     bool whole_ = true;
     bool known_ = false;
--- a/src/Gateway/declaration_follower.cpp
+++ b/src/Gateway/declaration_follower.cpp
@@ -49,11 +49,11 @@
 } // namespace
 
 declaration_follower::declaration_follower(
-    gateway_beliefs& beliefs, platform::store_client& store, store_watch& watch,
-    std::function<void()> changed)
+    gateway_beliefs& beliefs, platform::store_client& store,
+    store_monitor& watch, std::function<void()> changed)
     : beliefs_(&beliefs)
     , store_(&store)
-    , watch_(&watch)
+    , monitor_(&watch)
     , changed_(std::move(changed))
     , plan_(times_of(beliefs.settings), drawn(beliefs.random))
     , pause_timer_(beliefs.io) {}
@@ -74,12 +74,14 @@
     co_return !error;
 }
 
-void declaration_follower::new_era(store_era era, instant read_at) {
-    plan_.new_era(era, read_at);
+void declaration_follower::on_store_rollback(
+    store_epoch epoch, instant read_at) {
+    plan_.new_era(epoch, read_at);
     look_again();
 }
 
-void declaration_follower::heard(store_place place, std::uint64_t total) {
+void declaration_follower::handle_peer_progress(
+    store_position place, std::uint64_t total) {
     plan_.heard(place, total);
     look_again();
 }
@@ -87,7 +89,7 @@
 // Guards against a reading that was asked of the store while it was away: it
 // is silent for as long as its bound allows, up to seconds after the return,
 // and a node that has begun meanwhile refuses every request until then.
-void declaration_follower::store_came_back() {
+void declaration_follower::on_store_recovered() {
     plan_.store_returned();
     bool const unanswered = reading_now_ && !waiting_ && !reading_.begun();
     if (unanswered) {
@@ -159,24 +161,24 @@
     }
     waiting_ = false;
     reading_now_ = false;
-    note_reading(
+    log_store_read(
         *beliefs_, platform::store_topic::declarations,
         asked.whole ? "whole" : "on", asked.from.offset, began, reading_,
         batch);
     if (batch) {
-        watch_->answered();
+        monitor_->note_answer();
         take_all(batch.value(), asked);
         plan_.answered(asked, batch.value().next, boot_clock::now());
-        beliefs_->declared_place = plan_.place();
+        beliefs_->declared_position = plan_.place();
         if (asked.whole) {
-            watch_->read_whole(
-                platform::store_topic::declarations, batch.value().next.era);
+            monitor_->note_snapshot(
+                platform::store_topic::declarations, batch.value().next.epoch);
         }
     } else if (batch.error() == platform::store_failure::forgotten) {
-        watch_->answered();
+        monitor_->note_answer();
         plan_.forgotten(boot_clock::now());
     } else if (!reading_.cancelled()) {
-        watch_->failed(
+        monitor_->note_failure(
             platform::store_topic::declarations, began, reading_,
             batch.error());
         plan_.failed();
--- a/src/Gateway/declaration_follower.hpp
+++ b/src/Gateway/declaration_follower.hpp
@@ -25,18 +25,18 @@
     /// @param changed called when routes or versions have changed
     declaration_follower(
         gateway_beliefs& beliefs, platform::store_client& store,
-        store_watch& watch, std::function<void()> changed);
+        store_monitor& watch, std::function<void()> changed);
 
     /// Begins to follow.
     void start();
     /// Ends at the next answer.
     void stop();
     /// Another node has read so far, and knows so much.
-    void heard(store_place place, std::uint64_t total);
+    void handle_peer_progress(store_position place, std::uint64_t total);
     /// The store has come back from an older copy: everything is read anew.
-    void new_era(store_era era, instant read_at);
+    void on_store_rollback(store_epoch epoch, instant read_at);
     /// The store answers again: a wait from before may never end.
-    void store_came_back();
+    void on_store_recovered();
 
 private:
     boost::asio::awaitable<void> follow();
@@ -55,7 +55,7 @@
 
     gateway_beliefs* beliefs_;
     platform::store_client* store_;
-    store_watch* watch_;
+    store_monitor* monitor_;
     std::function<void()> changed_;
     declaration_plan plan_;
     platform::store_reading reading_;
--- a/src/Gateway/gateway.cpp
+++ b/src/Gateway/gateway.cpp
@@ -57,29 +57,36 @@
     , store_(
           io.get_executor(), beliefs_.settings.store_address,
           beliefs_.settings.store_timeout)
-    , orderer_(beliefs_, store_)
-    , words_(
+    , controller_(beliefs_, store_)
+    , messenger_(
           beliefs_,
-          {[this](peer_want const& asked) { return orderer_.want(asked); },
-           [this](peer_use const& told) { orderer_.use(told); },
-           [this](std::uint64_t at) { return orderer_.free_slots(at); },
-           [this](peer_reading const& told) { list_.heard(told); },
-           [this](store_place place, std::uint64_t total) {
-               declarations_.heard(place, total);
+          {[this](peer_load_request const& asked) {
+               return controller_.handle_load_request(asked);
            },
-           [this](store_era era) {
-               watch_.met_era(era, peers_word);
+           [this](peer_adapter_usage const& told) {
+               controller_.handle_usage(told);
+           },
+           [this](std::uint64_t at) { return controller_.free_slots(at); },
+           [this](peer_registry_update const& told) {
+               registry_follower_.handle_registry_update(told);
+           },
+           [this](store_position place, std::uint64_t total) {
+               declarations_.handle_peer_progress(place, total);
+           },
+           [this](store_epoch epoch) {
+               monitor_.observe_epoch(epoch, epoch_from_peer);
            }})
-    , watch_(
-          beliefs_, [this] { declarations_.store_came_back(); },
-          [this](store_era era, instant read_at) {
-              list_.new_era(era, read_at);
-              declarations_.new_era(era, read_at);
+    , monitor_(
+          beliefs_, [this] { declarations_.on_store_recovered(); },
+          [this](store_epoch epoch, instant read_at) {
+              registry_follower_.on_store_rollback(epoch, read_at);
+              declarations_.on_store_rollback(epoch, read_at);
               keeper_.new_era();
           })
-    , declarations_(beliefs_, store_, watch_, [this] { changed(); })
-    , keeper_(beliefs_, store_, words_)
-    , list_(beliefs_, store_, watch_, words_, [this] { changed(); })
+    , declarations_(beliefs_, store_, monitor_, [this] { changed(); })
+    , keeper_(beliefs_, store_, messenger_)
+    , registry_follower_(
+          beliefs_, store_, monitor_, messenger_, [this] { changed(); })
     , callers_(
           io.get_executor(), first_limits(),
           [this](http_exchange& exchange) { return answer(exchange); })
@@ -92,8 +99,10 @@
           io.get_executor(), http_limits(),
           [this](http_exchange& exchange) { return answer_metrics(exchange); })
     , kernel_(services_) {
-    orderer_.set_words(words_);
-    store_.on_era([this](store_era era) { watch_.met_era(era, own_answer); });
+    controller_.set_messenger(messenger_);
+    store_.on_era([this](store_epoch epoch) {
+        monitor_.observe_epoch(epoch, epoch_from_answer);
+    });
     add_services();
 }
 
@@ -101,16 +110,16 @@
     gateway_settings const& settings = beliefs_.settings;
     peers_service_ = {
         [this, &settings] {
-            return started(words_.start(), settings.peer_address);
+            return started(messenger_.start(), settings.peer_address);
         },
         [this] {
-            words_.stop();
+            messenger_.stop();
         }};
     store_service_ = {
         [this]() -> start_result {
             declarations_.start();
-            list_.start();
-            orderer_.start();
+            registry_follower_.start();
+            controller_.start();
             asio::co_spawn(
                 *io_, [this] { return tick(); }, asio::detached);
             return boost::outcome_v2::success();
@@ -119,7 +128,7 @@
             running_ = false;
             keeper_.stop();
             declarations_.stop();
-            list_.stop();
+            registry_follower_.stop();
         }};
     readiness_service_ = {
         [this, &settings]() -> start_result {
@@ -161,7 +170,7 @@
 }
 
 void gateway::changed() {
-    orderer_.look_again();
+    controller_.wake_workers();
     if (beliefs_.configuration.version != limits_version_) {
         limits_version_ = beliefs_.configuration.version;
         callers_.set_limits(limits_of(beliefs_.configuration.limits));
@@ -204,7 +213,7 @@
     beliefs_.stopping = true;
     beliefs_.note(log_line(event_code::gateway_stopping)
                       .with("running", beliefs_.live_requests));
-    orderer_.stop();
+    controller_.stop();
     callers_.announce_end();
     asio::co_spawn(
         *io_,
--- a/src/Gateway/gateway.hpp
+++ b/src/Gateway/gateway.hpp
@@ -74,12 +74,12 @@
     boost::asio::io_context* io_;
     gateway_beliefs beliefs_;
     platform::store_client store_;
-    slot_orderer orderer_;
-    peer_words words_;
-    store_watch watch_;
+    replica_controller controller_;
+    peer_messenger messenger_;
+    store_monitor monitor_;
     declaration_follower declarations_;
     quarantine_keeper keeper_;
-    list_follower list_;
+    registry_follower registry_follower_;
     http_server callers_;
     http_server readiness_;
     http_server metrics_;
--- a/src/Gateway/gateway_answers.cpp
+++ b/src/Gateway/gateway_answers.cpp
@@ -33,7 +33,7 @@
 
 asio::awaitable<void> gateway::answer(http_exchange& exchange) {
     answering_guard const counted(answering_);
-    request_flow flow(beliefs_, words_, exchange);
+    request_flow flow(beliefs_, messenger_, exchange);
     co_await flow.run();
 }
 
@@ -53,7 +53,7 @@
     beliefs_.metrics.set(
         "contents_held",
         static_cast<double>(beliefs_.quarantine.held(boot_clock::now())));
-    beliefs_.metrics.set("store_era", static_cast<double>(beliefs_.era));
+    beliefs_.metrics.set("store_era", static_cast<double>(beliefs_.epoch));
     beliefs_.metrics.set("nodes", beliefs_.nodes());
     beliefs_.metrics.set("store_calls", static_cast<double>(store_.calls()));
     http_response answer;
--- a/src/Gateway/gateway_beliefs.hpp
+++ b/src/Gateway/gateway_beliefs.hpp
@@ -73,7 +73,7 @@
     named_versions versions;
     start_check start;
     /// How far this node has read what the operator declares.
-    store_place declared_place;
+    store_position declared_position;
 
     fleet replicas;
     adapter_demand demand;
@@ -92,7 +92,7 @@
     /// When the store came back last.
     instant store_back;
     /// The latest era of the store that this node has met.
-    store_era era{};
+    store_epoch epoch{};
     unsigned live_requests = 0;
 };
 
--- a/src/Gateway/list_follower.cpp
+++ b/src/Gateway/list_follower.cpp
@@ -30,8 +30,8 @@
 constexpr auto topic = platform::store_topic::replicas;
 
 /// @returns what to tell of a replica; its end when there is none
-peer_replica change_of(endpoint_id const& id, replica const* at) {
-    peer_replica told;
+peer_registry_entry change_of(endpoint_id const& id, replica const* at) {
+    peer_registry_entry told;
     told.id = id.str();
     if (at == nullptr) {
         return told;
@@ -56,7 +56,8 @@
 }
 
 /// @returns the entry that was told of, with the adapters that are known here
-replica_record record_of(peer_replica const& told, fleet const& replicas) {
+replica_record
+record_of(peer_registry_entry const& told, fleet const& replicas) {
     replica_record record;
     record.id = endpoint_id(told.id);
     record.service = service_id(told.service);
@@ -87,39 +88,39 @@
 
 } // namespace
 
-list_follower::list_follower(
-    gateway_beliefs& beliefs, platform::store_client& store, store_watch& watch,
-    peer_words& words, std::function<void()> changed)
+registry_follower::registry_follower(
+    gateway_beliefs& beliefs, platform::store_client& store,
+    store_monitor& watch, peer_messenger& words, std::function<void()> changed)
     : beliefs_(&beliefs)
     , store_(&store)
-    , watch_(&watch)
-    , words_(&words)
+    , monitor_(&watch)
+    , messenger_(&words)
     , changed_(std::move(changed))
     , turns_(beliefs.settings.list_pause)
     , list_timer_(beliefs.io) {}
 
-void list_follower::stop() {
+void registry_follower::stop() {
     *running_ = false;
     list_timer_.cancel();
 }
 
-void list_follower::start() {
+void registry_follower::start() {
     asio::co_spawn(
         beliefs_->io, [this] { return follow(); }, asio::detached);
 }
 
-asio::awaitable<void> list_follower::pause(milliseconds time) {
+asio::awaitable<void> registry_follower::pause(milliseconds time) {
     asio::steady_timer timer(beliefs_->io, time);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-void list_follower::note_gone(endpoint_id const& id) {
+void registry_follower::note_gone(endpoint_id const& id) {
     beliefs_->note(
         log_line(event_code::replica_gone).with("replica", id.str()));
     changed_();
 }
 
-void list_follower::take_end(endpoint_id const& id) {
+void registry_follower::take_end(endpoint_id const& id) {
     instant const now = boot_clock::now();
     bool const keep = !beliefs_->store_calm(now);
     if (beliefs_->replicas.lost(id, keep, now) == fleet_change::gone) {
@@ -127,7 +128,7 @@
     }
 }
 
-bool list_follower::apply(replica_record const& record) {
+bool registry_follower::apply(replica_record const& record) {
     fleet_change const change =
         beliefs_->replicas.apply(record, boot_clock::now());
     if (change == fleet_change::none) {
@@ -150,8 +151,8 @@
     return true;
 }
 
-list_follower::taken
-list_follower::take_replica(platform::keyed_record const& record) {
+registry_follower::taken
+registry_follower::take_replica(platform::keyed_record const& record) {
     if (!record.value) {
         take_end(endpoint_id(record.key));
         return {false, true};
@@ -173,17 +174,18 @@
     return {true, news};
 }
 
-void list_follower::heard(peer_reading const& reading) {
+void registry_follower::handle_registry_update(
+    peer_registry_update const& reading) {
     instant const now = boot_clock::now();
-    if (reading.to.era != reading.from.era) {
+    if (reading.to.epoch != reading.from.epoch) {
         return;
     }
     list_word const word = turns_.heard(reading.from, reading.to, now);
     if (word == list_word::later_era) {
-        watch_->met_era(reading.to.era, peers_word);
+        monitor_->observe_epoch(reading.to.epoch, epoch_from_peer);
     }
     if (word == list_word::applies) {
-        for (peer_replica const& each : reading.changes) {
+        for (peer_registry_entry const& each : reading.changes) {
             if (each.listed) {
                 apply(record_of(each, beliefs_->replicas));
             } else {
@@ -194,27 +196,28 @@
     list_timer_.cancel();
 }
 
-void list_follower::tell(store_place from, platform::keyed_batch const& batch) {
-    peer_reading reading;
+void registry_follower::tell(
+    store_position from, platform::keyed_batch const& batch) {
+    peer_registry_update reading;
     // What others have told meanwhile is no news here any more, so this word
     // must not cover it: whoever has missed theirs would take it for whole.
-    bool const told_on = further(batch.next, turns_.next());
-    reading.from = furthest(from, told_on ? turns_.next() : batch.next);
+    bool const told_on = is_ahead(batch.next, turns_.next());
+    reading.from = max_position(from, told_on ? turns_.next() : batch.next);
     reading.to = batch.next;
     for (platform::keyed_record const& each : batch.records) {
         taken const came = take_replica(each);
         if (came.news) {
             endpoint_id const id(each.key);
-            peer_replica change = change_of(
+            peer_registry_entry change = change_of(
                 id, came.entry ? beliefs_->replicas.find(id) : nullptr);
             change.place = each.place;
             reading.changes.push_back(std::move(change));
         }
     }
-    words_->tell_reading(std::move(reading));
+    messenger_->broadcast_registry_update(std::move(reading));
 }
 
-void list_follower::take_whole(platform::keyed_batch const& batch) {
+void registry_follower::take_whole(platform::keyed_batch const& batch) {
     std::vector<endpoint_id> listed;
     for (platform::keyed_record const& each : batch.records) {
         if (take_replica(each).entry) {
@@ -230,7 +233,7 @@
 }
 
 asio::awaitable<platform::store_result<platform::keyed_batch>>
-list_follower::ask(bool whole, store_place from) {
+registry_follower::ask(bool whole, store_position from) {
     platform::reading_times times;
     times.silence = beliefs_->settings.store_timeout;
     if (whole) {
@@ -240,13 +243,13 @@
     co_return co_await store_->read_on(topic, from, times, reading_);
 }
 
-asio::awaitable<bool> list_follower::step() {
+asio::awaitable<bool> registry_follower::step() {
     bool const whole = turns_.whole();
-    store_place const from = turns_.next();
+    store_position const from = turns_.next();
     instant const began = boot_clock::now();
     reading_ = platform::store_reading();
     auto const batch = co_await ask(whole, from);
-    note_reading(
+    log_store_read(
         *beliefs_, topic, whole ? "whole" : "on", from.offset, began, reading_,
         batch);
     if (!batch && reading_.cancelled()) {
@@ -256,21 +259,21 @@
         bool const forgotten =
             batch.error() == platform::store_failure::forgotten;
         if (forgotten) {
-            watch_->answered();
+            monitor_->note_answer();
             turns_.forgotten();
         } else {
-            watch_->failed(topic, began, reading_, batch.error());
+            monitor_->note_failure(topic, began, reading_, batch.error());
         }
         co_return forgotten;
     }
-    watch_->answered();
-    store_place const next = batch.value().next;
+    monitor_->note_answer();
+    store_position const next = batch.value().next;
     if (!turns_.counts(whole, from, next)) {
         co_return false;
     }
     if (whole) {
         take_whole(batch.value());
-        watch_->read_whole(topic, next.era);
+        monitor_->note_snapshot(topic, next.epoch);
     } else {
         tell(from, batch.value());
     }
@@ -278,15 +281,15 @@
     co_return true;
 }
 
-asio::awaitable<void> list_follower::read() {
+asio::awaitable<void> registry_follower::read() {
     bool const answered = co_await step();
     if (!answered) {
         co_await pause(retry_pause);
     }
 }
 
-void list_follower::new_era(store_era era, instant read_at) {
-    turns_.new_era(era, read_at);
+void registry_follower::on_store_rollback(store_epoch epoch, instant read_at) {
+    turns_.new_era(epoch, read_at);
     list_timer_.cancel();
     // It waits for what comes after an old place, for as long as two seconds.
     if (!reading_.begun()) {
@@ -294,7 +297,7 @@
     }
 }
 
-asio::awaitable<void> list_follower::follow() {
+asio::awaitable<void> registry_follower::follow() {
     auto const alive = running_;
     instant read_whole = boot_clock::now();
     std::uniform_real_distribution<double> part(0, 1);
--- a/src/Gateway/list_follower.hpp
+++ b/src/Gateway/list_follower.hpp
@@ -17,7 +17,7 @@
 
 /// Follows what the replicas say of themselves, from the store and from other
 /// nodes' readings of it, into this node's beliefs.
-class list_follower {
+class registry_follower {
 public:
     /// @param beliefs where what is read goes; must outlive the follower
     /// @param store   the store's client; must outlive the follower
@@ -25,26 +25,27 @@
     /// @param words   tells other nodes what was read; must outlive the
     /// follower
     /// @param changed called when replicas have changed
-    list_follower(
+    registry_follower(
         gateway_beliefs& beliefs, platform::store_client& store,
-        store_watch& watch, peer_words& words, std::function<void()> changed);
+        store_monitor& watch, peer_messenger& words,
+        std::function<void()> changed);
 
     /// Begins to follow.
     void start();
     /// Ends at the next answer.
     void stop();
     /// Another node has read on in the list.
-    void heard(peer_reading const& reading);
+    void handle_registry_update(peer_registry_update const& reading);
     /// The store has come back from an older copy: the list is read whole.
-    void new_era(store_era era, instant read_at);
+    void on_store_rollback(store_epoch epoch, instant read_at);
 
 private:
     boost::asio::awaitable<void> follow();
     boost::asio::awaitable<platform::store_result<platform::keyed_batch>>
-    ask(bool whole, store_place from);
+    ask(bool whole, store_position from);
     boost::asio::awaitable<void> read();
     boost::asio::awaitable<bool> step();
-    void tell(store_place from, platform::keyed_batch const& batch);
+    void tell(store_position from, platform::keyed_batch const& batch);
     bool apply(replica_record const& record);
     boost::asio::awaitable<void> pause(std::chrono::milliseconds time);
     /// What a record of the list comes to.
@@ -61,8 +62,8 @@
 
     gateway_beliefs* beliefs_;
     platform::store_client* store_;
-    store_watch* watch_;
-    peer_words* words_;
+    store_monitor* monitor_;
+    peer_messenger* messenger_;
     std::function<void()> changed_;
     list_turns turns_;
     platform::store_reading reading_;
--- a/src/Gateway/peer_datagram.cpp
+++ b/src/Gateway/peer_datagram.cpp
@@ -12,11 +12,11 @@
 namespace camphorpoint {
 
 template <>
-struct last_value_of<gate_word> {
-    static constexpr gate_word value = gate_word::ended;
+struct last_value_of<gate_message_kind> {
+    static constexpr gate_message_kind value = gate_message_kind::ended;
 };
 
-std::uint32_t whole_milliseconds(duration time) {
+std::uint32_t clamped_milliseconds(duration time) {
     using std::chrono::milliseconds;
     auto const count = std::chrono::duration_cast<milliseconds>(time).count();
     return static_cast<std::uint32_t>(std::max<std::int64_t>(0, count));
--- a/src/Gateway/peer_datagram.hpp
+++ b/src/Gateway/peer_datagram.hpp
@@ -17,7 +17,7 @@
 namespace camphorpoint {
 
 /// Somebody's requests wait for an adapter at a replica.
-struct peer_want {
+struct peer_load_request {
     std::uint64_t replica = 0;
     std::string adapter;
     std::uint32_t version = 0;
@@ -25,18 +25,18 @@
     std::uint8_t kind = 0;
     /// It is the first that is said of a request to this replica: it can be
     /// turned away.
-    bool new_here = false;
+    bool first_request = false;
     /// The request may wait for so long.
     std::uint32_t patience_ms = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(replica, adapter, version, kind, new_here, patience_ms);
+        archive(replica, adapter, version, kind, first_request, patience_ms);
     }
 };
 
 /// The sender's requests use an adapter at a replica.
-struct peer_use {
+struct peer_adapter_usage {
     std::uint64_t replica = 0;
     std::string adapter;
     std::uint32_t running = 0;
@@ -51,7 +51,7 @@
 
 /// The sender orders for a replica, which now holds an adapter, or is about to
 /// lose it.
-struct peer_word {
+struct peer_residency {
     std::uint64_t replica = 0;
     std::string adapter;
     std::uint32_t version = 0;
@@ -87,7 +87,7 @@
 
 /// The sender orders for a replica at which an adapter would be ready too late
 /// for the request that wants it.
-struct peer_denial {
+struct peer_load_rejection {
     std::uint64_t replica = 0;
     std::string adapter;
     /// How long it would take.
@@ -101,7 +101,7 @@
 
 /// The sender has a request for an adapter that a replica may run, and asks
 /// whoever orders for it how full it is.
-struct peer_ask {
+struct peer_replica_usage_query {
     std::uint64_t replica = 0;
     std::string adapter;
     /// Replicas that are asked for; one of them gets the request.
@@ -114,7 +114,7 @@
 };
 
 /// All nodes' requests at a replica that the sender orders for.
-struct peer_load {
+struct peer_replica_usage {
     std::uint64_t replica = 0;
     std::uint16_t running = 0;
     std::uint16_t backlog_tokens = 0;
@@ -130,7 +130,7 @@
 
 /// A replica's entry in the list, or its end. Adapters are left out: whoever
 /// orders for the replica tells of them, and sooner.
-struct peer_replica {
+struct peer_registry_entry {
     std::string id;
     /// Where the entry stands in the list's records.
     std::uint64_t place = 0;
@@ -158,10 +158,10 @@
 
 /// The sender has read the list from one place to another of one era, and this
 /// is what has changed in it.
-struct peer_reading {
-    store_place from;
-    store_place to;
-    std::vector<peer_replica> changes;
+struct peer_registry_update {
+    store_position from;
+    store_position to;
+    std::vector<peer_registry_entry> changes;
 
     template <class Archive>
     void serialize(Archive& archive) {
@@ -170,7 +170,7 @@
 };
 
 /// A replica ended while it ran a content for the sender.
-struct peer_end {
+struct peer_crash {
     std::uint64_t content = 0;
     std::uint64_t replica = 0;
 
@@ -193,13 +193,19 @@
 };
 
 /// What is said of a run at its content's gate.
-enum class gate_word : std::uint8_t { may_begin, begins, waits, proven, ended };
+enum class gate_message_kind : std::uint8_t {
+    may_begin,
+    begins,
+    waits,
+    proven,
+    ended
+};
 
 /// A run of a content asks, is answered, or has shown something.
-struct peer_gate {
+struct peer_gate_message {
     std::uint64_t content = 0;
     std::uint64_t run = 0;
-    gate_word what = gate_word::may_begin;
+    gate_message_kind what = gate_message_kind::may_begin;
 
     template <class Archive>
     void serialize(Archive& archive) {
@@ -216,33 +222,33 @@
     std::string from;
     /// Set when it says no more than that the sender is there.
     bool present = false;
-    std::vector<peer_load> loads;
-    std::vector<peer_ask> asks;
+    std::vector<peer_replica_usage> loads;
+    std::vector<peer_replica_usage_query> asks;
     /// Set when `loads` answer these `asks`.
     bool answers = false;
-    std::vector<peer_want> wants;
-    std::vector<peer_use> uses;
-    std::vector<peer_word> words;
+    std::vector<peer_load_request> wants;
+    std::vector<peer_adapter_usage> uses;
+    std::vector<peer_residency> words;
     std::vector<peer_claim> claims;
     std::vector<peer_suspicion> suspicions;
-    std::vector<peer_denial> denials;
-    std::vector<peer_end> ends;
+    std::vector<peer_load_rejection> denials;
+    std::vector<peer_crash> ends;
     /// Contents that have ended well after an end that the sender told.
-    std::vector<std::uint64_t> wholes;
+    std::vector<std::uint64_t> completions;
     std::vector<peer_quarantine> quarantines;
-    std::vector<peer_gate> gates;
+    std::vector<peer_gate_message> gates;
     /// One at most.
-    std::vector<peer_reading> readings;
+    std::vector<peer_registry_update> readings;
     /// How far the sender has read what the operator declares; 0 when it says
     /// nothing of it.
-    store_place declared_place;
+    store_position declared_position;
     /// How much of it the sender knows: the sum of all versions.
     std::uint64_t declared_total = 0;
     /// Set while the sender has begun and waits to hear how much others know:
     /// it is told at once.
-    bool asks_declared = false;
+    bool queries_declared = false;
     /// The sender knows which contents were held before it began.
-    bool knows_held = false;
+    bool knows_quarantines = false;
 
     static constexpr std::uint32_t current_format = 8;
 
@@ -250,28 +256,28 @@
     void serialize(Archive& archive) {
         archive(
             format, from, present, loads, asks, answers, wants, uses, words,
-            claims, suspicions, denials, ends, wholes, quarantines, gates,
-            readings, declared_place, declared_total, asks_declared,
-            knows_held);
+            claims, suspicions, denials, ends, completions, quarantines, gates,
+            readings, declared_position, declared_total, queries_declared,
+            knows_quarantines);
     }
     /// @returns true when there is nothing to say
     bool empty() const noexcept {
         return !present && loads.empty() && asks.empty() && wants.empty() &&
                uses.empty() && words.empty() && claims.empty() &&
                suspicions.empty() && denials.empty() && ends.empty() &&
-               wholes.empty() && quarantines.empty() && gates.empty() &&
+               completions.empty() && quarantines.empty() && gates.empty() &&
                readings.empty();
     }
 };
 
 /// Entries of one datagram; with names of some twenty bytes they stay below
 /// the longest datagram.
-inline constexpr std::size_t most_entries = 24;
+inline constexpr std::size_t max_entries_per_datagram = 24;
 
 /// Takes the entries for one datagram out of those that are to be told.
 template <class Entry>
-std::vector<Entry> take_some(std::vector<Entry>& from) {
-    std::size_t const count = std::min(from.size(), most_entries);
+std::vector<Entry> drain_batch(std::vector<Entry>& from) {
+    std::size_t const count = std::min(from.size(), max_entries_per_datagram);
     auto const middle = from.begin() + static_cast<std::ptrdiff_t>(count);
     std::vector<Entry> taken(from.begin(), middle);
     from.erase(from.begin(), middle);
@@ -279,7 +285,7 @@
 }
 
 /// @returns what a message says of a time; 0 for one that has passed
-std::uint32_t whole_milliseconds(duration time);
+std::uint32_t clamped_milliseconds(duration time);
 /// @returns the message's bytes
 std::string encode(peer_datagram const& message);
 /// @returns the message; nothing when the bytes are none of this format
--- a/src/Gateway/peer_words.cpp
+++ b/src/Gateway/peer_words.cpp
@@ -56,14 +56,14 @@
     return fleet::short_name(replica) % partition_count;
 }
 
-peer_words::peer_words(gateway_beliefs& beliefs, receiver to)
+peer_messenger::peer_messenger(gateway_beliefs& beliefs, receiver to)
     : beliefs_(&beliefs)
     , to_(std::move(to))
     , link_(beliefs.io.get_executor(), [this](std::string const& bytes) {
         receive(bytes);
     }) {}
 
-std::string peer_words::start() {
+std::string peer_messenger::start() {
     std::string problem = link_.listen(beliefs_->settings.peer_address);
     if (problem.empty()) {
         running_ = true;
@@ -73,12 +73,12 @@
     return problem;
 }
 
-void peer_words::stop() {
+void peer_messenger::stop() {
     running_ = false;
     link_.close();
 }
 
-void peer_words::send(std::string const& peer, peer_datagram message) {
+void peer_messenger::send(std::string const& peer, peer_datagram message) {
     if (message.empty()) {
         return;
     }
@@ -86,20 +86,21 @@
     link_.send(parse_address(peer), encode(message));
 }
 
-void peer_words::send_all(peer_datagram const& message) {
+void peer_messenger::send_all(peer_datagram const& message) {
     for (auto const& [peer, heard] : beliefs_->peers) {
         send(peer, message);
     }
 }
 
-void peer_words::set_owner(std::size_t partition, std::string member) {
+void peer_messenger::set_lease_holder(
+    std::size_t partition, std::string member) {
     if (member != beliefs_->own_name) {
         beliefs_->peers.try_emplace(member, boot_clock::now());
     }
     owners_[partition] = std::move(member);
 }
 
-bool peer_words::lacks_owner(instant now) const {
+bool peer_messenger::lacks_reachable_lease_holder(instant now) const {
     return std::ranges::any_of(beliefs_->replicas.all(), [&](auto const& each) {
         if (!each.second.open() || each.second.record.models.empty()) {
             return false;
@@ -115,25 +116,25 @@
     });
 }
 
-void peer_words::want(
+void peer_messenger::request_load(
     replica const& at, adapter_ref const& adapter, want_kind kind,
-    bool new_here, duration patience) {
+    bool first_request, duration patience) {
     instant const now = boot_clock::now();
     instant& said = wanted_[{at.record.id, adapter.id}];
     // Guards against a holder that is swamped by the repeats of hundreds of
     // requests for an adapter that has just become busy: a node's requests
     // repeat with one voice.
-    if (!new_here && now < said + want_pause) {
+    if (!first_request && now < said + want_pause) {
         return;
     }
     said = now;
-    peer_want asked;
+    peer_load_request asked;
     asked.replica = fleet::short_name(at.record.id);
     asked.adapter = adapter.id.str();
     asked.version = adapter.version;
     asked.kind = static_cast<std::uint8_t>(kind);
-    asked.new_here = new_here;
-    asked.patience_ms = whole_milliseconds(patience);
+    asked.first_request = first_request;
+    asked.patience_ms = clamped_milliseconds(patience);
     auto const owner = owners_.find(partition_of(at.record.id));
     if (owner == owners_.end()) {
         return;
@@ -152,7 +153,7 @@
     if (heard != beliefs_->peers.end() &&
         now >= heard->second + std::max(holder_silent, two_tellings)) {
         take_denial(
-            {asked.replica, asked.adapter, whole_milliseconds(holder_silent)},
+            {asked.replica, asked.adapter, clamped_milliseconds(holder_silent)},
             now);
         return;
     }
@@ -161,35 +162,37 @@
     send(owner->second, std::move(message));
 }
 
-void peer_words::tell(endpoint_id const& at, std::vector<peer_word> words) {
-    for (peer_word& each : words) {
+void peer_messenger::broadcast_residency(
+    endpoint_id const& at, std::vector<peer_residency> words) {
+    for (peer_residency& each : words) {
         each.replica = fleet::short_name(at);
     }
     while (!words.empty()) {
         peer_datagram message;
-        message.words = take_some(words);
+        message.words = drain_batch(words);
         send_all(message);
     }
 }
 
-void peer_words::claim(std::size_t partition, std::uint64_t token) {
+void peer_messenger::broadcast_claim(
+    std::size_t partition, std::uint64_t token) {
     peer_datagram message;
     message.claims.push_back({static_cast<std::uint32_t>(partition), token});
     send_all(message);
 }
 
-void peer_words::tell_reading(peer_reading reading) {
+void peer_messenger::broadcast_registry_update(peer_registry_update reading) {
     // In pieces that follow one another: a lost one is a gap before the next.
-    std::vector<peer_replica> all = std::move(reading.changes);
+    std::vector<peer_registry_entry> all = std::move(reading.changes);
     std::size_t done = 0;
     do {
         std::size_t const end = std::min(all.size(), done + most_changes);
-        peer_reading piece;
-        store_era const era = reading.to.era;
+        peer_registry_update piece;
+        store_epoch const epoch = reading.to.epoch;
         piece.from =
-            done == 0 ? reading.from : store_place{era, all[done].place};
-        piece.to =
-            end == all.size() ? reading.to : store_place{era, all[end].place};
+            done == 0 ? reading.from : store_position{epoch, all[done].place};
+        piece.to = end == all.size() ? reading.to
+                                     : store_position{epoch, all[end].place};
         piece.changes.assign(
             all.begin() + static_cast<std::ptrdiff_t>(done),
             all.begin() + static_cast<std::ptrdiff_t>(end));
@@ -200,14 +203,14 @@
     } while (done < all.size());
 }
 
-void peer_words::suspect(replica const& at, duration rest) {
+void peer_messenger::broadcast_suspicion(replica const& at, duration rest) {
     peer_datagram message;
     message.suspicions.push_back(
-        {fleet::short_name(at.record.id), whole_milliseconds(rest)});
+        {fleet::short_name(at.record.id), clamped_milliseconds(rest)});
     send_all(message);
 }
 
-void peer_words::use(
+void peer_messenger::begin_use(
     endpoint_id const& at, adapter_id const& adapter, unsigned prompt_tokens) {
     use_key const key{at, adapter};
     use_count& count = uses_[key];
@@ -216,7 +219,7 @@
     send_use(key, count);
 }
 
-void peer_words::release(endpoint_id const& at, adapter_id const& adapter) {
+void peer_messenger::end_use(endpoint_id const& at, adapter_id const& adapter) {
     use_key const key{at, adapter};
     auto const found = uses_.find(key);
     if (found == uses_.end()) {
@@ -229,12 +232,12 @@
     }
 }
 
-void peer_words::send_use(use_key const& key, use_count& count) {
+void peer_messenger::send_use(use_key const& key, use_count& count) {
     auto const owner = owners_.find(partition_of(key.replica));
     if (owner == owners_.end()) {
         return;
     }
-    peer_use told{
+    peer_adapter_usage told{
         fleet::short_name(key.replica), key.adapter.str(), count.running,
         count.prompt_tokens};
     count.prompt_tokens = 0;
@@ -247,15 +250,15 @@
     send(owner->second, std::move(message));
 }
 
-void peer_words::repeat_uses() {
-    std::map<std::string, std::vector<peer_use>> to;
+void peer_messenger::repeat_uses() {
+    std::map<std::string, std::vector<peer_adapter_usage>> to;
     instant const now = boot_clock::now();
     for (auto const& [key, count] : uses_) {
         auto const owner = owners_.find(partition_of(key.replica));
         if (owner == owners_.end()) {
             continue;
         }
-        peer_use told{
+        peer_adapter_usage told{
             fleet::short_name(key.replica), key.adapter.str(), count.running,
             0};
         if (owner->second == beliefs_->own_name) {
@@ -267,25 +270,26 @@
     for (auto& [peer, all] : to) {
         while (!all.empty()) {
             peer_datagram message;
-            message.uses = take_some(all);
+            message.uses = drain_batch(all);
             send(peer, std::move(message));
         }
     }
 }
 
-bool peer_words::orders_for(endpoint_id const& at) const {
+bool peer_messenger::orders_for(endpoint_id const& at) const {
     auto const owner = owners_.find(partition_of(at));
     return owner != owners_.end() && owner->second == beliefs_->own_name;
 }
 
-replica_total peer_words::counted(std::uint64_t replica, instant now) const {
+replica_total
+peer_messenger::counted(std::uint64_t replica, instant now) const {
     replica_total total = ledger_.total(replica, now);
     total.free_slots = to_.free_slots(replica);
     return total;
 }
 
-std::optional<peer_load>
-peer_words::total_of(std::uint64_t replica, instant now) const {
+std::optional<peer_replica_usage>
+peer_messenger::total_of(std::uint64_t replica, instant now) const {
     constexpr double most = std::numeric_limits<std::uint16_t>::max();
     camphorpoint::replica const* const at =
         beliefs_->replicas.find_short(replica);
@@ -293,7 +297,7 @@
         return std::nullopt;
     }
     replica_total const total = counted(replica, now);
-    peer_load load;
+    peer_replica_usage load;
     load.replica = replica;
     load.free_slots = static_cast<std::int16_t>(total.free_slots);
     load.running = static_cast<std::uint16_t>(total.running);
@@ -302,20 +306,20 @@
     return load;
 }
 
-void peer_words::take_use(
-    peer_use const& use, std::string const& from, instant now) {
+void peer_messenger::take_use(
+    peer_adapter_usage const& use, std::string const& from, instant now) {
     ledger_.told(
         from, use.replica, adapter_id(use.adapter), use.running,
         use.prompt_tokens, now);
     beliefs_->replicas.told_total(use.replica, counted(use.replica, now), now);
     // What counts for the slot is whether any node has runs there.
-    peer_use of_all = use;
+    peer_adapter_usage of_all = use;
     of_all.running =
         ledger_.in_use(use.replica, adapter_id(use.adapter)) ? 1 : 0;
     to_.use(of_all);
 }
 
-std::vector<endpoint_id> peer_words::ask_loads(
+std::vector<endpoint_id> peer_messenger::query_replica_usage(
     std::vector<replica*> const& of, adapter_id const& adapter, instant now) {
     std::vector<endpoint_id> asked;
     for (replica const* const each : of) {
@@ -334,8 +338,8 @@
     return asked;
 }
 
-void peer_words::take_ask(
-    peer_ask const& ask, std::string const& from, instant now) {
+void peer_messenger::take_ask(
+    peer_replica_usage_query const& ask, std::string const& from, instant now) {
     auto const total = total_of(ask.replica, now);
     if (!total) {
         return;
@@ -349,32 +353,33 @@
     send(from, std::move(message));
 }
 
-void peer_words::forget_peers(instant now) {
+void peer_messenger::forget_peers(instant now) {
     std::erase_if(beliefs_->peers, [&](auto const& each) {
         return now >= each.second + peer_lasts;
     });
 }
 
-peer_datagram peer_words::declared() const {
+peer_datagram peer_messenger::declared() const {
     peer_datagram message;
     message.present = true;
-    message.declared_place = beliefs_->declared_place;
+    message.declared_position = beliefs_->declared_position;
     message.declared_total = beliefs_->declared_total();
-    message.knows_held = beliefs_->held_known.complete(boot_clock::now());
+    message.knows_quarantines =
+        beliefs_->held_known.complete(boot_clock::now());
     return message;
 }
 
-void peer_words::ask_declared() {
+void peer_messenger::query_declared() {
     if (!beliefs_->start.done()) {
         peer_datagram message = declared();
-        message.asks_declared = true;
+        message.queries_declared = true;
         for (std::string const& each : beliefs_->start.asked()) {
             send(each, message);
         }
     }
 }
 
-void peer_words::tell_totals(instant now) {
+void peer_messenger::tell_totals(instant now) {
     std::erase_if(wanted_, [&](auto const& each) {
         return now >= each.second + want_pause;
     });
@@ -399,7 +404,7 @@
     send_all(message);
 }
 
-asio::awaitable<void> peer_words::tell_counts() {
+asio::awaitable<void> peer_messenger::tell_counts() {
     unsigned tick = 0;
     while (running_) {
         instant const now = boot_clock::now();
@@ -407,7 +412,7 @@
             tell_totals(now);
             repeat_quarantines(now);
         }
-        ask_declared();
+        query_declared();
         if (tick % ticks_to_repeat == 0) {
             repeat_ends(now);
             repeat_uses();
--- a/src/Gateway/peer_words.hpp
+++ b/src/Gateway/peer_words.hpp
@@ -24,28 +24,29 @@
 /// What nodes tell each other, by datagrams: wants of adapters to the node that
 /// orders for the replica, word of what was loaded or is about to go to all,
 /// and counts of running requests.
-class peer_words {
+class peer_messenger {
 public:
     /// Takes wants and uses that are this node's to heed.
     struct receiver {
         /// @returns nothing when it is taken, else how long it would take
-        std::function<std::optional<duration>(peer_want const& want)> want;
-        std::function<void(peer_use const& use)> use;
+        std::function<std::optional<duration>(peer_load_request const& want)>
+            want;
+        std::function<void(peer_adapter_usage const& use)> use;
         /// @returns adapters that could be loaded at a replica that this node
         ///          orders for, less those that wait
         std::function<int(std::uint64_t replica)> free_slots;
         /// Another node has read on in the list of replicas.
-        std::function<void(peer_reading const& reading)> reading;
+        std::function<void(peer_registry_update const& reading)> reading;
         /// Another node has read so far in what the operator declares, and
         /// knows so much of it.
-        std::function<void(store_place place, std::uint64_t total)>
+        std::function<void(store_position place, std::uint64_t total)>
             declarations;
         /// Another node has met this era of the store.
-        std::function<void(store_era era)> era;
+        std::function<void(store_epoch epoch)> epoch;
     };
 
     /// @param beliefs where word from others goes; must outlive this
-    peer_words(gateway_beliefs& beliefs, receiver to);
+    peer_messenger(gateway_beliefs& beliefs, receiver to);
 
     /// Binds and begins to tell counts.
     /// @returns the reason when the address can't be had, empty on success
@@ -55,62 +56,63 @@
 
     /// Asks whoever orders for the replica to load the adapter there.
     /// @param kind     for whom
-    /// @param new_here the request has not asked at this replica before
+    /// @param first_request the request has not asked at this replica before
     /// @param patience how long the request may wait for it there
-    void want(
+    void request_load(
         replica const& at, adapter_ref const& adapter, want_kind kind,
-        bool new_here, duration patience);
+        bool first_request, duration patience);
     /// Tells all nodes of changes at a replica that this node orders for.
-    void tell(endpoint_id const& at, std::vector<peer_word> words);
+    void broadcast_residency(
+        endpoint_id const& at, std::vector<peer_residency> words);
     /// Tells all nodes that this one orders for a partition.
-    void claim(std::size_t partition, std::uint64_t token);
+    void broadcast_claim(std::size_t partition, std::uint64_t token);
     /// Tells all nodes that a replica is silent.
-    void suspect(replica const& at, duration rest);
+    void broadcast_suspicion(replica const& at, duration rest);
     /// Counts that a replica ended while it ran a content, here and at the
     /// nodes that count it.
     /// @param replica another name for each start of it
     /// @returns true when others count it, who may know of more ends
-    bool tell_end(content_digest content, std::uint64_t replica);
+    bool report_crash(content_digest content, std::uint64_t replica);
     /// A run of a content ended well: it has not ended its replicas.
-    void tell_whole(content_digest content);
+    void report_completion(content_digest content);
     /// @returns true when runs of a content begin one at a time: a replica has
     ///          ended under it, or this node has begun and may not know of that
-    bool guards(content_digest content, instant now) const;
+    bool requires_admission(content_digest content, instant now) const;
     /// A run asks to begin.
     /// @param run number of the run, unique over all nodes
     /// @returns false when another run of the content is under way somewhere
     boost::asio::awaitable<bool>
-    may_begin(content_digest content, std::uint64_t run);
+    request_admission(content_digest content, std::uint64_t run);
     /// A run of a content has brought a part of its answer.
-    void tell_proven(content_digest content);
+    void report_progress(content_digest content);
     /// A run that was let begin has ended and has shown nothing.
-    void tell_run_ended(content_digest content, std::uint64_t run);
+    void report_attempt_ended(content_digest content, std::uint64_t run);
     /// Tells all nodes whether a content is run.
-    void tell_quarantine(quarantine_word const& word);
+    void broadcast_quarantine(quarantine_word const& word);
     /// Asks a few nodes how much they know of what the operator declares, while
     /// this one has begun and has not heard it.
-    void ask_declared();
+    void query_declared();
     /// Tells all nodes what this one has read in the list.
-    void tell_reading(peer_reading reading);
+    void broadcast_registry_update(peer_registry_update reading);
     /// Notes that a request uses an adapter, until `release`, and tells whoever
     /// orders for the replica.
     /// @param prompt_tokens that the replica has to read for it
-    void
-    use(endpoint_id const& at, adapter_id const& adapter,
+    void begin_use(
+        endpoint_id const& at, adapter_id const& adapter,
         unsigned prompt_tokens);
-    void release(endpoint_id const& at, adapter_id const& adapter);
+    void end_use(endpoint_id const& at, adapter_id const& adapter);
     /// Asks whoever orders for these replicas how full they are, where the
     /// last word of it is not fresh. Whoever waits for the adapter is woken by
     /// the answers.
     /// @returns those that were asked for
-    std::vector<endpoint_id> ask_loads(
+    std::vector<endpoint_id> query_replica_usage(
         std::vector<replica*> const& of, adapter_id const& adapter,
         instant now);
     /// @returns true when nobody is known who orders for a replica, or that
     ///          node has not been heard for a while
-    bool lacks_owner(instant now) const;
+    bool lacks_reachable_lease_holder(instant now) const;
     /// A node orders for a partition, as the group's list says.
-    void set_owner(std::size_t partition, std::string member);
+    void set_lease_holder(std::size_t partition, std::string member);
 
 private:
     struct use_count {
@@ -131,18 +133,22 @@
     void send_all(peer_datagram const& message);
     void send_use(use_key const& key, use_count& count);
     void repeat_uses();
-    void take_use(peer_use const& use, std::string const& from, instant now);
-    void take_ask(peer_ask const& ask, std::string const& from, instant now);
+    void take_use(
+        peer_adapter_usage const& use, std::string const& from, instant now);
+    void take_ask(
+        peer_replica_usage_query const& ask, std::string const& from,
+        instant now);
     replica_total counted(std::uint64_t replica, instant now) const;
-    std::optional<peer_load> total_of(std::uint64_t replica, instant now) const;
+    std::optional<peer_replica_usage>
+    total_of(std::uint64_t replica, instant now) const;
     void tell_totals(instant now);
     bool orders_for(endpoint_id const& at) const;
     void forget_peers(instant now);
     peer_datagram declared() const;
-    void take_denial(peer_denial const& denial, instant now);
-    bool has_place_for(peer_want const& want, instant now) const;
-    void take_want(peer_want const& want, std::string const& from);
-    void count_end(peer_end const& end, instant now);
+    void take_denial(peer_load_rejection const& denial, instant now);
+    bool has_place_for(peer_load_request const& want, instant now) const;
+    void take_want(peer_load_request const& want, std::string const& from);
+    void count_end(peer_crash const& end, instant now);
     void clear(content_digest content);
     void forget_told_contents(instant now);
     std::set<std::string> counters_of(std::uint64_t content) const;
@@ -153,8 +159,9 @@
 
     std::string gate_of(content_digest content, instant now) const;
     bool begins_here(content_digest content, std::uint64_t run, instant now);
-    void send_gate(std::string const& to, peer_gate word);
-    void take_gate(peer_gate const& word, std::string const& from, instant now);
+    void send_gate(std::string const& to, peer_gate_message word);
+    void take_gate(
+        peer_gate_message const& word, std::string const& from, instant now);
 
     /// An ask at a content's gate, until it is answered.
     struct gate_question {
@@ -163,7 +170,7 @@
     };
     /// An end that this node has seen, and until when it is told again.
     struct told_end {
-        peer_end end;
+        peer_crash end;
         instant until;
     };
 
@@ -185,7 +192,7 @@
 
 /// Nodes that count the ends under a content. One may be gone without the
 /// others' knowing, and another may have begun a moment ago.
-inline constexpr unsigned end_counters = 3;
+inline constexpr unsigned crash_counter_nodes = 3;
 
 /// @returns the partition of a replica
 std::size_t partition_of(endpoint_id const& replica);
--- a/src/Gateway/peer_words_gate.cpp
+++ b/src/Gateway/peer_words_gate.cpp
@@ -23,15 +23,16 @@
 
 } // namespace
 
-bool peer_words::guards(content_digest content, instant now) const {
+bool peer_messenger::requires_admission(
+    content_digest content, instant now) const {
     return !beliefs_->held_known.complete(now) ||
            beliefs_->quarantine.suspected(content);
 }
 
 // The first of the nodes that count the content's ends, as they hear of these
 // before all others.
-std::string peer_words::gate_of(content_digest content, instant now) const {
-    for (std::uint64_t each = 0; each < end_counters; ++each) {
+std::string peer_messenger::gate_of(content_digest content, instant now) const {
+    for (std::uint64_t each = 0; each < crash_counter_nodes; ++each) {
         std::size_t const partition =
             combine_hashes(static_cast<std::uint64_t>(content), each) %
             partition_count;
@@ -49,22 +50,22 @@
     return beliefs_->own_name;
 }
 
-void peer_words::send_gate(std::string const& to, peer_gate word) {
+void peer_messenger::send_gate(std::string const& to, peer_gate_message word) {
     peer_datagram message;
     message.gates.push_back(word);
     send(to, std::move(message));
 }
 
-bool peer_words::begins_here(
+bool peer_messenger::begins_here(
     content_digest content, std::uint64_t run, instant now) {
     return !beliefs_->quarantine.held_for(content, now) &&
            gate_.may_begin(content, run, now);
 }
 
 asio::awaitable<bool>
-peer_words::may_begin(content_digest content, std::uint64_t run) {
-    peer_gate const ask{
-        static_cast<std::uint64_t>(content), run, gate_word::may_begin};
+peer_messenger::request_admission(content_digest content, std::uint64_t run) {
+    peer_gate_message const ask{
+        static_cast<std::uint64_t>(content), run, gate_message_kind::may_begin};
     for (int tries = 0; tries < gate_asks; ++tries) {
         instant const now = boot_clock::now();
         std::string const at = gate_of(content, now);
@@ -84,47 +85,53 @@
     co_return true;
 }
 
-void peer_words::tell_proven(content_digest content) {
+void peer_messenger::report_progress(content_digest content) {
     instant const now = boot_clock::now();
     std::string const at = gate_of(content, now);
     if (at == beliefs_->own_name) {
         gate_.proven(content, now);
         return;
     }
-    send_gate(at, {static_cast<std::uint64_t>(content), 0, gate_word::proven});
+    send_gate(
+        at,
+        {static_cast<std::uint64_t>(content), 0, gate_message_kind::proven});
 }
 
-void peer_words::tell_run_ended(content_digest content, std::uint64_t run) {
+void peer_messenger::report_attempt_ended(
+    content_digest content, std::uint64_t run) {
     std::string const at = gate_of(content, boot_clock::now());
     if (at == beliefs_->own_name) {
         gate_.ended(content, run);
         return;
     }
-    send_gate(at, {static_cast<std::uint64_t>(content), run, gate_word::ended});
+    send_gate(
+        at,
+        {static_cast<std::uint64_t>(content), run, gate_message_kind::ended});
 }
 
-void peer_words::take_gate(
-    peer_gate const& word, std::string const& from, instant now) {
+void peer_messenger::take_gate(
+    peer_gate_message const& word, std::string const& from, instant now) {
     content_digest const content{word.content};
     switch (word.what) {
-    case gate_word::may_begin: {
+    case gate_message_kind::may_begin: {
         bool const begins = begins_here(content, word.run, now);
         send_gate(
-            from, {word.content, word.run,
-                   begins ? gate_word::begins : gate_word::waits});
+            from,
+            {word.content, word.run,
+             begins ? gate_message_kind::begins : gate_message_kind::waits});
         break;
     }
-    case gate_word::proven:
+    case gate_message_kind::proven:
         gate_.proven(content, now);
         break;
-    case gate_word::ended:
+    case gate_message_kind::ended:
         gate_.ended(content, word.run);
         break;
-    case gate_word::begins:
-    case gate_word::waits:
+    case gate_message_kind::begins:
+    case gate_message_kind::waits:
         auto const question = gate_questions_.find(word.run);
         if (question != gate_questions_.end()) {
-            question->second.begins = word.what == gate_word::begins;
+            question->second.begins = word.what == gate_message_kind::begins;
             question->second.timer->cancel();
         }
         break;
--- a/src/Gateway/peer_words_quarantine.cpp
+++ b/src/Gateway/peer_words_quarantine.cpp
@@ -27,14 +27,15 @@
 peer_quarantine wire_of(quarantine_word const& word) {
     return {
         static_cast<std::uint64_t>(word.content), word.turn,
-        whole_milliseconds(word.left)};
+        clamped_milliseconds(word.left)};
 }
 
 } // namespace
 
-bool peer_words::tell_end(content_digest content, std::uint64_t replica) {
+bool peer_messenger::report_crash(
+    content_digest content, std::uint64_t replica) {
     instant const now = boot_clock::now();
-    peer_end const end{static_cast<std::uint64_t>(content), replica};
+    peer_crash const end{static_cast<std::uint64_t>(content), replica};
     ends_.push_back({end, now + end_told_for});
     if (ends_.size() > most_ends) {
         ends_.pop_front();
@@ -54,7 +55,7 @@
 // Guards against a content that many ask for in the same words and that is held
 // for ends that lie apart, though it has ended well in between: each node would
 // clear it of its own evidence only.
-void peer_words::tell_whole(content_digest content) {
+void peer_messenger::report_completion(content_digest content) {
     clear(content);
     // Few contents have had an end, so that a run which ends well costs
     // nothing.
@@ -67,12 +68,12 @@
     });
     for (std::string const& each : counters_of(number)) {
         peer_datagram message;
-        message.wholes.push_back(number);
+        message.completions.push_back(number);
         send(each, std::move(message));
     }
 }
 
-void peer_words::clear(content_digest content) {
+void peer_messenger::clear(content_digest content) {
     auto const word = beliefs_->quarantine.note_whole(content);
     if (!word) {
         return;
@@ -81,10 +82,10 @@
                        .with("content", to_string(content))
                        .with("turn", word->turn)
                        .with("by", beliefs_->own_name));
-    tell_quarantine(*word);
+    broadcast_quarantine(*word);
 }
 
-void peer_words::forget_told_contents(instant now) {
+void peer_messenger::forget_told_contents(instant now) {
     if (told_contents_.size() > most_told_contents) {
         std::erase_if(told_contents_, [now](auto const& each) {
             return now >= each.second + evidence_kept;
@@ -95,7 +96,7 @@
     }
 }
 
-void peer_words::count_end(peer_end const& end, instant now) {
+void peer_messenger::count_end(peer_crash const& end, instant now) {
     content_digest const content{end.content};
     gate_.broken(content);
     if (auto const word =
@@ -104,15 +105,15 @@
                            .with("content", to_string(content))
                            .with("turn", word->turn)
                            .with("by", beliefs_->own_name));
-        tell_quarantine(*word);
+        broadcast_quarantine(*word);
     }
 }
 
 // Few nodes count a content, the same ones for all, so that an end costs the
 // same number of datagrams with any number of nodes.
-std::set<std::string> peer_words::counters_of(std::uint64_t content) const {
+std::set<std::string> peer_messenger::counters_of(std::uint64_t content) const {
     std::set<std::string> members;
-    for (std::uint64_t each = 0; each < end_counters; ++each) {
+    for (std::uint64_t each = 0; each < crash_counter_nodes; ++each) {
         std::size_t const partition =
             combine_hashes(content, each) % partition_count;
         auto const owner = owners_.find(partition);
@@ -123,11 +124,11 @@
     return members;
 }
 
-void peer_words::repeat_ends(instant now) {
+void peer_messenger::repeat_ends(instant now) {
     while (!ends_.empty() && now >= ends_.front().until) {
         ends_.pop_front();
     }
-    std::map<std::string, std::vector<peer_end>> to;
+    std::map<std::string, std::vector<peer_crash>> to;
     for (told_end const& each : ends_) {
         for (std::string const& member : counters_of(each.end.content)) {
             to[member].push_back(each.end);
@@ -136,20 +137,20 @@
     for (auto& [member, ends] : to) {
         while (!ends.empty()) {
             peer_datagram message;
-            message.ends = take_some(ends);
+            message.ends = drain_batch(ends);
             send(member, std::move(message));
         }
     }
 }
 
-void peer_words::tell_quarantine(quarantine_word const& word) {
+void peer_messenger::broadcast_quarantine(quarantine_word const& word) {
     peer_datagram message;
     message.quarantines.push_back(wire_of(word));
     send_all(message);
 }
 
 // A node that has begun anew, or was cut off, hears them again from everybody.
-void peer_words::repeat_quarantines(instant now) {
+void peer_messenger::repeat_quarantines(instant now) {
     beliefs_->quarantine.forget_old(now);
     peer_datagram message;
     for (quarantine_word const& each :
@@ -159,7 +160,7 @@
     send_all(message);
 }
 
-void peer_words::take_quarantine(
+void peer_messenger::take_quarantine(
     peer_quarantine const& told, std::string const& from, instant now) {
     quarantine_word const word{
         content_digest{told.content}, told.turn,
--- a/src/Gateway/peer_words_taking.cpp
+++ b/src/Gateway/peer_words_taking.cpp
@@ -15,36 +15,38 @@
 /// runs have to end first.
 constexpr duration until_place = std::chrono::milliseconds(1'000);
 
-bool waits(peer_want const& want) {
+bool waits(peer_load_request const& want) {
     return want.kind < static_cast<std::uint8_t>(want_kind::ahead);
 }
 
 } // namespace
 
-bool peer_words::has_place_for(peer_want const& want, instant now) const {
+bool peer_messenger::has_place_for(
+    peer_load_request const& want, instant now) const {
     // Guards against hundreds of requests for an adapter that has just become
     // busy which all wait for one replica: those beyond its places are turned
     // away at once and have it loaded elsewhere at the same time.
     replica const* const at = beliefs_->replicas.find_short(want.replica);
-    if (at == nullptr || !want.new_here) {
+    if (at == nullptr || !want.first_request) {
         return true;
     }
     replica_total const total = ledger_.total(want.replica, now);
     return replica_choice::has_place(total, at->record.slots);
 }
 
-void peer_words::take_want(peer_want const& want, std::string const& from) {
+void peer_messenger::take_want(
+    peer_load_request const& want, std::string const& from) {
     instant const now = boot_clock::now();
     std::optional<duration> const wait =
         has_place_for(want, now) ? to_.want(want) : until_place;
     if (!wait) {
-        if (waits(want) && want.new_here) {
+        if (waits(want) && want.first_request) {
             ledger_.awaited(want.replica, now);
         }
         return;
     }
-    peer_denial const denial{
-        want.replica, want.adapter, whole_milliseconds(*wait)};
+    peer_load_rejection const denial{
+        want.replica, want.adapter, clamped_milliseconds(*wait)};
     if (from == beliefs_->own_name) {
         take_denial(denial, now);
         return;
@@ -54,7 +56,8 @@
     send(from, std::move(message));
 }
 
-void peer_words::take_denial(peer_denial const& denial, instant now) {
+void peer_messenger::take_denial(
+    peer_load_rejection const& denial, instant now) {
     if (replica* const at = beliefs_->replicas.find_short(denial.replica)) {
         adapter_id const adapter(denial.adapter);
         at->denials[adapter] = {
@@ -63,33 +66,33 @@
     }
 }
 
-void peer_words::receive(std::string const& bytes) {
+void peer_messenger::receive(std::string const& bytes) {
     auto const message = decode_peer_datagram(bytes);
     if (message && message->from != beliefs_->own_name) {
         take(*message);
     }
 }
 
-void peer_words::take(peer_datagram const& message) {
+void peer_messenger::take(peer_datagram const& message) {
     instant const now = boot_clock::now();
     beliefs_->peers[message.from] = now;
     // First, so that places of it are met by who knows it.
-    if (message.declared_place.era > beliefs_->era) {
-        to_.era(message.declared_place.era);
+    if (message.declared_position.epoch > beliefs_->epoch) {
+        to_.epoch(message.declared_position.epoch);
     }
     if (message.present) {
         beliefs_->start.heard(message.from, message.declared_total);
     }
-    if (message.asks_declared) {
+    if (message.queries_declared) {
         send(message.from, declared());
     }
-    for (peer_load const& each : message.loads) {
+    for (peer_replica_usage const& each : message.loads) {
         replica_total const total{
             each.running, static_cast<double>(each.backlog_tokens),
             each.free_slots};
         beliefs_->replicas.told_total(each.replica, total, now);
     }
-    for (peer_ask const& each : message.asks) {
+    for (peer_replica_usage_query const& each : message.asks) {
         if (message.answers) {
             beliefs_->waiters.notify(adapter_id(each.adapter));
         } else {
@@ -103,7 +106,7 @@
         owners_[each.partition] = message.from;
         beliefs_->leases.overtaken(each.partition, each.token);
     }
-    for (peer_word const& each : message.words) {
+    for (peer_residency const& each : message.words) {
         replica const* const at = beliefs_->replicas.find_short(each.replica);
         adapter_id const adapter(each.adapter);
         if (at == nullptr) {
@@ -122,36 +125,36 @@
             at->health.note_hearsay(now + milliseconds(each.milliseconds));
         }
     }
-    for (peer_want const& each : message.wants) {
+    for (peer_load_request const& each : message.wants) {
         take_want(each, message.from);
     }
-    for (peer_denial const& each : message.denials) {
+    for (peer_load_rejection const& each : message.denials) {
         take_denial(each, now);
     }
-    for (peer_end const& each : message.ends) {
+    for (peer_crash const& each : message.ends) {
         count_end(each, now);
     }
-    for (std::uint64_t const each : message.wholes) {
+    for (std::uint64_t const each : message.completions) {
         clear(content_digest{each});
     }
-    for (peer_gate const& each : message.gates) {
+    for (peer_gate_message const& each : message.gates) {
         take_gate(each, message.from, now);
     }
-    if (message.knows_held) {
+    if (message.knows_quarantines) {
         beliefs_->held_known.heard(now);
     }
     for (peer_quarantine const& each : message.quarantines) {
         take_quarantine(each, message.from, now);
     }
-    for (peer_use const& each : message.uses) {
+    for (peer_adapter_usage const& each : message.uses) {
         take_use(each, message.from, now);
     }
-    for (peer_reading const& each : message.readings) {
+    for (peer_registry_update const& each : message.readings) {
         to_.reading(each);
     }
-    if (further(message.declared_place, beliefs_->declared_place) ||
+    if (is_ahead(message.declared_position, beliefs_->declared_position) ||
         message.declared_total > beliefs_->declared_total()) {
-        to_.declarations(message.declared_place, message.declared_total);
+        to_.declarations(message.declared_position, message.declared_total);
     }
 }
 
--- a/src/Gateway/quarantine_keeper.cpp
+++ b/src/Gateway/quarantine_keeper.cpp
@@ -33,10 +33,11 @@
 } // namespace
 
 quarantine_keeper::quarantine_keeper(
-    gateway_beliefs& beliefs, platform::store_client& store, peer_words& words)
+    gateway_beliefs& beliefs, platform::store_client& store,
+    peer_messenger& words)
     : beliefs_(&beliefs)
     , store_(&store)
-    , words_(&words) {}
+    , messenger_(&words) {}
 
 std::vector<quarantine_word> quarantine_keeper::unkept(instant now) const {
     auto words = beliefs_->quarantine.all(now);
@@ -82,13 +83,13 @@
     auto const alive = running_;
     instant const began = boot_clock::now();
     // Another one by the end: the store has gone back meanwhile.
-    store_era const era = beliefs_->era;
+    store_epoch const epoch = beliefs_->epoch;
     platform::store_reading seen;
     platform::reading_times times;
     times.silence = beliefs_->settings.store_timeout;
     auto const batch = co_await store_->newest(topic, times, seen);
     instant const now = boot_clock::now();
-    note_reading(*beliefs_, topic, "whole", 0, began, seen, batch);
+    log_store_read(*beliefs_, topic, "whole", 0, began, seen, batch);
     bool const absent =
         !batch && batch.error() == platform::store_failure::absent;
     if (!batch && !absent) {
@@ -96,7 +97,7 @@
         co_return false;
     }
     failures_ = 0;
-    if (era != beliefs_->era) {
+    if (epoch != beliefs_->epoch) {
         co_return false;
     }
     read_ = true;
@@ -117,7 +118,7 @@
                     .with("content", to_string(word->content))
                     .with("turn", word->turn)
                     .with("by", "store"));
-            words_->tell_quarantine(*word);
+            messenger_->broadcast_quarantine(*word);
         }
     }
     co_return true;
@@ -125,7 +126,7 @@
 
 asio::awaitable<bool> quarantine_keeper::write(quarantine_word word) {
     auto const alive = running_;
-    store_era const era = beliefs_->era;
+    store_epoch const epoch = beliefs_->epoch;
     std::string key = key_of(word.content);
     std::string text = platform::write_quarantine(word, wall_now());
     auto const written =
@@ -136,7 +137,7 @@
         co_return false;
     }
     failures_ = 0;
-    if (era != beliefs_->era) {
+    if (epoch != beliefs_->epoch) {
         co_return false;
     }
     kept_[word.content] = word.turn;
--- a/src/Gateway/quarantine_keeper.hpp
+++ b/src/Gateway/quarantine_keeper.hpp
@@ -25,7 +25,7 @@
     /// @param words   tells the others what was kept; must outlive this
     quarantine_keeper(
         gateway_beliefs& beliefs, platform::store_client& store,
-        peer_words& words);
+        peer_messenger& words);
 
     /// Looks whether something is to be read or written; called again and
     /// again.
@@ -45,7 +45,7 @@
 
     gateway_beliefs* beliefs_;
     platform::store_client* store_;
-    peer_words* words_;
+    peer_messenger* messenger_;
     /// Turns as they stand in the store.
     std::map<content_digest, std::uint32_t> kept_;
     bool read_ = false;
--- a/src/Gateway/request_flow.cpp
+++ b/src/Gateway/request_flow.cpp
@@ -28,9 +28,9 @@
 } // namespace
 
 request_flow::request_flow(
-    gateway_beliefs& beliefs, peer_words& words, http_exchange& exchange)
+    gateway_beliefs& beliefs, peer_messenger& words, http_exchange& exchange)
     : beliefs_(&beliefs)
-    , words_(&words)
+    , messenger_(&words)
     , exchange_(&exchange)
     , arrived_(boot_clock::now())
     , deadline_(arrived_)
@@ -215,7 +215,7 @@
                        .with("try", tries_)
                        .with("waited_ms", now - arrived_));
     beliefs_->replicas.began(id, demand_.prompt_tokens, now);
-    words_->use(id, need_.adapter, demand_.prompt_tokens);
+    messenger_->begin_use(id, need_.adapter, demand_.prompt_tokens);
     trace_ = run_trace{position_.last().value_or(0)};
     call_times times = times_of_send(now);
     call_result const opened = co_await call->open(
@@ -234,7 +234,7 @@
     trace_.broke_off = call->broke_off();
     leaving_->call = nullptr;
     beliefs_->replicas.ended(id);
-    words_->release(id, need_.adapter);
+    messenger_->end_use(id, need_.adapter);
     bool const late = boot_clock::now() >= deadline_;
     if (late && end != attempt_end::finished && end != attempt_end::refused) {
         end = attempt_end::late;
--- a/src/Gateway/request_flow.hpp
+++ b/src/Gateway/request_flow.hpp
@@ -33,7 +33,8 @@
     /// @param words    for wants of adapters; must outlive the flow
     /// @param exchange the caller's request; must outlive the flow
     request_flow(
-        gateway_beliefs& beliefs, peer_words& words, http_exchange& exchange);
+        gateway_beliefs& beliefs, peer_messenger& words,
+        http_exchange& exchange);
     ~request_flow();
     request_flow(request_flow const&) = delete;
     request_flow& operator=(request_flow const&) = delete;
@@ -121,7 +122,7 @@
     platform::send_terms terms_of(replica const& at, instant now) const;
 
     gateway_beliefs* beliefs_;
-    peer_words* words_;
+    peer_messenger* messenger_;
     http_exchange* exchange_;
     instant arrived_;
     instant deadline_;
--- a/src/Gateway/request_flow_choice.cpp
+++ b/src/Gateway/request_flow_choice.cpp
@@ -82,14 +82,14 @@
     if (home == nullptr) {
         return;
     }
-    bool const new_here = asked_ != home->record.id;
+    bool const first_request = asked_ != home->record.id;
     asked_ = home->record.id;
     std::uint32_t const version =
         beliefs_->versions.newest(need_.adapter).value_or(0);
     want_kind const kind = urgent ? want_kind::waited_for : want_kind::ahead;
-    homes_asked_ += urgent && new_here ? 1 : 0;
-    words_->want(
-        *home, {need_.adapter, version}, kind, new_here,
+    homes_asked_ += urgent && first_request ? 1 : 0;
+    messenger_->request_load(
+        *home, {need_.adapter, version}, kind, first_request,
         patience(boot_clock::now()));
 }
 
@@ -229,7 +229,7 @@
     auto const caller = leaving_;
     instant const began = boot_clock::now();
     instant const until = began + ask_time;
-    auto const asked = words_->ask_loads(
+    auto const asked = messenger_->query_replica_usage(
         beliefs_->choice.compared(need_, began), need_.adapter, began);
     auto const unanswered = [&](endpoint_id const& id) {
         replica const* const at = beliefs_->replicas.find(id);
--- a/src/Gateway/request_flow_ending.cpp
+++ b/src/Gateway/request_flow_ending.cpp
@@ -61,7 +61,7 @@
             log_line(event_code::replica_suspected, log_level::warning)
                 .with("replica", at.str())
                 .with("rest_ms", rest));
-        words_->suspect(*target, rest);
+        messenger_->broadcast_suspicion(*target, rest);
     }
 }
 
@@ -76,12 +76,12 @@
 // knows yet that it ends its replicas; see content_gate.
 asio::awaitable<bool> request_flow::pass_gate(endpoint_id at) {
     auto const caller = leaving_;
-    if (!words_->guards(content_, boot_clock::now())) {
+    if (!messenger_->requires_admission(content_, boot_clock::now())) {
         co_return true;
     }
     std::uint64_t const run =
         combine_hashes(hash_text(demand_.id.str()), tries_);
-    bool const begins = co_await words_->may_begin(content_, run);
+    bool const begins = co_await messenger_->request_admission(content_, run);
     if (!begins) {
         asio::steady_timer timer(beliefs_->io, gate_pause);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -100,7 +100,7 @@
 void request_flow::prove_content() {
     if (gate_run_) {
         gate_run_.reset();
-        words_->tell_proven(content_);
+        messenger_->report_progress(content_);
     }
 }
 
@@ -110,7 +110,7 @@
     if (answered) {
         prove_content();
     } else if (gate_run_) {
-        words_->tell_run_ended(content_, *gate_run_);
+        messenger_->report_attempt_ended(content_, *gate_run_);
         gate_run_.reset();
     }
 }
@@ -119,13 +119,14 @@
     // A caller that has left breaks its own run off. A replica that answers
     // what is no good goes on.
     if (end == attempt_end::broken && trace_.broke_off && !leaving_->gone) {
-        return words_->tell_end(content_, start_name(at, beliefs_->replicas));
+        return messenger_->report_crash(
+            content_, start_name(at, beliefs_->replicas));
     }
     constexpr int first_redirect = 300;
     bool const whole = ended_ && ledger_.phase() == attempt_phase::ended &&
                        status_ < first_redirect;
     if (whole) {
-        words_->tell_whole(content_);
+        messenger_->report_completion(content_);
     }
     return false;
 }
--- a/src/Gateway/slot_orderer.cpp
+++ b/src/Gateway/slot_orderer.cpp
@@ -33,37 +33,37 @@
 /// The span over which the loads of base models are counted.
 constexpr duration load_window = std::chrono::seconds(5);
 
-want_kind kind_of(peer_want const& asked) {
+want_kind kind_of(peer_load_request const& asked) {
     auto const last = static_cast<std::uint8_t>(want_kind::ahead);
     return static_cast<want_kind>(std::min(asked.kind, last));
 }
 
 } // namespace
 
-slot_orderer::slot_orderer(
+replica_controller::replica_controller(
     gateway_beliefs& beliefs, platform::store_client& store)
     : beliefs_(&beliefs)
     , store_(&store)
     , claim_timer_(beliefs.io) {}
 
-void slot_orderer::start() {
+void replica_controller::start() {
     *running_ = true;
     asio::co_spawn(
         beliefs_->io, [this] { return renew(); }, asio::detached);
 }
 
-void slot_orderer::stop() {
+void replica_controller::stop() {
     if (!*running_) {
         return;
     }
     *running_ = false;
     beliefs_->leases.clear();
-    look_again();
+    wake_workers();
     asio::co_spawn(
         beliefs_->io, [this] { return leave(); }, asio::detached);
 }
 
-void slot_orderer::look_again() {
+void replica_controller::wake_workers() {
     for (auto const& [id, held] : held_) {
         held->wake.cancel();
     }
@@ -75,7 +75,8 @@
     }
 }
 
-std::optional<slot_limits> slot_orderer::limits_of(replica const& at) const {
+std::optional<slot_limits>
+replica_controller::limits_of(replica const& at) const {
     service_form const* const service =
         beliefs_->configuration.find_service(at.record.service);
     if (service == nullptr || !service->engine) {
@@ -86,7 +87,7 @@
     return limits;
 }
 
-void slot_orderer::spawn_workers() {
+void replica_controller::spawn_workers() {
     instant const now = boot_clock::now();
     for (auto const& [id, at] : beliefs_->replicas.all()) {
         auto const token = beliefs_->leases.token(partition_of(id), now);
@@ -106,13 +107,14 @@
     }
 }
 
-std::map<endpoint_id, slot_orderer::held_ptr>::const_iterator
-slot_orderer::find_held(std::uint64_t replica) const {
+std::map<endpoint_id, replica_controller::held_ptr>::const_iterator
+replica_controller::find_held(std::uint64_t replica) const {
     auto const id = by_short_name_.find(replica);
     return id == by_short_name_.end() ? held_.end() : held_.find(id->second);
 }
 
-std::optional<duration> slot_orderer::want(peer_want const& asked) {
+std::optional<duration>
+replica_controller::handle_load_request(peer_load_request const& asked) {
     auto const held = find_held(asked.replica);
     if (held == held_.end()) {
         // Another may order for it by now. A node that is stopping can't give
@@ -127,8 +129,9 @@
     if (account.ready(adapter)) {
         // Whoever asks has missed the word of it.
         publish(held->first, account);
-        std::vector<peer_word> words{{0, asked.adapter, asked.version, true}};
-        words_->tell(held->first, std::move(words));
+        std::vector<peer_residency> words{
+            {0, asked.adapter, asked.version, true}};
+        messenger_->broadcast_residency(held->first, std::move(words));
         beliefs_->replicas.told_held(held->first, adapter, boot_clock::now());
         beliefs_->waiters.notify(adapter.id);
         return std::nullopt;
@@ -136,7 +139,7 @@
     instant const now = boot_clock::now();
     want_kind const kind = kind_of(asked);
     // Repeats keep their place.
-    bool const may_refuse = asked.new_here || kind == want_kind::ahead;
+    bool const may_refuse = asked.first_request || kind == want_kind::ahead;
     auto const refused =
         may_refuse ? account.turn_away(
                          adapter, kind, milliseconds(asked.patience_ms), now)
@@ -163,7 +166,7 @@
     return std::nullopt;
 }
 
-void slot_orderer::use(peer_use const& told) {
+void replica_controller::handle_usage(peer_adapter_usage const& told) {
     auto const held = find_held(told.replica);
     if (held != held_.end()) {
         held->second->account.used(
@@ -171,16 +174,16 @@
     }
 }
 
-int slot_orderer::free_slots(std::uint64_t replica) const {
+int replica_controller::free_slots(std::uint64_t replica) const {
     auto const held = find_held(replica);
     return held == held_.end()
                ? 0
                : held->second->account.spare_slots(boot_clock::now());
 }
 
-void slot_orderer::publish(endpoint_id const& id, slot_account& account) {
+void replica_controller::publish(endpoint_id const& id, slot_account& account) {
     instant const now = boot_clock::now();
-    std::vector<peer_word> words;
+    std::vector<peer_residency> words;
     for (slot_change const& each : account.take_changes()) {
         if (each.held) {
             beliefs_->replicas.told_held(id, each.adapter, now);
@@ -191,10 +194,10 @@
         words.push_back(
             {0, each.adapter.id.str(), each.adapter.version, each.held});
     }
-    words_->tell(id, std::move(words));
+    messenger_->broadcast_residency(id, std::move(words));
 }
 
-asio::awaitable<void> slot_orderer::work(endpoint_id id, held_ptr held) {
+asio::awaitable<void> replica_controller::work(endpoint_id id, held_ptr held) {
     while (*running_ && !held->ended) {
         co_await work_once(id, held);
     }
@@ -203,7 +206,8 @@
     by_short_name_.erase(fleet::short_name(id));
 }
 
-asio::awaitable<void> slot_orderer::work_once(endpoint_id id, held_ptr held) {
+asio::awaitable<void>
+replica_controller::work_once(endpoint_id id, held_ptr held) {
     replica const* const at = beliefs_->replicas.find(id);
     instant const now = boot_clock::now();
     auto const token = beliefs_->leases.token(partition_of(id), now);
@@ -247,7 +251,8 @@
     co_await held->wake.async_wait(use_result);
 }
 
-asio::awaitable<void> slot_orderer::report(endpoint_id id, held_ptr held) {
+asio::awaitable<void>
+replica_controller::report(endpoint_id id, held_ptr held) {
     replica const* const at = beliefs_->replicas.find(id);
     ip_address to = at->record.address;
     bool const first = !held->account.known();
@@ -281,7 +286,7 @@
 }
 
 asio::awaitable<void>
-slot_orderer::order(endpoint_id id, held_ptr held, slot_order order) {
+replica_controller::order(endpoint_id id, held_ptr held, slot_order order) {
     replica const* const at = beliefs_->replicas.find(id);
     ip_address to = at->record.address;
     http_call call(beliefs_->io.get_executor(), &beliefs_->replica_connections);
@@ -327,7 +332,7 @@
 // Guards against a replica that has ended and stands in the list until its
 // entry lapses, after the store's outage for seconds: adapters were asked for
 // there, and the replica that has its address now turned each order away.
-void slot_orderer::note_replaced(endpoint_id const& id) {
+void replica_controller::note_replaced(endpoint_id const& id) {
     instant const now = boot_clock::now();
     replica const* const at = beliefs_->replicas.find(id);
     if (at == nullptr || !at->open()) {
@@ -336,11 +341,11 @@
     beliefs_->note(log_line(event_code::replica_gone, log_level::warning)
                        .with("replica", id.str())
                        .with("why", "its address is another's"));
-    words_->suspect(*at, entry_lapses);
+    messenger_->broadcast_suspicion(*at, entry_lapses);
     beliefs_->replicas.lost(id, false, now);
 }
 
-void slot_orderer::note_order(
+void replica_controller::note_order(
     endpoint_id const& id, held_replica const& held, slot_order const& order,
     slot_answer answer) {
     beliefs_->note(log_line(event_code::order_answered)
@@ -352,7 +357,7 @@
                        .with("answer", to_string(answer)));
 }
 
-void slot_orderer::want_newer_versions(slot_account& account) {
+void replica_controller::want_newer_versions(slot_account& account) {
     // What is in use is left as it is, and the account sees to that: requests
     // go to a replica that gets the new version in a slot of its own.
     instant const now = boot_clock::now();
@@ -365,7 +370,7 @@
     }
 }
 
-bool slot_orderer::may_load_model(service_form const& service) {
+bool replica_controller::may_load_model(service_form const& service) {
     // Loads of base models are rated over all replicas. Each holder takes a
     // share as large as its part of the partitions.
     instant const now = boot_clock::now();
--- a/src/Gateway/slot_orderer.hpp
+++ b/src/Gateway/slot_orderer.hpp
@@ -18,14 +18,14 @@
 
 /// Orders loads at the replicas of the partitions that this node holds: one
 /// worker for each replica, and the renewal of the leases.
-class slot_orderer {
+class replica_controller {
 public:
     /// @param beliefs must outlive this
     /// @param store   must outlive this
-    slot_orderer(gateway_beliefs& beliefs, platform::store_client& store);
+    replica_controller(gateway_beliefs& beliefs, platform::store_client& store);
 
     /// Where word to other nodes goes; set before start.
-    void set_words(peer_words& words) { words_ = &words; }
+    void set_messenger(peer_messenger& words) { messenger_ = &words; }
     /// Begins to hold partitions.
     void start();
     /// Gives all partitions up.
@@ -33,14 +33,14 @@
 
     /// Somebody wants an adapter at a replica.
     /// @returns nothing when it is taken, else how long it would take
-    std::optional<duration> want(peer_want const& asked);
+    std::optional<duration> handle_load_request(peer_load_request const& asked);
     /// Somebody uses an adapter at a replica.
-    void use(peer_use const& told);
+    void handle_usage(peer_adapter_usage const& told);
     /// @returns adapters that could be loaded at a replica at once, less those
     ///          that wait; 0 when this node does not order for it
     int free_slots(std::uint64_t replica) const;
     /// Replicas or versions have changed.
-    void look_again();
+    void wake_workers();
 
 private:
     /// A replica's account, and the worker that goes by it.
@@ -88,7 +88,7 @@
 
     gateway_beliefs* beliefs_;
     platform::store_client* store_;
-    peer_words* words_ = nullptr;
+    peer_messenger* messenger_ = nullptr;
     std::map<endpoint_id, held_ptr> held_;
     std::map<std::uint64_t, endpoint_id> by_short_name_;
 
--- a/src/Gateway/slot_orderer_leases.cpp
+++ b/src/Gateway/slot_orderer_leases.cpp
@@ -56,7 +56,7 @@
 
 } // namespace
 
-asio::awaitable<void> slot_orderer::leave() {
+asio::awaitable<void> replica_controller::leave() {
     auto const alive = running_;
     std::string member = beliefs_->own_name;
     std::string group = group_name;
@@ -69,7 +69,7 @@
     }
 }
 
-asio::awaitable<void> slot_orderer::claim_used() {
+asio::awaitable<void> replica_controller::claim_used() {
     auto const alive = running_;
     for (std::size_t const each : beliefs_->leases.without_token()) {
         bool const used = std::ranges::any_of(
@@ -86,7 +86,7 @@
 // Guards against replicas that nobody orders for until the next renewal, though
 // their partition could be claimed, or has settled, long before: in the first
 // seconds of all nodes requests wait for these loads.
-asio::awaitable<void> slot_orderer::renew() {
+asio::awaitable<void> replica_controller::renew() {
     auto const alive = running_;
     instant renew_at;
     while (*alive) {
@@ -103,7 +103,7 @@
     }
 }
 
-asio::awaitable<void> slot_orderer::renew_once() {
+asio::awaitable<void> replica_controller::renew_once() {
     auto const alive = running_;
     std::vector<std::string> topics;
     for (std::size_t each = 0; each < topic_count; ++each) {
@@ -141,14 +141,14 @@
                            .with("before", before.size())
                            .with("generation", grant.value().generation));
         for (std::size_t const each : after) {
-            words_->set_owner(each, beliefs_->own_name);
+            messenger_->set_lease_holder(each, beliefs_->own_name);
         }
     }
     // Holders tell their claims to all nodes they know. The list is for those
     // that they don't know yet: without it a want would go to a node that holds
     // the replica no more, and nobody would load what is waited for.
     bool const changed = owners_generation_ != grant.value().generation;
-    bool const missing = words_->lacks_owner(now);
+    bool const missing = messenger_->lacks_reachable_lease_holder(now);
     duration const pause = missing   ? owners_missing
                            : changed ? owners_changed
                                      : owners_again;
@@ -158,7 +158,7 @@
     }
 }
 
-asio::awaitable<void> slot_orderer::read_owners() {
+asio::awaitable<void> replica_controller::read_owners() {
     auto const alive = running_;
     std::string group = group_name;
     auto const owners = co_await store_->owners(std::move(group));
@@ -170,16 +170,16 @@
     for (platform::part_owner const& each : owners.value()) {
         auto const number = partition_number(each.topic, each.part);
         if (number && !each.member.empty()) {
-            words_->set_owner(*number, each.member);
+            messenger_->set_lease_holder(*number, each.member);
             others.insert(each.member);
         }
     }
     others.erase(beliefs_->own_name);
     beliefs_->start.listed(beliefs_->own_name, others);
-    words_->ask_declared();
+    messenger_->query_declared();
 }
 
-asio::awaitable<void> slot_orderer::claim(std::size_t partition) {
+asio::awaitable<void> replica_controller::claim(std::size_t partition) {
     auto const alive = running_;
     // The place of a record in the log is had by one node only, and a later
     // holder's is higher: it is the fencing number.
@@ -193,7 +193,7 @@
     }
     std::uint64_t const token = fencing_number(offset.value());
     if (beliefs_->leases.fenced_as(partition, token)) {
-        words_->claim(partition, token);
+        messenger_->broadcast_claim(partition, token);
     }
 }
 
--- a/src/Gateway/store_watch.cpp
+++ b/src/Gateway/store_watch.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-store_watch::store_watch(
+store_monitor::store_monitor(
     gateway_beliefs& beliefs, std::function<void()> came_back,
-    std::function<void(store_era era, instant read_at)> gone_back)
+    std::function<void(store_epoch epoch, instant read_at)> gone_back)
     : beliefs_(&beliefs)
     , came_back_(std::move(came_back))
     , gone_back_(std::move(gone_back)) {}
@@ -27,39 +27,41 @@
 // from a place of before: what is written first in the new era stands below
 // that place and is never read. Every answer names the era, and so does word
 // between nodes.
-void store_watch::met_era(store_era era, std::string_view by) {
-    bool const nothing_read = beliefs_->era == store_era{} &&
+void store_monitor::observe_epoch(store_epoch epoch, std::string_view by) {
+    bool const nothing_read = beliefs_->epoch == store_epoch{} &&
                               !beliefs_->configured &&
                               beliefs_->replicas.all().empty();
-    if (nothing_read && by == own_answer) {
-        beliefs_->era = era;
+    if (nothing_read && by == epoch_from_answer) {
+        beliefs_->epoch = epoch;
     }
-    if (nothing_read || era <= beliefs_->era) {
+    if (nothing_read || epoch <= beliefs_->epoch) {
         return;
     }
     instant const now = boot_clock::now();
     std::uniform_real_distribution<double> draw(0, 1);
     instant const read_at = now + std::chrono::duration_cast<duration>(
                                       era_spread * draw(beliefs_->random));
-    beliefs_->note(log_line(event_code::store_gone_back, log_level::warning)
-                       .with("from", static_cast<std::uint32_t>(beliefs_->era))
-                       .with("to", static_cast<std::uint32_t>(era))
-                       .with("by", by)
-                       .with("reads", "replicas declarations contents")
-                       .with("in_ms", read_at - now));
+    beliefs_->note(
+        log_line(event_code::store_gone_back, log_level::warning)
+            .with("from", static_cast<std::uint32_t>(beliefs_->epoch))
+            .with("to", static_cast<std::uint32_t>(epoch))
+            .with("by", by)
+            .with("reads", "replicas declarations contents")
+            .with("in_ms", read_at - now));
     beliefs_->metrics.count_store_gone_back();
-    beliefs_->era = era;
+    beliefs_->epoch = epoch;
     // Entries that are not in the copy are written again, as after an outage.
     beliefs_->store_back = now;
-    beliefs_->leases.new_era(era);
+    beliefs_->leases.new_era(epoch);
     era_met_ = now;
     list_whole_ = false;
     declarations_whole_ = false;
-    gone_back_(era, read_at);
+    gone_back_(epoch, read_at);
 }
 
-void store_watch::read_whole(platform::store_topic topic, store_era era) {
-    if (!era_met_ || era != beliefs_->era) {
+void store_monitor::note_snapshot(
+    platform::store_topic topic, store_epoch epoch) {
+    if (!era_met_ || epoch != beliefs_->epoch) {
         return;
     }
     list_whole_ = list_whole_ || topic == platform::store_topic::replicas;
@@ -67,13 +69,13 @@
         declarations_whole_ || topic == platform::store_topic::declarations;
     if (list_whole_ && declarations_whole_) {
         beliefs_->note(log_line(event_code::store_whole_again)
-                           .with("era", static_cast<std::uint32_t>(era))
+                           .with("era", static_cast<std::uint32_t>(epoch))
                            .with("took_ms", boot_clock::now() - *era_met_));
         era_met_.reset();
     }
 }
 
-void store_watch::answered() {
+void store_monitor::note_answer() {
     instant const now = boot_clock::now();
     last_answer_ = now;
     if (beliefs_->store_lost_since == instant::max()) {
@@ -87,7 +89,7 @@
     came_back_();
 }
 
-void store_watch::failed(
+void store_monitor::note_failure(
     platform::store_topic topic, instant began,
     platform::store_reading const& seen, platform::store_failure why) {
     bool const cut = why == platform::store_failure::no_answer && seen.begun();
@@ -105,7 +107,7 @@
                        .with("call", to_string(topic)));
 }
 
-void note_reading(
+void log_store_read(
     gateway_beliefs& beliefs, platform::store_topic topic, std::string_view how,
     std::uint64_t from, instant began, platform::store_reading const& seen,
     platform::store_result<platform::keyed_batch> const& brought) {
--- a/src/Gateway/store_watch.hpp
+++ b/src/Gateway/store_watch.hpp
@@ -10,41 +10,41 @@
 namespace camphorpoint {
 
 /// Who has named an era: the store itself, or another node.
-inline constexpr std::string_view own_answer = "answer";
-inline constexpr std::string_view peers_word = "word";
+inline constexpr std::string_view epoch_from_answer = "answer";
+inline constexpr std::string_view epoch_from_peer = "word";
 
 /// Whether the store can be reached, by the readings of this node, and whether
 /// it has come back from an older copy.
-class store_watch {
+class store_monitor {
 public:
     /// @param beliefs   where the belief stands; must outlive the watch
     /// @param came_back called when the store answers again
     /// @param gone_back called when the store has come back from an older copy,
     ///                  with the time at which this node is to read it whole
-    store_watch(
+    store_monitor(
         gateway_beliefs& beliefs, std::function<void()> came_back,
-        std::function<void(store_era era, instant read_at)> gone_back);
+        std::function<void(store_epoch epoch, instant read_at)> gone_back);
 
     /// A reading has been answered.
-    void answered();
+    void note_answer();
     /// An answer, or another node's word, has named the store's era.
     /// @param by for the log: who has named it
-    void met_era(store_era era, std::string_view by);
+    void observe_epoch(store_epoch epoch, std::string_view by);
     /// Records were read whole.
-    void read_whole(platform::store_topic topic, store_era era);
+    void note_snapshot(platform::store_topic topic, store_epoch epoch);
     /// A reading has failed.
     /// @param topic what was read
     /// @param began when
     /// @param seen  what came of it
     /// @param why   how it failed
-    void failed(
+    void note_failure(
         platform::store_topic topic, instant began,
         platform::store_reading const& seen, platform::store_failure why);
 
 private:
     gateway_beliefs* beliefs_;
     std::function<void()> came_back_;
-    std::function<void(store_era era, instant read_at)> gone_back_;
+    std::function<void(store_epoch epoch, instant read_at)> gone_back_;
     /// When the present era was met, until all is read whole in it.
     std::optional<instant> era_met_;
     bool list_whole_ = false;
@@ -57,7 +57,7 @@
 /// @param from  where it began
 /// @param began when it began
 /// @param seen  what came of it
-void note_reading(
+void log_store_read(
     gateway_beliefs& beliefs, platform::store_topic topic, std::string_view how,
     std::uint64_t from, instant began, platform::store_reading const& seen,
     platform::store_result<platform::keyed_batch> const& brought);
--- a/src/Holding/fencing_number.hpp
+++ b/src/Holding/fencing_number.hpp
@@ -11,8 +11,8 @@
 inline constexpr unsigned era_shift = 40;
 
 /// @returns the least fencing number of an era
-constexpr std::uint64_t first_fencing_number(store_era era) noexcept {
-    return static_cast<std::uint64_t>(era) << era_shift;
+constexpr std::uint64_t first_fencing_number(store_epoch epoch) noexcept {
+    return static_cast<std::uint64_t>(epoch) << era_shift;
 }
 
 /// Makes a fencing number of the place of a claim in the log. Guards against
@@ -20,8 +20,8 @@
 /// gives places out again, and replicas refuse lower numbers only. It holds
 /// because the era stands above the place: each number of a later era is higher
 /// than all of the earlier ones.
-constexpr std::uint64_t fencing_number(store_place const& claim) noexcept {
-    return first_fencing_number(claim.era) + claim.offset + 1;
+constexpr std::uint64_t fencing_number(store_position const& claim) noexcept {
+    return first_fencing_number(claim.epoch) + claim.offset + 1;
 }
 
 } // namespace camphorpoint
--- a/src/Holding/partition_leases.cpp
+++ b/src/Holding/partition_leases.cpp
@@ -61,8 +61,8 @@
     return true;
 }
 
-void partition_leases::new_era(store_era era) {
-    era_ = std::max(era_, era);
+void partition_leases::new_era(store_epoch epoch) {
+    era_ = std::max(era_, epoch);
     generation_ = 0;
 }
 
--- a/src/Holding/partition_leases.hpp
+++ b/src/Holding/partition_leases.hpp
@@ -62,7 +62,7 @@
     /// The store has come back from an older copy. What was claimed before is
     /// claimed again; until then orders go on under the old number, which each
     /// new one overrides.
-    void new_era(store_era era);
+    void new_era(store_epoch epoch);
     /// This node gives all up.
     void clear();
 
@@ -102,9 +102,9 @@
     std::map<std::size_t, holding> held_;
     /// The highest fencing number that was shown for each partition.
     std::map<std::size_t, std::uint64_t> shown_;
-    store_era era_{};
+    store_epoch era_{};
     /// The era of the last renewal that was granted.
-    store_era granted_era_{};
+    store_epoch granted_era_{};
     std::uint64_t generation_ = 0;
     instant renewed_;
     /// The last failed renewal of an unbroken row that began in the lease.
--- a/src/Routing/declaration_plan.cpp
+++ b/src/Routing/declaration_plan.cpp
@@ -34,12 +34,12 @@
 }
 
 bool declaration_plan::misses_something() const noexcept {
-    return !further(told_place_, place_) && told_total_ > known_ &&
+    return !is_ahead(told_place_, place_) && told_total_ > known_ &&
            told_total_ > looked_for_;
 }
 
 bool declaration_plan::behind() const noexcept {
-    return outdated() || further(told_place_, place_) || misses_something() ||
+    return outdated() || is_ahead(told_place_, place_) || misses_something() ||
            wait_distrusted_;
 }
 
@@ -49,7 +49,7 @@
         whole_ || outdated() || misses_something() || now >= check_due(nodes);
     reading.from = place_;
     // What others have read already is there: nothing to wait for.
-    reading.waits = !reading.whole && !further(told_place_, place_);
+    reading.waits = !reading.whole && !is_ahead(told_place_, place_);
     reading.silence =
         doubled(times_.silence, failures_, times_.longest_silence);
     if (outdated() && now < era_read_at_) {
@@ -67,19 +67,19 @@
 }
 
 void declaration_plan::answered(
-    declaration_reading const& asked, store_place place, instant now) {
+    declaration_reading const& asked, store_position place, instant now) {
     failures_ = 0;
     wait_distrusted_ = false;
-    bool const of_place = asked.whole || place.era == asked.from.era;
-    if (place.era < era_ || !of_place) {
+    bool const of_place = asked.whole || place.epoch == asked.from.epoch;
+    if (place.epoch < era_ || !of_place) {
         // The store has gone back meanwhile: it says nothing of what is there.
-        era_ = std::max(era_, place.era);
+        era_ = std::max(era_, place.epoch);
         return;
     }
-    era_ = place.era;
+    era_ = place.epoch;
     // A store that does not name its era may have lost the place too.
     bool const gone_back = asked.whole && forgettings_ > 0;
-    place_ = gone_back ? place : furthest(place_, place);
+    place_ = gone_back ? place : max_position(place_, place);
     empty_ = !configured_;
     if (asked.whole) {
         whole_ = !configured_;
@@ -105,15 +105,16 @@
     doubted_until_ = now + times_.doubt;
 }
 
-void declaration_plan::new_era(store_era era, instant at) noexcept {
-    if (era > era_) {
-        era_ = era;
+void declaration_plan::new_era(store_epoch epoch, instant at) noexcept {
+    if (epoch > era_) {
+        era_ = epoch;
         era_read_at_ = at;
     }
 }
 
-void declaration_plan::heard(store_place place, std::uint64_t total) noexcept {
-    told_place_ = furthest(told_place_, place);
+void declaration_plan::heard(
+    store_position place, std::uint64_t total) noexcept {
+    told_place_ = max_position(told_place_, place);
     told_total_ = std::max(told_total_, total);
 }
 
--- a/src/Routing/declaration_plan.hpp
+++ b/src/Routing/declaration_plan.hpp
@@ -35,7 +35,7 @@
 struct declaration_reading {
     /// The newest record of each key; else what was written from a place on.
     bool whole = true;
-    store_place from;
+    store_position from;
     /// The store may hold its answer back until there is something new.
     bool waits = false;
     std::chrono::milliseconds pause{0};
@@ -56,8 +56,8 @@
     declaration_reading next(instant now, unsigned nodes) const;
     /// A reading has been answered.
     /// @param place where what is written next will stand
-    void
-    answered(declaration_reading const& asked, store_place place, instant now);
+    void answered(
+        declaration_reading const& asked, store_position place, instant now);
     /// A reading has brought nothing.
     void failed();
     /// The place to read from is gone from the store's history.
@@ -68,10 +68,10 @@
     void note_known(std::uint64_t total) noexcept { known_ = total; }
 
     /// Another node has read so far, and knows so much.
-    void heard(store_place place, std::uint64_t total) noexcept;
+    void heard(store_position place, std::uint64_t total) noexcept;
     /// The store has come back from an older copy, in this era.
     /// @param at when this node reads everything, another time on each node
-    void new_era(store_era era, instant at) noexcept;
+    void new_era(store_epoch epoch, instant at) noexcept;
     /// The connection that a wait uses may have died with the store's outage.
     void distrust_wait() noexcept { wait_distrusted_ = true; }
     /// The store answers again: the failures were its outage's.
@@ -85,22 +85,22 @@
     void interrupted() noexcept;
 
     /// @returns how far has been read
-    store_place place() const noexcept { return place_; }
+    store_position place() const noexcept { return place_; }
     /// @returns the era of the store that has been heard of last
-    store_era era() const noexcept { return era_; }
+    store_epoch epoch() const noexcept { return era_; }
 
 private:
     instant check_due(unsigned nodes) const;
     bool misses_something() const noexcept;
-    bool outdated() const noexcept { return era_ > place_.era; }
+    bool outdated() const noexcept { return era_ > place_.epoch; }
 
     declaration_times times_;
     double draw_;
-    store_place place_;
-    store_era era_{};
+    store_position place_;
+    store_epoch era_{};
     instant era_read_at_;
     std::uint64_t known_ = 0;
-    store_place told_place_;
+    store_position told_place_;
     std::uint64_t told_total_ = 0;
     /// What others know has been looked for up to this total.
     std::uint64_t looked_for_ = 0;
--- a/standins/metadata/metadata_http.cpp
+++ b/standins/metadata/metadata_http.cpp
@@ -49,7 +49,7 @@
 
 void metadata_http::come_back(metadata_store copy) {
     store_ = std::move(copy);
-    era += era == 0 ? 0 : 1;
+    epoch += epoch == 0 ? 0 : 1;
 }
 
 asio::awaitable<void> metadata_http::answer(http_exchange& exchange) {
@@ -72,8 +72,8 @@
     } else {
         response = respond(target, exchange.request().body);
     }
-    if (era != 0) {
-        response.fields.add("Store-Era", std::to_string(era));
+    if (epoch != 0) {
+        response.fields.add("Store-Era", std::to_string(epoch));
     }
     bool const added = camphorpoint::path_of(target) == "/log-append";
     if (loses_answers || (added && loses_append_answers)) {
--- a/standins/metadata/metadata_http.hpp
+++ b/standins/metadata/metadata_http.hpp
@@ -27,7 +27,7 @@
     /// @param copy as it was
     void come_back(metadata_store copy);
     /// Answers name it while it is not 0; rises with each return.
-    unsigned era = 1;
+    unsigned epoch = 1;
 
     /// While set, calls are turned away.
     bool turns_away = false;
--- a/test/declaration_plan_test.cpp
+++ b/test/declaration_plan_test.cpp
@@ -16,13 +16,13 @@
 constexpr instant start = instant() + seconds(100);
 
 /// @returns a place in the first era
-constexpr store_place at(std::uint64_t offset) {
-    return {store_era{1}, offset};
+constexpr store_position at(std::uint64_t offset) {
+    return {store_epoch{1}, offset};
 }
 
 /// @returns a place after the store has come back from an older copy
-constexpr store_place later(std::uint64_t offset) {
-    return {store_era{2}, offset};
+constexpr store_position later(std::uint64_t offset) {
+    return {store_epoch{2}, offset};
 }
 
 /// A plan that has read everything up to place 7 and knows 50.
@@ -202,7 +202,7 @@
 TEST_CASE("after the store has gone back everything is read anew") {
     declaration_plan plan = settled(start);
     instant const own_time = start + milliseconds(300);
-    plan.new_era(store_era{2}, own_time);
+    plan.new_era(store_epoch{2}, own_time);
     REQUIRE(plan.behind());
     CHECK(plan.next(start, nodes).whole);
     CHECK(plan.next(start, nodes).pause == milliseconds(300));
--- a/test/gateway/content_gate_nodes_test.cpp
+++ b/test/gateway/content_gate_nodes_test.cpp
@@ -10,7 +10,7 @@
 namespace camphorpoint {
 
 using std::chrono::milliseconds;
-using testing::gateway_world;
+using testing::gateway_fixture;
 using testing::within;
 
 namespace {
@@ -21,10 +21,10 @@
 constexpr unsigned most_ended = 3;
 
 /// Sends a body to all nodes at once, several times each.
-std::vector<int> send_all(gateway_world& world, std::string const& body) {
+std::vector<int> send_all(gateway_fixture& world, std::string const& body) {
     std::vector<int> ended;
     for (std::size_t each = 0; each < nodes * each_node; ++each) {
-        world.begin_at(
+        world.send_to_node_async(
             each % nodes, "/gen/a", "m", body + std::to_string(each), body,
             ended);
     }
@@ -41,7 +41,7 @@
 // all nodes have begun anew: they wait together for an adapter, and five nodes
 // sent sixteen of them before the third end was told.
 TEST_CASE("nodes that know nothing try a content once at a time") {
-    gateway_world world;
+    gateway_fixture world;
     world.add_node();
     world.add_node();
     world.add_replicas(14, "deadly");
@@ -50,7 +50,7 @@
 
     SUBCASE("one that ends its replicas") {
         send_all(world, "deadly");
-        CHECK(world.ended <= most_ended);
+        CHECK(world.crashed_replicas <= most_ended);
     }
     SUBCASE("one that does not is served to all") {
         auto const ended = send_all(world, "sound");
--- a/test/gateway/deadly_request_test.cpp
+++ b/test/gateway/deadly_request_test.cpp
@@ -7,7 +7,7 @@
 
 namespace camphorpoint {
 
-using testing::gateway_world;
+using testing::gateway_fixture;
 
 namespace {
 
@@ -26,17 +26,18 @@
 /// seconds; it is to know well before that.
 constexpr std::chrono::milliseconds to_read{1'500};
 
-void pass(gateway_world& world, std::chrono::milliseconds time) {
+void pass(gateway_fixture& world, std::chrono::milliseconds time) {
     instant const until = boot_clock::now() + time;
     world.loop.run_until([&] { return boot_clock::now() >= until; });
 }
 
 /// Sends the deadly request again and again, by turns to each node, as a new
 /// request each time.
-void insist(gateway_world& world, std::string const& path, unsigned times) {
+void insist(gateway_fixture& world, std::string const& path, unsigned times) {
     for (unsigned each = 0; each < times; ++each) {
         std::string const id = "deadly" + std::to_string(each);
-        auto const got = world.ask_node(each % nodes, path, "m", id, "deadly");
+        auto const got =
+            world.send_to_node(each % nodes, path, "m", id, "deadly");
         CHECK(got.how == call_result::answered);
         CHECK(got.response.status >= 500);
     }
@@ -50,7 +51,7 @@
 // request what its run had done. This test, with neither loads nor crowds,
 // proved that the repeats alone bring it about.
 TEST_CASE("a request that ends its replicas is soon run no more") {
-    gateway_world world;
+    gateway_fixture world;
     world.add_node();
     world.add_node();
     world.add_replicas(replicas, "deadly");
@@ -59,15 +60,15 @@
 
     SUBCASE("one that may be resumed") {
         insist(world, "/gen/a", times);
-        CHECK(world.ended <= most_ended);
+        CHECK(world.crashed_replicas <= most_ended);
     }
     SUBCASE("one that runs once") {
         insist(world, "/once/a", times);
-        CHECK(world.ended <= most_ended);
+        CHECK(world.crashed_replicas <= most_ended);
     }
     SUBCASE("it is told that it was not run, and not to come back soon") {
         insist(world, "/gen/a", times);
-        auto const got = world.ask_node(0, "/gen/a", "m", "last", "deadly");
+        auto const got = world.send_to_node(0, "/gen/a", "m", "last", "deadly");
         CHECK(got.response.status == 503);
         CHECK(
             std::stod(std::string(got.response.fields.get("Retry-After"))) >
@@ -76,16 +77,16 @@
     SUBCASE("others of its path and caller are served") {
         insist(world, "/gen/a", times);
         CHECK(world.ask("/gen/a", "m", "other").response.status == 200);
-        auto const got = world.ask_node(1, "/gen/a", "m", "more", "y");
+        auto const got = world.send_to_node(1, "/gen/a", "m", "more", "y");
         CHECK(got.response.status == 200);
     }
     SUBCASE("all nodes begin anew") {
         insist(world, "/gen/a", times);
         pass(world, to_write);
-        world.start_nodes_again();
+        world.restart_nodes();
         pass(world, to_read);
         insist(world, "/gen/a", times);
-        CHECK(world.ended <= most_ended);
+        CHECK(world.crashed_replicas <= most_ended);
     }
 }
 
--- a/test/gateway/deadly_request_touch_test.cpp
+++ b/test/gateway/deadly_request_touch_test.cpp
@@ -10,7 +10,7 @@
 namespace camphorpoint {
 
 using std::chrono::milliseconds;
-using testing::gateway_world;
+using testing::gateway_fixture;
 using testing::within;
 
 namespace {
@@ -30,7 +30,7 @@
 /// One try of the deadly request, and what the platform's rule makes of it.
 class deadly_caller {
 public:
-    explicit deadly_caller(gateway_world& world)
+    explicit deadly_caller(gateway_fixture& world)
         : world_(&world) {}
 
     /// Sends it by turns to each node, as a new request each time.
@@ -44,12 +44,12 @@
     void try_once() {
         std::size_t const which = tries_ % nodes;
         instant const sent = boot_clock::now();
-        std::size_t const before = world_->ends.size();
-        world_->ask_node(
+        std::size_t const before = world_->crash_times.size();
+        world_->send_to_node(
             which, "/gen/a", "m", "deadly" + std::to_string(tries_), "deadly");
         ++tries_;
         // A replica ends with each run; the answer comes when the last has.
-        auto const& ends = world_->ends;
+        auto const& ends = world_->crash_times;
         for (std::size_t each = before; each < ends.size(); ++each) {
             bool const in_touch = sent >= world_->started(which) + contact;
             bool const late =
@@ -61,7 +61,7 @@
     unsigned counted() const noexcept { return counted_; }
 
 private:
-    gateway_world* world_;
+    gateway_fixture* world_;
     std::size_t tries_ = 0;
     unsigned counted_ = 0;
 };
@@ -73,7 +73,7 @@
 // which the rule allows: sends of nodes that began less than three seconds ago
 // don't count.
 TEST_CASE("all nodes begin anew as soon as a request has ended its replicas") {
-    gateway_world world;
+    gateway_fixture world;
     world.add_node();
     world.add_node();
     world.add_replicas(replicas, "deadly");
@@ -84,7 +84,7 @@
         SUBCASE("and it comes again once they are in touch") {
             later = true;
         }
-        while (world.ends.size() < third) {
+        while (world.crash_times.size() < third) {
             caller.try_once();
         }
     }
@@ -97,13 +97,14 @@
             caller.try_once();
         }
     }
-    world.start_nodes_again();
+    world.restart_nodes();
     if (later) {
         within(world, contact, [] { return false; });
     }
     caller.insist(contact + milliseconds(1'000));
     MESSAGE(
-        "replicas ended: ", world.ended, ", that count: ", caller.counted());
+        "replicas ended: ", world.crashed_replicas,
+        ", that count: ", caller.counted());
     CHECK(caller.counted() <= most_counted);
 }
 
@@ -111,14 +112,15 @@
 // of each other, and go on to do so. Without the three seconds 7 replicas had
 // ended in one run of three, which the rule allows for the same reason.
 TEST_CASE("a request ends its replicas while nodes learn of each other") {
-    gateway_world world;
+    gateway_fixture world;
     world.add_replicas(replicas, "deadly");
     world.add_node();
     world.add_node();
     deadly_caller caller(world);
     caller.insist(contact + milliseconds(1'000));
     MESSAGE(
-        "replicas ended: ", world.ended, ", that count: ", caller.counted());
+        "replicas ended: ", world.crashed_replicas,
+        ", that count: ", caller.counted());
     CHECK(caller.counted() <= most_counted);
 }
 
--- a/test/gateway/gateway_test.cpp
+++ b/test/gateway/gateway_test.cpp
@@ -12,7 +12,7 @@
 namespace camphorpoint {
 
 using standins::replica_fault;
-using testing::gateway_world;
+using testing::gateway_fixture;
 
 namespace {
 
@@ -32,7 +32,7 @@
 } // namespace
 
 TEST_CASE("a request goes its whole way") {
-    gateway_world world;
+    gateway_fixture world;
 
     SUBCASE("a stream on an adapter that nobody holds yet") {
         auto const got = world.ask("/gen/a", "m/a7");
@@ -86,7 +86,7 @@
 // A booking's replica runs it and the answer is lost. Told "not run" the
 // florist books again and pays twice; told nothing at all she waits.
 TEST_CASE("what must not run twice") {
-    gateway_world world;
+    gateway_fixture world;
 
     SUBCASE("an answer that is lost leaves it unknown") {
         world.plain.engine.faults = {replica_fault::answer_lost};
@@ -118,7 +118,7 @@
 }
 
 TEST_CASE("what may run twice goes on elsewhere") {
-    gateway_world world;
+    gateway_fixture world;
     world.ask("/gen/a", "m/a1", "warm");
     bool const first_holds = world.first.engine.runs.contains("warm");
     standins::replica_engine& holder =
@@ -157,7 +157,7 @@
 // The store goes away. Callers must notice nothing as long as what they need
 // is there.
 TEST_CASE("a store that is out holds up nobody") {
-    gateway_world world;
+    gateway_fixture world;
     world.ask("/gen/a", "m/a1", "warm");
     SUBCASE("it turns calls away") {
         world.metadata.turns_away = true;
@@ -175,7 +175,7 @@
 // The store's history is dropped while nobody watches. What was declared in the
 // gap would never be in force.
 TEST_CASE("a history that is forgotten is read whole again") {
-    gateway_world world;
+    gateway_fixture world;
     world.configure(2);
     world.metadata.store().forget("keyed.op");
     world.metadata.store().forget("keyed.servers");
@@ -186,7 +186,7 @@
 // A replica's address has passed to another one. A request that reaches the
 // stranger is not run there, and the caller does not see it.
 TEST_CASE("an address that belongs to another replica") {
-    gateway_world world;
+    gateway_fixture world;
     testing::served_replica stranger(world.loop, "p9", "", 0);
     std::string const entry =
         world.plain.engine.entry("app", stranger.address());
@@ -205,7 +205,7 @@
 // came before the request had begun to wait for it, which was told 0.3 s later
 // for each home.
 TEST_CASE("a request that this node turns away itself is told at once") {
-    gateway_world world;
+    gateway_fixture world;
     for (int each = 0; each < 6; ++each) {
         std::string const name = std::to_string(each);
         world.ask("/gen/a", "m/a" + name, "warm" + name);
@@ -214,7 +214,7 @@
     world.second.engine.pause = std::chrono::milliseconds(200);
     for (int each = 0; each < 6; ++each) {
         std::string const name = std::to_string(each);
-        world.begin("/gen/a", "m/a" + name, "long" + name);
+        world.send_async("/gen/a", "m/a" + name, "long" + name);
     }
     REQUIRE(world.loop.run_until([&] { return world.runs("long5") == 1; }));
     instant const began = boot_clock::now();
@@ -230,7 +230,7 @@
 // accounts of the earlier ones take them for full of adapters that nobody uses,
 // and name a count of orders that is refused.
 TEST_CASE("replicas that start again under their ids are loaded anew") {
-    gateway_world world;
+    gateway_fixture world;
     for (int each = 0; each < 6; ++each) {
         std::string const name = std::to_string(each);
         CHECK(
@@ -254,7 +254,7 @@
 // Somebody else writes into the list under a replica's name. Requests go to the
 // others, and to this one again once it has said what it is.
 TEST_CASE("an entry by another writer") {
-    gateway_world world;
+    gateway_fixture world;
     endpoint_id const id("r1");
     world.metadata.store().put("keyed.servers", "r1", "{\"state\":7}");
     world.metadata.store().put("keyed.servers", "\xff odd", "\x01\x02");
@@ -271,7 +271,7 @@
 }
 
 TEST_CASE("a planned stop finishes what runs") {
-    gateway_world world;
+    gateway_fixture world;
     bool stopped = false;
     world.ask("/gen/a", "m/a1", "warm");
     world.first.engine.pause = std::chrono::milliseconds(50);
@@ -291,7 +291,7 @@
 // until the store is back. Requests whose adapter belongs there waited for two
 // seconds and were refused, with room at other replicas all the while.
 TEST_CASE("a holder that is not there holds nobody up") {
-    gateway_world world;
+    gateway_fixture world;
     std::vector<std::unique_ptr<testing::served_replica>> more;
     auto const add = [&](std::size_t remainder) {
         std::string name = "x";
--- a/test/gateway/gateway_world.cpp
+++ b/test/gateway/gateway_world.cpp
@@ -26,12 +26,13 @@
     return fmt::format("127.0.0.1:{}", server.port());
 }
 
-gateway_world::gateway_world()
-    : gateway_world([](gateway_world&) {}) {
+gateway_fixture::gateway_fixture()
+    : gateway_fixture([](gateway_fixture&) {}) {
     REQUIRE(loop.run_until([this] { return node->ready(); }));
 }
 
-gateway_world::gateway_world(std::function<void(gateway_world&)> const& before)
+gateway_fixture::gateway_fixture(
+    std::function<void(gateway_fixture&)> const& before)
     : store_(loop.executor(), http_limits(), [this](http_exchange& exchange) {
         return metadata.answer(exchange);
     }) {
@@ -57,14 +58,14 @@
     start(settings, node);
 }
 
-gateway_world::~gateway_world() {
+gateway_fixture::~gateway_fixture() {
     stop(node);
     for (further_node& each : further_) {
         stop(each.node);
     }
 }
 
-void gateway_world::start(
+void gateway_fixture::start(
     gateway_settings const& with, std::unique_ptr<gateway>& which) {
     which = std::make_unique<gateway>(loop.io(), with);
     findings problems;
@@ -73,35 +74,35 @@
     REQUIRE(started);
 }
 
-void gateway_world::stop(std::unique_ptr<gateway>& which) {
+void gateway_fixture::stop(std::unique_ptr<gateway>& which) {
     bool stopped = false;
     which->drain([&] { stopped = true; });
     loop.run_until([&] { return stopped; });
 }
 
-void gateway_world::add_node() {
-    begin_node();
+void gateway_fixture::add_node() {
+    start_node();
     REQUIRE(loop.run_until([this] { return further_.back().node->ready(); }));
 }
 
-gateway& gateway_world::node_at(std::size_t which) {
+gateway& gateway_fixture::node_at(std::size_t which) {
     return which == 0 ? *node : *further_.at(which - 1).node;
 }
 
-instant gateway_world::started(std::size_t which) const {
+instant gateway_fixture::started(std::size_t which) const {
     return which == 0 ? started_ : further_.at(which - 1).started;
 }
 
-void gateway_world::cut_store(std::size_t which) {
+void gateway_fixture::disconnect_store(std::size_t which) {
     further_.at(which - 1).store->close();
 }
 
-void gateway_world::join_store(std::size_t which) {
+void gateway_fixture::reconnect_store(std::size_t which) {
     further_node& joined = further_.at(which - 1);
     REQUIRE(joined.store->listen(joined.settings.store_address).empty());
 }
 
-void gateway_world::begin_node() {
+void gateway_fixture::start_node() {
     further_node added;
     added.settings = settings;
     added.settings.name = node_id(fmt::format("n{}", further_.size() + 2));
@@ -119,7 +120,7 @@
     further_.push_back(std::move(added));
 }
 
-void gateway_world::start_nodes_again() {
+void gateway_fixture::restart_nodes() {
     stop(node);
     past_.push_back(std::move(node));
     for (further_node& each : further_) {
@@ -136,18 +137,18 @@
     }
 }
 
-void gateway_world::make_deadly(
+void gateway_fixture::make_deadly(
     served_replica& replica, std::string const& body) {
     replica.engine.deadly_body = body;
     replica.engine.on_end = [this, &replica] {
-        ++ended;
-        ends.push_back(boot_clock::now());
+        ++crashed_replicas;
+        crash_times.push_back(boot_clock::now());
         // Not from within the answer that it would take away.
         asio::post(loop.io(), [&replica] { replica.server.close(); });
     };
 }
 
-void gateway_world::add_replicas(
+void gateway_fixture::add_replicas(
     unsigned count, std::string const& deadly_body) {
     make_deadly(first, deadly_body);
     make_deadly(second, deadly_body);
@@ -162,7 +163,7 @@
     }
 }
 
-void gateway_world::configure(
+void gateway_fixture::configure(
     unsigned version, std::string const& extra_route) {
     std::string const route =
         R"({{"name":"{}","hostname":"h","path_prefix":"/{}/","type":"{}",)"
@@ -188,7 +189,7 @@
             version, routes));
 }
 
-std::string gateway_world::routes_of(std::size_t bytes) {
+std::string gateway_fixture::routes_of(std::size_t bytes) {
     std::string routes;
     for (int number = 0; routes.size() < bytes; ++number) {
         routes += fmt::format(
@@ -200,18 +201,18 @@
     return routes;
 }
 
-void gateway_world::list(
+void gateway_fixture::list(
     served_replica const& replica, std::string const& service) {
     metadata.store().put(
         "keyed.servers", replica.id,
         replica.engine.entry(service, replica.address()));
 }
 
-void gateway_world::unlist(served_replica const& replica) {
+void gateway_fixture::unlist(served_replica const& replica) {
     metadata.store().put("keyed.servers", replica.id, "");
 }
 
-asio::awaitable<fetch_result> gateway_world::send(
+asio::awaitable<fetch_result> gateway_fixture::send(
     ip_address to, std::string path, std::string model, std::string id,
     std::string body) {
     http_call call(loop.executor());
@@ -231,11 +232,12 @@
 }
 
 fetch_result
-gateway_world::ask(std::string path, std::string model, std::string id) {
-    return ask_node(0, std::move(path), std::move(model), std::move(id), "x");
+gateway_fixture::ask(std::string path, std::string model, std::string id) {
+    return send_to_node(
+        0, std::move(path), std::move(model), std::move(id), "x");
 }
 
-fetch_result gateway_world::ask_node(
+fetch_result gateway_fixture::send_to_node(
     std::size_t which, std::string path, std::string model, std::string id,
     std::string body) {
     fetch_result result;
@@ -248,13 +250,13 @@
     return result;
 }
 
-ip_address gateway_world::caller_address(std::size_t which) const {
+ip_address gateway_fixture::caller_address(std::size_t which) const {
     return which == 0 ? settings.caller_address
                       : further_.at(which - 1).settings.caller_address;
 }
 
-fetch_result
-gateway_world::ask_stream(std::size_t which, std::string path, unsigned after) {
+fetch_result gateway_fixture::stream_from_node(
+    std::size_t which, std::string path, unsigned after) {
     fetch_result result;
     loop.run([&]() -> asio::awaitable<void> {
         http_call call(loop.executor());
@@ -274,7 +276,8 @@
     return result;
 }
 
-void gateway_world::begin(std::string path, std::string model, std::string id) {
+void gateway_fixture::send_async(
+    std::string path, std::string model, std::string id) {
     ip_address to = settings.caller_address;
     asio::co_spawn(
         loop.io(),
@@ -284,7 +287,7 @@
         [](std::exception_ptr const&, fetch_result const&) {});
 }
 
-void gateway_world::begin_at(
+void gateway_fixture::send_to_node_async(
     std::size_t which, std::string path, std::string model, std::string id,
     std::string body, std::vector<int>& ended_with) {
     asio::co_spawn(
@@ -297,7 +300,7 @@
         });
 }
 
-unsigned gateway_world::runs(std::string const& id) const {
+unsigned gateway_fixture::runs(std::string const& id) const {
     unsigned sum = 0;
     for (served_replica const* const each : {&first, &second, &plain}) {
         auto const found = each->engine.runs.find(id);
@@ -306,14 +309,15 @@
     return sum;
 }
 
-void fill(gateway_world& world, std::string const& topic, int count) {
+void append_filler_records(
+    gateway_fixture& world, std::string const& topic, int count) {
     for (int each = 0; each < count; ++each) {
         world.metadata.store().put(topic, "other", std::to_string(each));
     }
 }
 
 bool within(
-    gateway_world& world, std::chrono::milliseconds time,
+    gateway_fixture& world, std::chrono::milliseconds time,
     std::function<bool()> const& holds) {
     instant const until = boot_clock::now() + time;
     bool held = false;
--- a/test/gateway/gateway_world.hpp
+++ b/test/gateway/gateway_world.hpp
@@ -30,14 +30,15 @@
 
 /// One gateway node before stand-ins of the platform: two replicas of a model
 /// with adapters, one of a plain service, the store.
-class gateway_world {
+class gateway_fixture {
 public:
     /// Starts the node and waits until it is ready.
-    gateway_world();
+    gateway_fixture();
     /// Starts the node.
     /// @param before called before the node starts
-    explicit gateway_world(std::function<void(gateway_world&)> const& before);
-    ~gateway_world();
+    explicit gateway_fixture(
+        std::function<void(gateway_fixture&)> const& before);
+    ~gateway_fixture();
 
     /// Sends one request and waits for its answer.
     /// @param path  such as /gen/x; /gen/ streams and may be resumed, /once/
@@ -47,17 +48,18 @@
     ask(std::string path, std::string model = "", std::string id = "q1");
     /// Sends one request with a body of its own to one of the nodes.
     /// @param node 0 for the first
-    fetch_result ask_node(
+    fetch_result send_to_node(
         std::size_t node, std::string path, std::string model, std::string id,
         std::string body);
     /// Asks one of the nodes for a stream of the service without adapters.
     /// @param after the last event that the client has, 0 for none
     /// @returns what came, also of an answer that was cut
-    fetch_result ask_stream(std::size_t node, std::string path, unsigned after);
+    fetch_result
+    stream_from_node(std::size_t node, std::string path, unsigned after);
     /// Starts one node more and waits until it is ready.
     void add_node();
     /// Starts one node more, which need not be ready.
-    void begin_node();
+    void start_node();
     /// @returns one of the nodes
     /// @param which 0 for the first
     gateway& node_at(std::size_t which);
@@ -66,18 +68,18 @@
     instant started(std::size_t which) const;
     /// Ends the connections between one of the further nodes and the store;
     /// calls are refused until the way is there again.
-    void cut_store(std::size_t which);
-    void join_store(std::size_t which);
+    void disconnect_store(std::size_t which);
+    void reconnect_store(std::size_t which);
     /// Stops all nodes and starts as many anew, which know nothing.
-    void start_nodes_again();
+    void restart_nodes();
     /// Lists further replicas of the model. Each replica of it ends when it
     /// runs a request with the body.
     void add_replicas(unsigned count, std::string const& deadly_body);
     /// Sends one request beside others; its answer is read and dropped.
-    void begin(std::string path, std::string model, std::string id);
+    void send_async(std::string path, std::string model, std::string id);
     /// Sends one request to a node beside others.
     /// @param ended gets the answer's status; must outlive the request
-    void begin_at(
+    void send_to_node_async(
         std::size_t node, std::string path, std::string model, std::string id,
         std::string body, std::vector<int>& ended);
     /// @returns how often a request has run, over all replicas
@@ -99,9 +101,9 @@
     std::unique_ptr<gateway> node;
     std::vector<std::unique_ptr<served_replica>> more_replicas;
     /// Replicas that a request has ended.
-    unsigned ended = 0;
+    unsigned crashed_replicas = 0;
     /// When each of them did.
-    std::vector<instant> ends;
+    std::vector<instant> crash_times;
 
 private:
     struct further_node {
@@ -129,12 +131,13 @@
 
 /// Writes so many records that say nothing new, so that the store's end passes
 /// the place that a node goes on from.
-void fill(gateway_world& world, std::string const& topic, int count);
+void append_filler_records(
+    gateway_fixture& world, std::string const& topic, int count);
 
 /// Runs the loop until the condition holds, for so long at the most.
 /// @returns true when it has held
 bool within(
-    gateway_world& world, std::chrono::milliseconds time,
+    gateway_fixture& world, std::chrono::milliseconds time,
     std::function<bool()> const& holds);
 
 } // namespace camphorpoint::testing
--- a/test/gateway/harmless_content_test.cpp
+++ b/test/gateway/harmless_content_test.cpp
@@ -10,14 +10,14 @@
 namespace camphorpoint {
 
 using standins::replica_fault;
-using testing::gateway_world;
+using testing::gateway_fixture;
 using testing::served_replica;
 
 // Three replicas of a faulty build answer a look-up without their signature,
 // and go on. Counted as their ends, the content is refused everywhere for an
 // hour, also by replicas that are well.
 TEST_CASE("an answer that is no good is not its replica's end") {
-    gateway_world world;
+    gateway_fixture world;
     std::vector<std::unique_ptr<served_replica>> more;
     for (char const* const name : {"p2", "p3"}) {
         more.push_back(
@@ -44,7 +44,7 @@
 // Guards against a look-up that many send in the same words and that breaks off
 // now and then: its ends were added up for ten minutes, whatever came between.
 TEST_CASE("a content that ends well in between is not held") {
-    gateway_world world;
+    gateway_fixture world;
     world.add_node();
     std::vector<std::unique_ptr<served_replica>> more;
     for (char const* const name : {"p2", "p3", "p4"}) {
--- a/test/gateway/literal_answers_test.cpp
+++ b/test/gateway/literal_answers_test.cpp
@@ -29,7 +29,7 @@
 namespace asio = boost::asio;
 using boost::asio::ip::tcp;
 using std::chrono::milliseconds;
-using testing::gateway_world;
+using testing::gateway_fixture;
 using testing::loopback;
 
 namespace {
@@ -142,7 +142,7 @@
         return chunked(events(after + 1, stream_events));
     };
     /// Last-Event-Id of each request, as it came.
-    std::vector<std::string> begun_after;
+    std::vector<std::string> last_event_ids;
     /// Connections that the node has ended while an answer was being written.
     unsigned broken_off = 0;
 
@@ -203,7 +203,7 @@
             std::string const request = read.substr(0, size);
             read.erase(0, size);
             std::string const last = field_of(request, "Last-Event-Id: ");
-            begun_after.push_back(last);
+            last_event_ids.push_back(last);
             literal_answer const answer = next(last);
             std::string text =
                 answer.stray +
@@ -235,7 +235,7 @@
     explicit literal_world(
         unsigned listed = replicas,
         milliseconds stop_limit = milliseconds(4'000))
-        : world([stop_limit](gateway_world& before) {
+        : world([stop_limit](gateway_fixture& before) {
             before.settings.second_sends.slack = 1e6;
             before.settings.stop_limit = stop_limit;
         })
@@ -301,7 +301,7 @@
             fmt::format("/{}/{}", route, ++asked_), std::move(last), deadline);
     }
 
-    gateway_world world;
+    gateway_fixture world;
     literal_replica replica;
 
 private:
@@ -387,9 +387,9 @@
     };
     world.replica.otherwise = done;
     world.ask_at("/runs/same");
-    std::size_t const runs = world.replica.begun_after.size();
+    std::size_t const runs = world.replica.last_event_ids.size();
     world.ask_at("/runs/same");
-    CHECK(world.replica.begun_after.size() > runs);
+    CHECK(world.replica.last_event_ids.size() > runs);
 }
 
 // Guards against a stream that breaks off at what is no event to its client:
@@ -540,8 +540,8 @@
     auto const answer = world.ask("runs");
     CHECK(answer.response.body == events(1, stream_events));
     CHECK(complete(answer));
-    CHECK(world.replica.begun_after.size() == 2);
-    CHECK(world.replica.begun_after.back() == "2");
+    CHECK(world.replica.last_event_ids.size() == 2);
+    CHECK(world.replica.last_event_ids.back() == "2");
 }
 
 // Guards against a half event at the end of a body that is framed as whole, or
@@ -573,7 +573,7 @@
     auto const answer = world.ask("runs");
     CHECK(answer.response.body == body);
     CHECK(complete(answer));
-    CHECK(world.replica.begun_after.size() == 1);
+    CHECK(world.replica.last_event_ids.size() == 1);
 }
 
 // Guards against an answer that is written into another, or a stream that ends
@@ -624,7 +624,7 @@
     auto const answer = world.ask("runs", "", deadline);
     CHECK_FALSE(complete(answer));
     CHECK(event(1).starts_with(answer.response.body));
-    CHECK(world.replica.begun_after.size() == 1);
+    CHECK(world.replica.last_event_ids.size() == 1);
 }
 
 // Guards against repeated events of a replica that goes on from the start.
@@ -738,7 +738,7 @@
     });
     CHECK(world.world.loop.run_until(
         [&] { return world.replica.broken_off == 1; }));
-    CHECK(world.replica.begun_after.size() == 1);
+    CHECK(world.replica.last_event_ids.size() == 1);
     auto const answer = world.ask("runs");
     CHECK(answer.response.body == events(1, stream_events));
     CHECK(complete(answer));
@@ -767,8 +767,8 @@
             answer = std::move(result);
         });
     REQUIRE(world.world.loop.run_until(
-        [&] { return !world.replica.begun_after.empty(); }));
-    world.world.start_nodes_again();
+        [&] { return !world.replica.last_event_ids.empty(); }));
+    world.world.restart_nodes();
     REQUIRE(world.world.loop.run_until([&] { return answer.has_value(); }));
     CHECK(complete(*answer) == in_time);
     CHECK((answer->response.body == events(1, stream_events)) == in_time);
@@ -789,7 +789,7 @@
             answer = std::move(result);
         });
     REQUIRE(world.world.loop.run_until(
-        [&] { return !world.replica.begun_after.empty(); }));
+        [&] { return !world.replica.last_event_ids.empty(); }));
     SUBCASE("the route is gone") {
         world.world.configure(3);
     }
--- a/test/gateway/scripted_replica.cpp
+++ b/test/gateway/scripted_replica.cpp
@@ -37,7 +37,7 @@
     return number;
 }
 
-std::string head_of(scripted_run const& run) {
+std::string head_of(scripted_attempt const& run) {
     bool const stream = run.status == 200;
     std::string head = fmt::format(
         "HTTP/1.1 {} Any\r\n{}Content-Type: {}\r\nConnection: close\r\n",
@@ -58,7 +58,7 @@
 }
 
 asio::awaitable<bool> write_body(
-    tcp::socket& socket, scripted_run const& run, std::string_view body) {
+    tcp::socket& socket, scripted_attempt const& run, std::string_view body) {
     bool const chunked = run.framing == body_framing::chunked;
     while (!body.empty()) {
         std::string_view const piece =
@@ -102,7 +102,7 @@
 }
 
 std::string scripted_replica::body_of(
-    scripted_run const& run, std::size_t number, unsigned after) const {
+    scripted_attempt const& run, std::size_t number, unsigned after) const {
     std::string body;
     for (unsigned each = after + 1; each <= events_; ++each) {
         if (run.skipped.contains(each)) {
@@ -134,15 +134,15 @@
     if (error) {
         co_return;
     }
-    scripted_run run;
+    scripted_attempt run;
     if (!script.empty()) {
         run = std::move(script.front());
         script.pop_front();
     }
     unsigned const after = last_event_of(head);
-    begun_after.push_back(after);
+    last_event_ids.push_back(after);
     std::string const whole =
-        run.status == 200 ? body_of(run, begun_after.size(), after) : "no";
+        run.status == 200 ? body_of(run, last_event_ids.size(), after) : "no";
     bool const cut = run.bytes < whole.size();
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -160,7 +160,7 @@
         std::string end = "0\r\n\r\n";
         co_await write(socket, std::move(end));
     }
-    if (cut && run.cut == cut_kind::reset) {
+    if (cut && run.cut == disconnect_kind::reset) {
         // A reset throws away what the other side has not read yet.
         asio::steady_timer timer(loop_->io(), before_reset);
         co_await timer.async_wait(use_result);
--- a/test/gateway/scripted_replica.hpp
+++ b/test/gateway/scripted_replica.hpp
@@ -24,14 +24,14 @@
 };
 
 /// How the connection of a run ends that is cut.
-enum class cut_kind : std::uint8_t {
+enum class disconnect_kind : std::uint8_t {
     /// As by a process that is killed while the kernel has nothing to read.
     closed,
     reset
 };
 
 /// What one run of a stream does.
-struct scripted_run {
+struct scripted_attempt {
     static constexpr std::size_t all = std::numeric_limits<std::size_t>::max();
 
     /// Bytes of the body that it sends; a run of fewer than it has is cut.
@@ -39,7 +39,7 @@
     /// Bytes that it sends at a time.
     std::size_t piece = all;
     body_framing framing = body_framing::chunked;
-    cut_kind cut = cut_kind::reset;
+    disconnect_kind cut = disconnect_kind::reset;
     /// Events that it leaves out.
     std::set<unsigned> skipped;
     /// Events that bear no number.
@@ -66,15 +66,15 @@
     static std::string event(std::size_t run, unsigned number);
 
     /// What the next runs do; those beyond are whole.
-    std::deque<scripted_run> script;
+    std::deque<scripted_attempt> script;
     /// Last-Event-Id of each run so far, 0 for none.
-    std::vector<unsigned> begun_after;
+    std::vector<unsigned> last_event_ids;
 
 private:
     boost::asio::awaitable<void> accept_all();
     boost::asio::awaitable<void> serve(raw_server::socket_type taken);
-    std::string
-    body_of(scripted_run const& run, std::size_t number, unsigned after) const;
+    std::string body_of(
+        scripted_attempt const& run, std::size_t number, unsigned after) const;
 
     loopback* loop_;
     unsigned events_;
--- a/test/gateway/second_sends_test.cpp
+++ b/test/gateway/second_sends_test.cpp
@@ -12,13 +12,13 @@
 namespace camphorpoint {
 
 using standins::replica_fault;
-using testing::gateway_world;
+using testing::gateway_fixture;
 using testing::served_replica;
 
 namespace {
 
 /// Enough for one second send in a window.
-void allow_one(gateway_world& before) {
+void allow_one(gateway_fixture& before) {
     before.settings.second_sends.ratio = 0;
     before.settings.second_sends.slack = 1.2;
 }
@@ -50,10 +50,10 @@
         return world_.runs(id) + other_->engine.runs[id];
     }
 
-    gateway_world& world() { return world_; }
+    gateway_fixture& world() { return world_; }
 
 private:
-    gateway_world world_;
+    gateway_fixture world_;
     std::unique_ptr<served_replica> other_;
 };
 
--- a/test/gateway/slow_link_test.cpp
+++ b/test/gateway/slow_link_test.cpp
@@ -13,7 +13,7 @@
 namespace camphorpoint {
 
 using std::chrono::milliseconds;
-using testing::gateway_world;
+using testing::gateway_fixture;
 
 namespace {
 
@@ -25,13 +25,13 @@
 /// Another node that says again and again how far it has read.
 class telling_node {
 public:
-    telling_node(gateway_world& world, std::uint64_t place)
+    telling_node(gateway_fixture& world, std::uint64_t place)
         : world_(&world)
         , link_(world.loop.executor(), [](std::string const&) {})
         , timer_(world.loop.io()) {
         REQUIRE(link_.listen(testing::local(0)).empty());
         told_.present = true;
-        told_.declared_place = {store_era{}, place};
+        told_.declared_position = {store_epoch{}, place};
         told_.from = "127.0.0.1:" + std::to_string(link_.port());
         tell();
     }
@@ -47,13 +47,13 @@
         });
     }
 
-    gateway_world* world_;
+    gateway_fixture* world_;
     probe_link link_;
     boost::asio::steady_timer timer_;
     peer_datagram told_;
 };
 
-bool in_force(gateway_world& world, std::uint64_t version) {
+bool in_force(gateway_fixture& world, std::uint64_t version) {
     return world.loop.run_until(
         [&] { return world.node->configuration_version() == version; });
 }
@@ -69,26 +69,26 @@
 TEST_CASE(
     "a configuration that a slow link carries for longer than a call has") {
     SUBCASE("a node that starts reads it") {
-        gateway_world world([](gateway_world& before) {
-            before.configure(2, gateway_world::routes_of(large));
+        gateway_fixture world([](gateway_fixture& before) {
+            before.configure(2, gateway_fixture::routes_of(large));
             before.metadata.bytes_per_second = slow;
         });
         CHECK(in_force(world, 2));
         CHECK(world.ask("/more7/x").response.status == 200);
     }
     SUBCASE("a node whose place in the history is forgotten reads it") {
-        gateway_world world;
+        gateway_fixture world;
         world.metadata.bytes_per_second = slow;
-        world.configure(2, gateway_world::routes_of(large));
+        world.configure(2, gateway_fixture::routes_of(large));
         world.metadata.store().forget("keyed.op");
         CHECK(in_force(world, 2));
     }
     SUBCASE("word that others have read it brings it once, not twice") {
-        gateway_world world;
+        gateway_fixture world;
         std::uint64_t const end = world.metadata.store().end("keyed.op");
         world.metadata.bytes_per_second = slow;
         telling_node const other(world, end + 1);
-        world.configure(2, gateway_world::routes_of(large));
+        world.configure(2, gateway_fixture::routes_of(large));
         CHECK(in_force(world, 2));
         CHECK(world.metadata.bytes_sent < large * 3 / 2);
     }
--- a/test/gateway/store_copy_nodes_test.cpp
+++ b/test/gateway/store_copy_nodes_test.cpp
@@ -11,8 +11,8 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::fill;
-using testing::gateway_world;
+using testing::append_filler_records;
+using testing::gateway_fixture;
 using testing::within;
 
 namespace {
@@ -27,40 +27,40 @@
 constexpr std::string_view declarations = "keyed.op";
 constexpr std::string_view list = "keyed.servers";
 
-void pass(gateway_world& world, milliseconds time) {
+void pass(gateway_fixture& world, milliseconds time) {
     within(world, time, [] { return false; });
 }
 
-bool follow(gateway_world& world, unsigned version) {
+bool follow(gateway_fixture& world, unsigned version) {
     return world.node_at(0).configuration_version() == version &&
            world.node_at(1).configuration_version() == version;
 }
 
 /// Writes a configuration and waits until both nodes have it.
-void settle(gateway_world& world, unsigned version) {
+void settle(gateway_fixture& world, unsigned version) {
     world.configure(version);
     REQUIRE(world.loop.run_until([&] { return follow(world, version); }));
 }
 
 /// Writes that a replica leaves.
-void let_leave(gateway_world& world, testing::served_replica& replica) {
+void let_leave(gateway_fixture& world, testing::served_replica& replica) {
     std::string entry = replica.engine.entry("llm", replica.address());
     entry.replace(entry.find("ready"), 5, "draining");
     world.metadata.store().put(std::string(list), replica.id, entry);
 }
 
 /// Sends requests for adapters that nobody holds yet, by turns to both nodes.
-void check_served(gateway_world& world, std::string const& row) {
+void check_served(gateway_fixture& world, std::string const& row) {
     for (std::size_t each = 0; each < adapters; ++each) {
         std::string const id = row + std::to_string(each);
         auto const got =
-            world.ask_node(each % 2, "/gen/a", "m/a" + id, id, "x");
+            world.send_to_node(each % 2, "/gen/a", "m/a" + id, id, "x");
         CHECK(got.response.status == 200);
     }
 }
 
 /// Two holders that order by one number would both be believed.
-void check_holders(gateway_world& world) {
+void check_holders(gateway_fixture& world) {
     for (auto const* const each : {&world.first, &world.second}) {
         CHECK_FALSE(each->engine.overfilled);
         for (auto const& of_number : each->engine.holders) {
@@ -70,7 +70,7 @@
     }
 }
 
-unsigned claims(gateway_world& world) {
+unsigned claims(gateway_fixture& world) {
     unsigned sum = 0;
     for (auto const& [topic, count] : world.metadata.appends) {
         sum += topic.starts_with("holding") ? count : 0;
@@ -84,14 +84,14 @@
 // the store hears of an era whose records it can't read, and the others hear
 // places and claims of the era before.
 TEST_CASE("nodes of two eras talk to each other") {
-    gateway_world world;
+    gateway_fixture world;
     world.add_node();
     endpoint_id const leaving("r1");
     auto const copy = world.metadata.store();
-    fill(world, std::string(list), lost);
-    fill(world, std::string(declarations), lost);
+    append_filler_records(world, std::string(list), lost);
+    append_filler_records(world, std::string(declarations), lost);
     settle(world, 2);
-    world.cut_store(1);
+    world.disconnect_store(1);
     world.metadata.come_back(copy);
 
     SUBCASE("both serve, and no two order by one number") {
@@ -109,7 +109,7 @@
                    !world.node_at(0).uses(leaving);
         }));
         CHECK(world.node_at(1).configuration_version() == 2);
-        world.join_store(1);
+        world.reconnect_store(1);
         CHECK(within(world, bound, [&] {
             return follow(world, 9) && !world.node_at(1).uses(leaving);
         }));
@@ -131,12 +131,12 @@
 // Guards against a claim that the store has taken and forgotten, of which its
 // holder has heard nothing: its place is given out again to another holder.
 TEST_CASE("a claim's answer is lost, and the store goes back") {
-    gateway_world world;
+    gateway_fixture world;
     world.add_replicas(6, "deadly");
     auto const copy = world.metadata.store();
     unsigned const before = claims(world);
     world.metadata.loses_append_answers = true;
-    world.begin_node();
+    world.start_node();
     REQUIRE(world.loop.run_until([&] { return claims(world) > before; }));
     world.metadata.come_back(copy);
     world.metadata.loses_append_answers = false;
@@ -154,8 +154,8 @@
 TEST_CASE("the store goes back between two pages of a reading") {
     bool armed = false;
     std::string topic;
-    gateway_world world(
-        [](gateway_world& before) { before.metadata.page_items = 2; });
+    gateway_fixture world(
+        [](gateway_fixture& before) { before.metadata.page_items = 2; });
     REQUIRE(world.loop.run_until([&] { return world.node->ready(); }));
     endpoint_id const leaving("r1");
     for (int each = 0; each < lost; ++each) {
@@ -165,7 +165,7 @@
     }
     auto const with_pages = world.metadata.store();
     world.configure(2);
-    fill(world, std::string(list), lost);
+    append_filler_records(world, std::string(list), lost);
     REQUIRE(world.loop.run_until(
         [&] { return world.node->configuration_version() == 2; }));
     world.metadata.page_made = [&](std::string const& of) {
@@ -189,8 +189,8 @@
     }));
     world.configure(9);
     let_leave(world, world.first);
-    fill(world, std::string(list), 2 * lost);
-    fill(world, std::string(declarations), 2 * lost);
+    append_filler_records(world, std::string(list), 2 * lost);
+    append_filler_records(world, std::string(declarations), 2 * lost);
     CHECK(within(world, bound, [&] {
         lost_one = lost_one || !world.node->uses(endpoint_id("r2"));
         return world.node->configuration_version() == 9 &&
@@ -202,10 +202,10 @@
 // Guards against a node that has not yet read the first copy whole when the
 // next one comes, while the other one has.
 TEST_CASE("the store goes back twice in a row before two nodes") {
-    gateway_world world;
+    gateway_fixture world;
     world.add_node();
     auto const copy = world.metadata.store();
-    fill(world, std::string(declarations), lost);
+    append_filler_records(world, std::string(declarations), lost);
     settle(world, 2);
     milliseconds between{0};
     SUBCASE("at once") {}
@@ -218,11 +218,11 @@
     world.metadata.come_back(copy);
     pass(world, between);
     world.configure(3);
-    fill(world, std::string(declarations), 1);
+    append_filler_records(world, std::string(declarations), 1);
     check_served(world, "a");
     world.metadata.come_back(copy);
     world.configure(9);
-    fill(world, std::string(declarations), 2 * lost);
+    append_filler_records(world, std::string(declarations), 2 * lost);
     CHECK(within(world, bound, [&] { return follow(world, 9); }));
     check_served(world, "b");
     check_holders(world);
--- a/test/gateway/store_copy_test.cpp
+++ b/test/gateway/store_copy_test.cpp
@@ -12,8 +12,8 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::fill;
-using testing::gateway_world;
+using testing::append_filler_records;
+using testing::gateway_fixture;
 using testing::within;
 
 namespace {
@@ -26,7 +26,7 @@
 constexpr milliseconds at_once{700};
 
 /// Waits until the node has followed a change that is made last.
-void settle(gateway_world& world) {
+void settle(gateway_fixture& world) {
     std::uint64_t const version = world.node->configuration_version() + 1;
     world.configure(static_cast<unsigned>(version));
     REQUIRE(world.loop.run_until(
@@ -40,16 +40,16 @@
 // that is declared then is answered 404: its record stands below the place from
 // which the node reads on. Read in the code first, then shown here.
 TEST_CASE("the store comes back from an older copy") {
-    gateway_world world;
+    gateway_fixture world;
     constexpr int lost = 6;
 
     SUBCASE("what is declared then is in force in time") {
         auto const copy = world.metadata.store();
-        fill(world, "keyed.op", lost);
+        append_filler_records(world, "keyed.op", lost);
         settle(world);
         world.metadata.come_back(copy);
         world.configure(9);
-        fill(world, "keyed.op", 2 * lost);
+        append_filler_records(world, "keyed.op", 2 * lost);
         CHECK(within(world, bound, [&] {
             return world.node->configuration_version() == 9;
         }));
@@ -57,7 +57,7 @@
     SUBCASE("a replica that leaves then gets nothing new") {
         endpoint_id const id("r1");
         auto const copy = world.metadata.store();
-        fill(world, "keyed.servers", lost);
+        append_filler_records(world, "keyed.servers", lost);
         within(world, milliseconds(200), [] { return false; });
         world.metadata.come_back(copy);
         std::string entry =
@@ -65,10 +65,10 @@
         entry.replace(entry.find("ready"), 5, "draining");
         world.metadata.store().put("keyed.servers", "r1", entry);
         SUBCASE("also where the new end is beyond the old place") {
-            fill(world, "keyed.servers", 2 * lost);
+            append_filler_records(world, "keyed.servers", 2 * lost);
         }
         SUBCASE("and where it is the same, so that nothing seems to come") {
-            fill(world, "keyed.servers", lost - 1);
+            append_filler_records(world, "keyed.servers", lost - 1);
         }
         CHECK(within(world, bound, [&] { return !world.node->uses(id); }));
     }
@@ -111,7 +111,7 @@
     SUBCASE("twice in a row, and requests are served all the while") {
         for (int round = 0; round < 2; ++round) {
             auto const copy = world.metadata.store();
-            fill(world, "keyed.op", lost);
+            append_filler_records(world, "keyed.op", lost);
             settle(world);
             world.metadata.come_back(copy);
             for (int each = 0; each < 4; ++each) {
@@ -125,11 +125,11 @@
         CHECK_FALSE(world.second.engine.overfilled);
     }
     SUBCASE("without a word of it, as a store that names no era") {
-        gateway_world silent(
-            [](gateway_world& before) { before.metadata.era = 0; });
+        gateway_fixture silent(
+            [](gateway_fixture& before) { before.metadata.epoch = 0; });
         REQUIRE(silent.loop.run_until([&] { return silent.node->ready(); }));
         auto const copy = silent.metadata.store();
-        fill(silent, "keyed.op", lost);
+        append_filler_records(silent, "keyed.op", lost);
         settle(silent);
         silent.metadata.come_back(copy);
         // The node's wait ends, as its place is not there.
@@ -145,7 +145,7 @@
 // claims anew in a new era took all adapters at its replicas for used just now,
 // and had no place for others for a second.
 TEST_CASE("a holder that claims anew knows its replicas' places as before") {
-    gateway_world world;
+    gateway_fixture world;
     constexpr int places = 6;
     auto const ask_all = [&](std::string const& row) {
         int served = 0;
@@ -177,7 +177,7 @@
 // written again what was lost. It took the copy for the newest: callers got 404
 // on a route that had been in force, and runs on a version that was replaced.
 TEST_CASE("a node that begins after the store went back serves nothing older") {
-    gateway_world world;
+    gateway_fixture world;
     std::string const lost_route =
         R"({"name":"lost","hostname":"h","path_prefix":"/lost/",)"
         R"("type":"safe","timeout_ms":3000,"target_latency_ms":800,)"
@@ -190,15 +190,17 @@
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 5; }));
         world.metadata.come_back(copy);
-        world.begin_node();
+        world.start_node();
         CHECK_FALSE(
             within(world, bound, [&] { return world.node_at(1).ready(); }));
         CHECK(
-            world.ask_node(1, "/lost/a", "", "q2", "").response.status == 503);
+            world.send_to_node(1, "/lost/a", "", "q2", "").response.status ==
+            503);
         world.configure(5, lost_route);
         CHECK(within(world, bound, [&] { return world.node_at(1).ready(); }));
         CHECK(
-            world.ask_node(1, "/lost/a", "", "q3", "").response.status == 200);
+            world.send_to_node(1, "/lost/a", "", "q3", "").response.status ==
+            200);
     }
     SUBCASE("than a version of an adapter") {
         auto const knows_version = [&](std::size_t which) {
@@ -207,10 +209,10 @@
         world.metadata.store().put("keyed.op", "version/m.a1", version);
         REQUIRE(world.loop.run_until([&] { return knows_version(0); }));
         world.metadata.come_back(copy);
-        world.begin_node();
+        world.start_node();
         CHECK_FALSE(
             within(world, bound, [&] { return world.node_at(1).ready(); }));
-        auto const early = world.ask_node(1, "/gen/a", "m/a1", "q2", "x");
+        auto const early = world.send_to_node(1, "/gen/a", "m/a1", "q2", "x");
         CHECK(early.response.status == 503);
         world.metadata.store().put("keyed.op", "version/m.a1", version);
         CHECK(within(world, bound, [&] { return world.node_at(1).ready(); }));
@@ -220,7 +222,7 @@
         world.configure(2);
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 2; }));
-        world.begin_node();
+        world.start_node();
         CHECK(within(world, at_once, [&] { return world.node_at(1).ready(); }));
     }
 }
@@ -228,13 +230,13 @@
 // All nodes know that a content ends replicas; the store has lost it with its
 // newest records. When all begin anew nobody would know.
 TEST_CASE("a content that is not run is kept again after the store went back") {
-    gateway_world world;
+    gateway_fixture world;
     constexpr unsigned replicas = 6;
     world.add_replicas(replicas, "deadly");
     auto const copy = world.metadata.store();
     for (int each = 0; each < 4; ++each) {
         std::string const id = std::to_string(each);
-        world.ask_node(0, "/gen/a", "m", id, "deadly");
+        world.send_to_node(0, "/gen/a", "m", id, "deadly");
     }
     auto const kept = [&] {
         return !world.metadata.store().newest("keyed.quarantine").empty();
--- a/test/gateway/store_return_test.cpp
+++ b/test/gateway/store_return_test.cpp
@@ -10,7 +10,7 @@
 namespace camphorpoint {
 
 using std::chrono::milliseconds;
-using testing::gateway_world;
+using testing::gateway_fixture;
 using testing::served_replica;
 using testing::within;
 
@@ -22,7 +22,7 @@
 /// A node asks a store that is away again every second or so.
 constexpr milliseconds asked_again{1'500};
 
-void pass(gateway_world& world, milliseconds time) {
+void pass(gateway_fixture& world, milliseconds time) {
     within(world, time, [] { return false; });
 }
 
@@ -31,22 +31,23 @@
 // Guards against nodes that refuse every request for seconds after the store's
 // return, since each still waits for an answer that it asked for in the outage.
 TEST_CASE("a node that begins in the store's outage serves soon after it") {
-    gateway_world world;
+    gateway_fixture world;
     world.metadata.silent = true;
-    world.begin_node();
+    world.start_node();
     pass(world, outage);
     REQUIRE_FALSE(world.node_at(1).ready());
     world.metadata.silent = false;
     CHECK(within(world, asked_again, [&] { return world.node_at(1).ready(); }));
-    CHECK(world.ask_node(1, "/look/b", "", "q", "x").response.status == 200);
+    CHECK(
+        world.send_to_node(1, "/look/b", "", "q", "x").response.status == 200);
 }
 
 // Guards against refusals while replicas are there, whose entries lapsed in the
 // store's outage and are written again within two seconds.
 TEST_CASE("a request waits for replicas that write their entries again") {
-    gateway_world world;
+    gateway_fixture world;
     world.metadata.silent = true;
-    world.begin_node();
+    world.start_node();
     world.unlist(world.first);
     world.unlist(world.second);
     world.unlist(world.plain);
@@ -66,14 +67,14 @@
         path = "/gen/a";
         model = "m/a1";
     }
-    auto const got = world.ask_node(1, path, model, "q", "x");
+    auto const got = world.send_to_node(1, path, model, "q", "x");
     CHECK(got.response.status == 200);
 }
 
 // Guards against loads that are ordered at a replica which has ended, as long
 // as its entry stands: the replica that has its address turns them away.
 TEST_CASE("a replica whose address is another's gets no loads") {
-    gateway_world world;
+    gateway_fixture world;
     served_replica gone(world.loop, "gone", "m", 3);
     world.metadata.store().put(
         "keyed.servers", gone.id,
--- a/test/gateway/stream_runs_test.cpp
+++ b/test/gateway/stream_runs_test.cpp
@@ -14,10 +14,10 @@
 namespace camphorpoint {
 
 using testing::body_framing;
-using testing::cut_kind;
-using testing::gateway_world;
+using testing::disconnect_kind;
+using testing::gateway_fixture;
+using testing::scripted_attempt;
 using testing::scripted_replica;
-using testing::scripted_run;
 
 namespace {
 
@@ -31,7 +31,7 @@
 class stream_world {
 public:
     stream_world()
-        : world_([](gateway_world& before) {
+        : world_([](gateway_fixture& before) {
             before.settings.second_sends.slack = 1e6;
         })
         , replica_(world_.loop, stream_events) {
@@ -53,19 +53,19 @@
         // The second node has read what the first one has.
         REQUIRE(world_.loop.run_until(
             [&] { return ask("bare", 1).how == call_result::answered; }));
-        replica_.begun_after.clear();
+        replica_.last_event_ids.clear();
     }
 
     /// Sends a request whose content is like no other's.
     /// @param after the last event that the client has, 0 for none
     fetch_result
     ask(std::string_view path, std::size_t node, unsigned after = 0) {
-        return world_.ask_stream(
+        return world_.stream_from_node(
             node, fmt::format("/{}/{}", path, ++asked_), after);
     }
 
     /// Sends a request of one content again.
-    void ask_same() { world_.ask_stream(0, "/runs/same", 0); }
+    void ask_same() { world_.stream_from_node(0, "/runs/same", 0); }
 
     scripted_replica& replica() noexcept { return replica_; }
 
@@ -80,7 +80,7 @@
             name, attempts, resumable);
     }
 
-    gateway_world world_;
+    gateway_fixture world_;
     scripted_replica replica_;
     unsigned asked_ = 0;
 };
@@ -138,10 +138,10 @@
     return events * scripted_replica::event(1, 1).size();
 }
 
-scripted_run cut_after(
-    std::size_t bytes, std::size_t piece = scripted_run::all,
-    cut_kind cut = cut_kind::closed) {
-    scripted_run run;
+scripted_attempt cut_after(
+    std::size_t bytes, std::size_t piece = scripted_attempt::all,
+    disconnect_kind cut = disconnect_kind::closed) {
+    scripted_attempt run;
     run.bytes = bytes;
     run.piece = piece;
     run.cut = cut;
@@ -151,27 +151,28 @@
 /// Plays one request over scripted runs; its client takes what comes.
 /// @param after the last event that the client has, 0 for none
 client_stream play(
-    stream_world& world, std::deque<scripted_run> runs, std::string_view path,
-    unsigned after = 0) {
-    world.replica().begun_after.clear();
+    stream_world& world, std::deque<scripted_attempt> runs,
+    std::string_view path, unsigned after = 0) {
+    world.replica().last_event_ids.clear();
     world.replica().script = std::move(runs);
     client_stream client(after);
     auto const answer = world.ask(path, 0, after);
-    client.take(answer, world.replica().begun_after.size());
+    client.take(answer, world.replica().last_event_ids.size());
     return client;
 }
 
 /// Plays a stream that its client resumes, by turns at each node.
-client_stream play_resumed(stream_world& world, std::deque<scripted_run> runs) {
+client_stream
+play_resumed(stream_world& world, std::deque<scripted_attempt> runs) {
     constexpr std::size_t nodes = 2;
     constexpr std::size_t most_requests = 4;
-    world.replica().begun_after.clear();
+    world.replica().last_event_ids.clear();
     world.replica().script = std::move(runs);
     client_stream client;
     for (std::size_t each = 0; each < most_requests && !client.complete();
          ++each) {
         auto const answer = world.ask("alone", each % nodes, client.last());
-        client.take(answer, world.replica().begun_after.size());
+        client.take(answer, world.replica().last_event_ids.size());
     }
     return client;
 }
@@ -185,7 +186,8 @@
     std::size_t const whole = body_bytes(stream_events);
 
     SUBCASE("whichever byte was its last") {
-        for (std::size_t const piece : {scripted_run::all, std::size_t{1}}) {
+        for (std::size_t const piece :
+             {scripted_attempt::all, std::size_t{1}}) {
             for (std::size_t bytes = 0; bytes < whole; ++bytes) {
                 auto const client =
                     play(world, {cut_after(bytes, piece)}, "runs");
@@ -212,8 +214,8 @@
     SUBCASE("where its connection was reset") {
         constexpr std::size_t step = 6;
         for (std::size_t bytes = 1; bytes < whole; bytes += step) {
-            auto const client =
-                play(world, {cut_after(bytes, 1, cut_kind::reset)}, "runs");
+            auto const client = play(
+                world, {cut_after(bytes, 1, disconnect_kind::reset)}, "runs");
             INFO("cut after " << bytes);
             CHECK(client.problem() == "");
             CHECK(client.complete());
@@ -239,7 +241,7 @@
 // one that could not be joined.
 TEST_CASE("events before one that can't be joined are handed on") {
     stream_world world;
-    scripted_run gap;
+    scripted_attempt gap;
     gap.skipped = {3};
     auto const client = play(world, {cut_after(body_bytes(1)), gap}, "runs");
     CHECK(client.problem() == "");
@@ -250,7 +252,7 @@
 // answer to its resumption.
 TEST_CASE("a resumed answer begins with the next event") {
     stream_world world;
-    scripted_run gap;
+    scripted_attempt gap;
     gap.skipped = {2};
     SUBCASE("at the node that the client asks") {
         auto const client = play(world, {gap}, "runs", 1);
@@ -268,9 +270,9 @@
 // event has come.
 TEST_CASE("an empty run does not complete a stream behind a half event") {
     stream_world world;
-    scripted_run empty;
+    scripted_attempt empty;
     empty.skipped = {3, 4};
-    std::deque<scripted_run> runs(replicas, empty);
+    std::deque<scripted_attempt> runs(replicas, empty);
     runs.front() = cut_after(body_bytes(2) + 1);
     auto const client = play(world, runs, "runs");
     CHECK(client.problem() == "");
@@ -281,7 +283,7 @@
 // hide one that is missing.
 TEST_CASE("an event without a number has no place in a stream that has them") {
     stream_world world;
-    scripted_run spoiled;
+    scripted_attempt spoiled;
 
     SUBCASE("the run is given up before it") {
         spoiled.unnumbered = {2};
@@ -292,17 +294,17 @@
     SUBCASE("a stream without numbers is not resumed") {
         spoiled.unnumbered = {1, 2, 3, 4};
         spoiled.bytes = body_bytes(2);
-        spoiled.cut = cut_kind::closed;
+        spoiled.cut = disconnect_kind::closed;
         auto const client = play(world, {spoiled}, "runs");
         CHECK_FALSE(client.complete());
-        CHECK(world.replica().begun_after.size() == 1);
+        CHECK(world.replica().last_event_ids.size() == 1);
     }
 }
 
 // Guards against a second head inside an answer that has begun.
 TEST_CASE("a refusal of a resumed run is not written into the answer") {
     stream_world world;
-    scripted_run refused;
+    scripted_attempt refused;
     refused.status = 404;
 
     SUBCASE("another replica goes on") {
@@ -312,7 +314,7 @@
         CHECK(client.complete());
     }
     SUBCASE("the stream ends as cut when all refuse") {
-        std::deque<scripted_run> runs(replicas, refused);
+        std::deque<scripted_attempt> runs(replicas, refused);
         runs.front() = cut_after(body_bytes(2));
         auto const client = play(world, runs, "runs");
         CHECK(client.problem() == "");
@@ -325,9 +327,9 @@
 // ended between two events.
 TEST_CASE("a connection's end does not complete a stream that may be resumed") {
     stream_world world;
-    scripted_run unframed;
+    scripted_attempt unframed;
     unframed.framing = body_framing::connection;
-    unframed.cut = cut_kind::closed;
+    unframed.cut = disconnect_kind::closed;
 
     SUBCASE("it goes on elsewhere") {
         for (unsigned events = 0; events <= stream_events; ++events) {
@@ -348,7 +350,7 @@
         }
     }
     SUBCASE("it ends where no replica tells lengths") {
-        std::deque<scripted_run> const runs(replicas, unframed);
+        std::deque<scripted_attempt> const runs(replicas, unframed);
         CHECK(play(world, runs, "runs").complete());
         CHECK(play_resumed(world, runs).complete());
     }
@@ -357,7 +359,7 @@
     }
     SUBCASE("a reset completes nothing") {
         unframed.bytes = body_bytes(2);
-        unframed.cut = cut_kind::reset;
+        unframed.cut = disconnect_kind::reset;
         auto const client = play(world, {unframed}, "bare");
         CHECK(client.problem() == "");
         CHECK_FALSE(client.complete());
@@ -368,7 +370,7 @@
 // though all of them answered.
 TEST_CASE("a replica that answers amiss has not ended") {
     stream_world world;
-    scripted_run amiss;
+    scripted_attempt amiss;
     SUBCASE("without its signature") {
         amiss.is_signed = false;
     }
@@ -376,11 +378,11 @@
         amiss.unnumbered = {2};
     }
     world.replica().script =
-        std::deque<scripted_run>(std::size_t{2} * replicas, amiss);
+        std::deque<scripted_attempt>(std::size_t{2} * replicas, amiss);
     world.ask_same();
-    std::size_t const runs = world.replica().begun_after.size();
+    std::size_t const runs = world.replica().last_event_ids.size();
     world.ask_same();
-    CHECK(world.replica().begun_after.size() > runs);
+    CHECK(world.replica().last_event_ids.size() > runs);
 }
 
 } // namespace camphorpoint
--- a/test/holding_test.cpp
+++ b/test/holding_test.cpp
@@ -461,7 +461,7 @@
     // The store comes back from an older copy and gives the place of a claim
     // out again. Two holders with one number are both believed by replicas.
     SUBCASE("after the store has gone back each claim is made again") {
-        constexpr store_era next{1};
+        constexpr store_epoch next{1};
         leases.new_era(next);
         CHECK(leases.token(4, settled) == 17);
         CHECK(leases.without_token().size() == 2);
@@ -469,13 +469,13 @@
         CHECK(leases.without_token().size() == 1);
         CHECK(leases.token(4, settled) > 17);
         SUBCASE("and one of the era before overtakes nobody") {
-            leases.overtaken(4, fencing_number({store_era{}, 90'000}));
+            leases.overtaken(4, fencing_number({store_epoch{}, 90'000}));
             CHECK(leases.token(4, settled));
         }
     }
     // A holder that claims anew would else take all adapters for used just now.
     SUBCASE("no other can have ordered since the partition was given") {
-        constexpr store_era next{1};
+        constexpr store_epoch next{1};
         auto const since = leases.held_since(4);
         REQUIRE(since);
         CHECK_FALSE(leases.held_since(95));
--- a/test/list_turns_test.cpp
+++ b/test/list_turns_test.cpp
@@ -18,13 +18,13 @@
 constexpr milliseconds longest{1'000};
 
 /// @returns a place in the first era
-constexpr store_place at(std::uint64_t offset) {
-    return {store_era{1}, offset};
+constexpr store_position at(std::uint64_t offset) {
+    return {store_epoch{1}, offset};
 }
 
 /// @returns a place after the store has come back from an older copy
-constexpr store_place later(std::uint64_t offset) {
-    return {store_era{2}, offset};
+constexpr store_position later(std::uint64_t offset) {
+    return {store_epoch{2}, offset};
 }
 
 } // namespace
@@ -82,7 +82,7 @@
     list_turns turns(longest);
     instant const now = instant() + seconds(100);
     CHECK(turns.heard(at(0), at(50), now) == list_word::old);
-    CHECK(turns.next() == store_place{});
+    CHECK(turns.next() == store_position{});
 }
 
 // Ninety nodes that each read the list every second make ninety calls a second
@@ -136,7 +136,7 @@
     CHECK_FALSE(turns.whole());
 
     SUBCASE("the list is read whole, at a time of this node's own") {
-        turns.new_era(store_era{2}, own_time);
+        turns.new_era(store_epoch{2}, own_time);
         CHECK(turns.whole());
         CHECK(turns.due(1) == own_time);
         turns.was_read(later(31), own_time);
@@ -149,13 +149,13 @@
         CHECK(turns.next() == at(40));
     }
     SUBCASE("and none puts the reading off, or takes its place") {
-        turns.new_era(store_era{2}, own_time);
+        turns.new_era(store_epoch{2}, own_time);
         CHECK(turns.heard(at(40), at(50), now) == list_word::old);
         CHECK(turns.heard(later(0), later(50), now) == list_word::old);
         CHECK(turns.due(1) == own_time);
     }
     SUBCASE("word of the era before means nothing") {
-        turns.new_era(store_era{2}, own_time);
+        turns.new_era(store_epoch{2}, own_time);
         turns.was_read(later(31), own_time);
         CHECK(turns.heard(at(31), at(90), own_time) == list_word::old);
         CHECK(turns.heard(at(50), at(90), own_time) == list_word::old);
@@ -163,7 +163,7 @@
         CHECK(turns.due(1) == own_time + longest);
     }
     SUBCASE("an answer that was on its way is not gone on from") {
-        turns.new_era(store_era{2}, own_time);
+        turns.new_era(store_epoch{2}, own_time);
         turns.was_read(at(60), now);
         CHECK(turns.whole());
     }
--- a/test/store_eras_property_test.cpp
+++ b/test/store_eras_property_test.cpp
@@ -50,16 +50,16 @@
 /// Records that are all different, in a store that may come back from an older
 /// copy.
 struct lossy_store {
-    store_era era{1};
+    store_epoch epoch{1};
     std::vector<int> records;
     int written = 0;
 
     void write() { records.push_back(++written); }
     void go_back(std::size_t by) {
         records.resize(records.size() - std::min(by, records.size()));
-        era = store_era{static_cast<std::uint32_t>(era) + 1};
+        epoch = store_epoch{static_cast<std::uint32_t>(epoch) + 1};
     }
-    store_place end() const { return {era, records.size()}; }
+    store_position end() const { return {epoch, records.size()}; }
 };
 
 /// A node that reads the records, and hears of others' readings.
@@ -69,8 +69,8 @@
 
     void read(lossy_store const& store, instant now) {
         bool const whole = turns.whole();
-        store_place const from = turns.next();
-        turns.new_era(store.era, now);
+        store_position const from = turns.next();
+        turns.new_era(store.epoch, now);
         if (!turns.counts(whole, from, store.end())) {
             return;
         }
@@ -80,8 +80,8 @@
 };
 
 struct word {
-    store_place from;
-    store_place to;
+    store_position from;
+    store_position to;
     std::vector<int> records;
 };
 
@@ -98,8 +98,8 @@
         std::deque<word> words;
         instant const now = instant() + seconds(100);
         auto const as_it_stands = [&](reader const& each) {
-            store_place const at = each.turns.next();
-            return at.era != store.era ||
+            store_position const at = each.turns.next();
+            return at.epoch != store.epoch ||
                    (each.known.size() == at.offset &&
                     std::ranges::equal(
                         each.known,
@@ -125,7 +125,7 @@
                     std::size_t const from =
                         std::min(each.which, node.known.size());
                     words.push_back(
-                        {{node.turns.next().era, from},
+                        {{node.turns.next().epoch, from},
                          node.turns.next(),
                          {node.known.begin() +
                               static_cast<std::ptrdiff_t>(from),
@@ -147,7 +147,7 @@
                             told.records.end());
                     }
                     if (means == list_word::later_era) {
-                        node.turns.new_era(told.to.era, now);
+                        node.turns.new_era(told.to.epoch, now);
                     }
                     words.pop_front();
                 }
@@ -190,8 +190,8 @@
             store.go_back(each.which);
             continue;
         }
-        store_place claim = store.end();
-        claim.era = names_era ? store.era : store_era{};
+        store_position claim = store.end();
+        claim.epoch = names_era ? store.epoch : store_epoch{};
         store.write();
         std::uint64_t const token = fencing_number(claim);
         if (!holders[which].fenced_as(partition, token)) {
