--- a/src/Delivery/answer_position.cpp
+++ b/src/Delivery/answer_position.cpp
@@ -2,36 +2,37 @@
 
 namespace camphorpoint {
 
-event_fit answer_position::take(whole_event const& event) {
+event_continuity delivery_position::accept(complete_event const& event) {
     if (event.blank) {
-        return event_fit::next;
+        return event_continuity::next;
     }
     bool const numbered = event.number.has_value();
     if (resumable_ && (numbered ? unnumbered_ : last_.has_value())) {
-        return event_fit::no_place;
+        return event_continuity::out_of_sequence;
     }
     if (resumable_ && last_ && numbered && *event.number <= *last_) {
-        return event_fit::repeated;
+        return event_continuity::duplicate;
     }
     if (resumable_ && last_ && numbered && *event.number != *last_ + 1) {
-        return event_fit::no_place;
+        return event_continuity::out_of_sequence;
     }
     last_ = numbered ? event.number : last_;
     unnumbered_ = unnumbered_ || !numbered;
     half_event_ = false;
-    return event_fit::next;
+    return event_continuity::next;
 }
 
-stream_end answer_position::judge_end(event_run const& run, bool framed) const {
-    if (run.half_bytes() > 0 || (half_event_ && run.empty())) {
-        return stream_end::cut;
+stream_end
+delivery_position::classify_end(attempt_stream const& run, bool framed) const {
+    if (run.incomplete_bytes() > 0 || (half_event_ && run.empty())) {
+        return stream_end::truncated;
     }
     if (framed || !may_resume()) {
-        return stream_end::whole;
+        return stream_end::complete;
     }
     // A run that went on behind the last event and had nothing to add.
     bool const nothing_more = run.empty() && last_.has_value();
-    return nothing_more ? stream_end::whole : stream_end::unproven;
+    return nothing_more ? stream_end::complete : stream_end::unconfirmed;
 }
 
 } // namespace camphorpoint
--- a/src/Delivery/answer_position.hpp
+++ b/src/Delivery/answer_position.hpp
@@ -8,45 +8,45 @@
 namespace camphorpoint {
 
 /// Whether an event may be handed on.
-enum class event_fit : std::uint8_t {
+enum class event_continuity : std::uint8_t {
     /// It follows what the caller has.
     next,
     /// The caller has it.
-    repeated,
+    duplicate,
     /// An event is missing before it, or its place can't be told.
-    no_place
+    out_of_sequence
 };
 
 /// What the end of a run's body means for its stream.
 enum class stream_end : std::uint8_t {
     /// The caller has all of it.
-    whole,
+    complete,
     /// An event is missing.
-    cut,
+    truncated,
     /// It may be either.
-    unproven
+    unconfirmed
 };
 
 /// How far a caller has a stream, over all runs of its request.
-class answer_position {
+class delivery_position {
 public:
     /// @param last the number of the last event that the caller has, if any;
     ///             without it the first event may bear any number
     /// @param resumable false when one run alone makes the stream, whose events
     ///                  pass as they are
-    explicit answer_position(
+    explicit delivery_position(
         std::optional<std::uint64_t> last = std::nullopt, bool resumable = true)
         : last_(last)
         , resumable_(resumable) {}
 
     /// Takes an event of the running run and moves on when it fits.
-    event_fit take(whole_event const& event);
+    event_continuity accept(complete_event const& event);
     /// A run has begun an event behind the last one and was cut in it.
-    void note_half_event() noexcept { half_event_ = true; }
+    void note_truncated_event() noexcept { half_event_ = true; }
     /// @param run    the run whose body has ended without an error
     /// @param framed the body's length was told, as opposed to a body that ends
     ///               with its connection
-    stream_end judge_end(event_run const& run, bool framed) const;
+    stream_end classify_end(attempt_stream const& run, bool framed) const;
     /// @returns true when another run can go on behind what the caller has
     bool may_resume() const noexcept { return resumable_ && !unnumbered_; }
     /// @returns the number of the last event, if the caller has one
--- a/src/Delivery/attempt_ledger.cpp
+++ b/src/Delivery/attempt_ledger.cpp
@@ -4,31 +4,30 @@
 
 namespace camphorpoint {
 
-void attempt_ledger::begin() noexcept {
+void attempt_tracker::begin() noexcept {
     earlier_may_run_ = may_run();
     phase_ = attempt_phase::unsent;
 }
 
-void attempt_ledger::written() noexcept {
-    assert(may_send_again() && "a request that may run is sent once");
-    phase_ = attempt_phase::written;
+void attempt_tracker::on_sent() noexcept {
+    assert(may_resend() && "a request that may run is sent once");
+    phase_ = attempt_phase::sent;
     ++sends_;
 }
 
-void attempt_ledger::not_executed() noexcept {
-    assert(phase_ == attempt_phase::written && "only what was sent is refused");
+void attempt_tracker::on_not_executed() noexcept {
+    assert(phase_ == attempt_phase::sent && "only what was sent is refused");
     phase_ = attempt_phase::not_executed;
 }
 
-void attempt_ledger::answering() noexcept {
-    assert(
-        phase_ == attempt_phase::written && "only what was sent is answered");
+void attempt_tracker::on_answering() noexcept {
+    assert(phase_ == attempt_phase::sent && "only what was sent is answered");
     phase_ = attempt_phase::answering;
 }
 
-void attempt_ledger::ended() noexcept {
+void attempt_tracker::on_completed() noexcept {
     assert(phase_ == attempt_phase::answering && "an answer begins first");
-    phase_ = attempt_phase::ended;
+    phase_ = attempt_phase::completed;
 }
 
 } // namespace camphorpoint
--- a/src/Delivery/attempt_ledger.hpp
+++ b/src/Delivery/attempt_ledger.hpp
@@ -9,13 +9,13 @@
     /// No byte has left this node: it cannot run.
     unsent,
     /// Bytes have left: it may run, now or later.
-    written,
+    sent,
     /// The replica said that it has not run it and never will.
     not_executed,
     /// The replica has begun to answer: it has run.
     answering,
     /// The answer has come whole.
-    ended
+    completed
 };
 
 /// What is known of one request over all its attempts. The only place that
@@ -23,25 +23,25 @@
 /// and the answer all ask it. Guards against a booking that runs twice, or that
 /// its caller is told has not run: it holds because "not run" can be said only
 /// while each attempt is unsent or was refused by its replica.
-class attempt_ledger {
+class attempt_tracker {
 public:
     /// @param idempotent a second run does no harm
-    explicit attempt_ledger(bool idempotent)
+    explicit attempt_tracker(bool idempotent)
         : idempotent_(idempotent) {}
 
     /// A further attempt begins; the one before must have come to its end.
     void begin() noexcept;
     /// The attempt's first byte is about to leave.
-    void written() noexcept;
+    void on_sent() noexcept;
     /// The replica said that it has not run the attempt.
-    void not_executed() noexcept;
+    void on_not_executed() noexcept;
     /// The replica has begun to answer.
-    void answering() noexcept;
+    void on_answering() noexcept;
     /// The attempt's answer is whole.
-    void ended() noexcept;
+    void on_completed() noexcept;
 
     /// @returns true when one more attempt can do no harm
-    bool may_send_again() const noexcept { return idempotent_ || !may_run(); }
+    bool may_resend() const noexcept { return idempotent_ || !may_run(); }
     /// @returns true when the request may have run, may be running, or may run
     bool may_run() const noexcept {
         return earlier_may_run_ || phase_may_run();
--- a/src/Delivery/content_digest.cpp
+++ b/src/Delivery/content_digest.cpp
@@ -6,17 +6,17 @@
 
 namespace camphorpoint {
 
-content_digest digest_content(
+request_fingerprint fingerprint_request(
     std::string_view method, std::string_view host, std::string_view target,
     std::string_view body) noexcept {
     std::uint64_t digest = hash_text(method);
     for (std::string_view const part : {host, target, body}) {
         digest = combine_hashes(digest, hash_text(part));
     }
-    return content_digest{digest};
+    return request_fingerprint{digest};
 }
 
-std::string to_string(content_digest digest) {
+std::string to_string(request_fingerprint digest) {
     return fmt::format("{:016x}", static_cast<std::uint64_t>(digest));
 }
 
--- a/src/Delivery/content_gate.cpp
+++ b/src/Delivery/content_gate.cpp
@@ -15,10 +15,10 @@
 
 } // namespace
 
-bool content_gate::may_begin(
-    content_digest content, std::uint64_t run, instant now) {
+bool request_gate::try_admit(
+    request_fingerprint fingerprint, std::uint64_t run, instant now) {
     forget_old(now);
-    auto const [place, fresh] = admissions_.try_emplace(content);
+    auto const [place, fresh] = admissions_.try_emplace(fingerprint);
     admission& of = place->second;
     bool const taken = !fresh && now < of.until;
     if (taken && (of.proven || of.run != run)) {
@@ -28,8 +28,8 @@
     return true;
 }
 
-void content_gate::ended(content_digest content, std::uint64_t run) {
-    auto const found = admissions_.find(content);
+void request_gate::release(request_fingerprint fingerprint, std::uint64_t run) {
+    auto const found = admissions_.find(fingerprint);
     bool const its = found != admissions_.end() && !found->second.proven &&
                      found->second.run == run;
     if (its) {
@@ -37,11 +37,11 @@
     }
 }
 
-void content_gate::proven(content_digest content, instant now) {
-    admissions_[content] = {0, now + proof_lasts, true};
+void request_gate::mark_safe(request_fingerprint fingerprint, instant now) {
+    admissions_[fingerprint] = {0, now + proof_lasts, true};
 }
 
-void content_gate::forget_old(instant now) {
+void request_gate::forget_old(instant now) {
     if (admissions_.size() < most_admissions) {
         return;
     }
--- a/src/Delivery/content_gate.hpp
+++ b/src/Delivery/content_gate.hpp
@@ -14,18 +14,21 @@
 /// all nodes have begun anew: its requests wait together for their adapter and
 /// would all go out side by side, before the first end of a replica is told.
 /// Contents that differ do not wait for one another.
-class content_gate {
+class request_gate {
 public:
     /// A run asks to begin.
     /// @param run number of the run, unique over all nodes
     /// @returns false while another run of the content is under way
-    bool may_begin(content_digest content, std::uint64_t run, instant now);
+    bool
+    try_admit(request_fingerprint fingerprint, std::uint64_t run, instant now);
     /// A run has ended or does not begin, and has shown nothing.
-    void ended(content_digest content, std::uint64_t run);
+    void release(request_fingerprint fingerprint, std::uint64_t run);
     /// A run has brought a part of its answer: others need not wait.
-    void proven(content_digest content, instant now);
+    void mark_safe(request_fingerprint fingerprint, instant now);
     /// A replica has ended under it: what was shown before no longer counts.
-    void broken(content_digest content) { admissions_.erase(content); }
+    void revoke(request_fingerprint fingerprint) {
+        admissions_.erase(fingerprint);
+    }
 
 private:
     struct admission {
@@ -35,7 +38,7 @@
     };
     void forget_old(instant now);
 
-    std::unordered_map<content_digest, admission> admissions_;
+    std::unordered_map<request_fingerprint, admission> admissions_;
 };
 
 } // namespace camphorpoint
--- a/src/Delivery/content_messages.hpp
+++ b/src/Delivery/content_messages.hpp
@@ -6,51 +6,51 @@
 namespace camphorpoint {
 
 /// To the nodes that count a content: an endpoint ended while it ran it.
-struct content_ended {
-    std::uint64_t content = 0;
+struct replica_crash_message {
+    std::uint64_t fingerprint = 0;
     /// Hash of the endpoint's name.
     std::uint64_t endpoint = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(content, endpoint);
+        archive(fingerprint, endpoint);
     }
 };
 
 /// To the nodes that count a content: a run of it ended well.
-struct content_served {
-    std::uint64_t content = 0;
+struct request_success_message {
+    std::uint64_t fingerprint = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(content);
+        archive(fingerprint);
     }
 };
 
-/// A quarantine_word as nodes tell it.
-struct told_content {
-    std::uint64_t content = 0;
-    std::uint32_t turn = 0;
-    std::uint64_t left_ms = 0;
+/// A quarantine_update as nodes tell it.
+struct quarantine_entry {
+    std::uint64_t fingerprint = 0;
+    std::uint32_t revision = 0;
+    std::uint64_t remaining_ms = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(content, turn, left_ms);
+        archive(fingerprint, revision, remaining_ms);
     }
 };
 
 /// Contents that are not run, or are run again.
-struct content_words {
-    std::vector<told_content> words;
+struct quarantine_message {
+    std::vector<quarantine_entry> entries;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(words);
+        archive(entries);
     }
 };
 
 /// A node that has begun asks for all that another one knows.
-struct content_ask {
+struct quarantine_sync_request {
     template <class Archive>
     void serialize(Archive& /*archive*/) {}
 };
--- a/src/Delivery/content_quarantine.cpp
+++ b/src/Delivery/content_quarantine.cpp
@@ -23,17 +23,17 @@
 
 } // namespace
 
-quarantine_word content_quarantine::word_of(
-    content_digest content, known const& of, instant now) {
-    return {content, of.turn, of.until - now};
+quarantine_update request_quarantine::word_of(
+    request_fingerprint fingerprint, known const& of, instant now) {
+    return {fingerprint, of.revision, of.until - now};
 }
 
-std::optional<quarantine_word> content_quarantine::note_end(
-    content_digest content, std::uint64_t replica, instant now) {
-    if (!evidence_.contains(content)) {
+std::optional<quarantine_update> request_quarantine::record_crash(
+    request_fingerprint fingerprint, std::uint64_t replica, instant now) {
+    if (!evidence_.contains(fingerprint)) {
         make_room();
     }
-    evidence& counted = evidence_[content];
+    evidence& counted = evidence_[fingerprint];
     if (now >= counted.newest + evidence_lasts) {
         counted.replicas.clear();
     }
@@ -47,48 +47,51 @@
         counted.replicas.push_back(replica);
     }
     bool const enough = counted.replicas.size() >= ends_to_hold;
-    if (!enough || held_for(content, now) || held(now) >= most_held) {
+    if (!enough || quarantined_for(fingerprint, now) ||
+        quarantined_count(now) >= most_held) {
         return std::nullopt;
     }
-    known& of = known_[content];
-    of.turn += of.turn % 2 == 0 ? 1 : 2;
+    known& of = known_[fingerprint];
+    of.revision += of.revision % 2 == 0 ? 1 : 2;
     of.until = now + hold_lasts;
-    return word_of(content, of, now);
+    return word_of(fingerprint, of, now);
 }
 
-std::optional<quarantine_word>
-content_quarantine::note_whole(content_digest content) {
-    evidence_.erase(content);
-    auto const found = known_.find(content);
-    if (found == known_.end() || found->second.turn % 2 == 0) {
+std::optional<quarantine_update>
+request_quarantine::record_success(request_fingerprint fingerprint) {
+    evidence_.erase(fingerprint);
+    auto const found = known_.find(fingerprint);
+    if (found == known_.end() || found->second.revision % 2 == 0) {
         return std::nullopt;
     }
-    ++found->second.turn;
-    return quarantine_word{content, found->second.turn, hold_lasts};
+    ++found->second.revision;
+    return quarantine_update{fingerprint, found->second.revision, hold_lasts};
 }
 
-bool content_quarantine::take(quarantine_word const& word, instant now) {
-    if (word.left <= duration::zero() || word.turn == 0) {
+bool request_quarantine::apply(quarantine_update const& word, instant now) {
+    if (word.remaining <= duration::zero() || word.revision == 0) {
         return false;
     }
-    auto const found = known_.find(word.content);
-    if (found != known_.end() && found->second.turn >= word.turn) {
+    auto const found = known_.find(word.fingerprint);
+    if (found != known_.end() && found->second.revision >= word.revision) {
         return false;
     }
     if (found == known_.end() && known_.size() >= 2 * most_held) {
         return false;
     }
-    if (!word.held()) {
-        evidence_.erase(word.content);
+    if (!word.quarantined()) {
+        evidence_.erase(word.fingerprint);
     }
-    known_[word.content] = {word.turn, now + std::min(word.left, hold_lasts)};
+    known_[word.fingerprint] = {
+        word.revision, now + std::min(word.remaining, hold_lasts)};
     return true;
 }
 
-std::optional<duration>
-content_quarantine::held_for(content_digest content, instant now) const {
-    auto const found = known_.find(content);
-    bool const held = found != known_.end() && found->second.turn % 2 == 1 &&
+std::optional<duration> request_quarantine::quarantined_for(
+    request_fingerprint fingerprint, instant now) const {
+    auto const found = known_.find(fingerprint);
+    bool const held = found != known_.end() &&
+                      found->second.revision % 2 == 1 &&
                       now < found->second.until;
     if (!held) {
         return std::nullopt;
@@ -96,9 +99,9 @@
     return found->second.until - now;
 }
 
-std::vector<quarantine_word>
-content_quarantine::some(std::size_t most, instant now) {
-    std::vector<quarantine_word> words;
+std::vector<quarantine_update>
+request_quarantine::next_batch(std::size_t most, instant now) {
+    std::vector<quarantine_update> words;
     std::size_t const count = std::min(most, known_.size());
     auto next = known_.upper_bound(told_last_);
     while (words.size() < count) {
@@ -112,23 +115,24 @@
     return words;
 }
 
-std::vector<quarantine_word> content_quarantine::all(instant now) const {
-    std::vector<quarantine_word> words;
+std::vector<quarantine_update>
+request_quarantine::all_updates(instant now) const {
+    std::vector<quarantine_update> words;
     words.reserve(known_.size());
-    for (auto const& [content, of] : known_) {
-        words.push_back(word_of(content, of, now));
+    for (auto const& [fingerprint, of] : known_) {
+        words.push_back(word_of(fingerprint, of, now));
     }
     return words;
 }
 
-std::size_t content_quarantine::held(instant now) const {
+std::size_t request_quarantine::quarantined_count(instant now) const {
     return static_cast<std::size_t>(
         std::ranges::count_if(known_, [&](auto const& each) {
-            return each.second.turn % 2 == 1 && now < each.second.until;
+            return each.second.revision % 2 == 1 && now < each.second.until;
         }));
 }
 
-void content_quarantine::forget_old(instant now) {
+void request_quarantine::remove_expired(instant now) {
     std::erase_if(evidence_, [&](auto const& each) {
         return now >= each.second.newest + evidence_lasts;
     });
@@ -136,7 +140,7 @@
         known_, [&](auto const& each) { return now >= each.second.until; });
 }
 
-void content_quarantine::make_room() {
+void request_quarantine::make_room() {
     if (evidence_.size() < most_counted) {
         return;
     }
--- a/src/Delivery/content_quarantine.hpp
+++ b/src/Delivery/content_quarantine.hpp
@@ -13,16 +13,16 @@
 namespace camphorpoint {
 
 /// What a node knows of one content, to be told and to be kept.
-struct quarantine_word {
-    content_digest content{};
+struct quarantine_update {
+    request_fingerprint fingerprint{};
     /// Counts the changes: odd while the content is not run, even once it is
     /// run again. Of two words the higher one holds.
-    std::uint32_t turn = 0;
+    std::uint32_t revision = 0;
     /// How long it holds from now.
-    duration left{0};
+    duration remaining{0};
 
     /// @returns true while the content is not to be run
-    bool held() const noexcept { return turn % 2 == 1; }
+    bool quarantined() const noexcept { return revision % 2 == 1; }
 };
 
 /// Contents that end the replicas which run them (a query of death). Guards
@@ -34,36 +34,38 @@
 ///
 /// Runs of others break off with it and are counted likewise. They differ in
 /// that they end well elsewhere: that clears them.
-class content_quarantine {
+class request_quarantine {
 public:
     /// A replica ended, or broke its answer off, while it ran the content.
     /// @param replica its short name, another one for each start
     /// @returns the word to tell when the content is not run from now on
-    std::optional<quarantine_word>
-    note_end(content_digest content, std::uint64_t replica, instant now);
+    std::optional<quarantine_update> record_crash(
+        request_fingerprint fingerprint, std::uint64_t replica, instant now);
     /// A run of the content ended well.
     /// @returns the word to tell when the content is run again by this
-    std::optional<quarantine_word> note_whole(content_digest content);
+    std::optional<quarantine_update>
+    record_success(request_fingerprint fingerprint);
     /// Takes another node's word, or one that was kept.
     /// @returns true when it is news
-    bool take(quarantine_word const& word, instant now);
+    bool apply(quarantine_update const& word, instant now);
 
     /// @returns true when a replica has ended while it ran the content, which
     ///          has not ended well since
-    bool suspected(content_digest content) const {
-        return evidence_.contains(content);
+    bool suspected(request_fingerprint fingerprint) const {
+        return evidence_.contains(fingerprint);
     }
     /// @returns for how long the content is not run, nothing when it may run
-    std::optional<duration> held_for(content_digest content, instant now) const;
+    std::optional<duration>
+    quarantined_for(request_fingerprint fingerprint, instant now) const;
     /// @returns some of the words, by turns, so that whoever has missed one
     ///          hears it again
-    std::vector<quarantine_word> some(std::size_t most, instant now);
+    std::vector<quarantine_update> next_batch(std::size_t most, instant now);
     /// @returns all words
-    std::vector<quarantine_word> all(instant now) const;
+    std::vector<quarantine_update> all_updates(instant now) const;
     /// @returns contents that are not run
-    std::size_t held(instant now) const;
+    std::size_t quarantined_count(instant now) const;
     /// Drops what has lasted long enough.
-    void forget_old(instant now);
+    void remove_expired(instant now);
 
 private:
     struct evidence {
@@ -71,16 +73,16 @@
         instant newest;
     };
     struct known {
-        std::uint32_t turn = 0;
+        std::uint32_t revision = 0;
         instant until;
     };
-    static quarantine_word
-    word_of(content_digest content, known const& of, instant now);
+    static quarantine_update
+    word_of(request_fingerprint fingerprint, known const& of, instant now);
     void make_room();
 
-    std::unordered_map<content_digest, evidence> evidence_;
-    std::map<content_digest, known> known_;
-    content_digest told_last_{};
+    std::unordered_map<request_fingerprint, evidence> evidence_;
+    std::map<request_fingerprint, known> known_;
+    request_fingerprint told_last_{};
 };
 
 } // namespace camphorpoint
--- a/src/Delivery/event_run.cpp
+++ b/src/Delivery/event_run.cpp
@@ -28,7 +28,7 @@
 }
 
 /// Reads what matters of an event's lines.
-void read_lines(whole_event& event) {
+void read_lines(complete_event& event) {
     constexpr std::string_view id = "id:";
     std::string_view rest = event.text;
     event.blank = true;
@@ -62,24 +62,24 @@
 
 } // namespace
 
-void event_run::push(std::string_view piece) {
+void attempt_stream::push(std::string_view piece) {
     rest_.append(piece);
     empty_ = empty_ && piece.empty();
 }
 
-std::optional<whole_event> event_run::next() {
+std::optional<complete_event> attempt_stream::next() {
     std::size_t const length = event_length(rest_);
     if (length == 0) {
         return std::nullopt;
     }
-    whole_event event;
+    complete_event event;
     event.text = rest_.substr(0, length);
     read_lines(event);
     rest_.erase(0, length);
     return event;
 }
 
-bool event_run::too_long() const noexcept {
+bool attempt_stream::too_long() const noexcept {
     return rest_.size() > longest_event;
 }
 
--- a/src/Delivery/held_knowledge.hpp
+++ b/src/Delivery/held_knowledge.hpp
@@ -9,12 +9,16 @@
 /// Whether a node knows which contents were held before it began. It does once
 /// it has heard for a while a node that knows, or has served for long enough to
 /// have met what comes again and again.
-class held_knowledge {
+class quarantine_sync {
 public:
     /// This node serves from now on.
-    void serves(instant now) { served_from_ = std::min(served_from_, now); }
+    void on_serving_started(instant now) {
+        served_from_ = std::min(served_from_, now);
+    }
     /// A node that knows was heard: it tells all within a second.
-    void heard(instant now) { heard_from_ = std::min(heard_from_, now); }
+    void on_message_from_synced_node(instant now) {
+        heard_from_ = std::min(heard_from_, now);
+    }
     /// @returns true when this node knows what others do
     bool complete(instant now) const noexcept {
         return past(heard_from_, all_told, now) ||
--- a/src/Delivery/joined_events.cpp
+++ b/src/Delivery/joined_events.cpp
@@ -2,15 +2,15 @@
 
 namespace camphorpoint {
 
-joined_events join_events(event_run& run, answer_position position) {
+joined_events join_events(attempt_stream& run, delivery_position position) {
     joined_events result{{}, position};
     while (auto const event = run.next()) {
-        event_fit const fit = result.position.take(*event);
-        if (fit == event_fit::no_place) {
+        event_continuity const fit = result.position.accept(*event);
+        if (fit == event_continuity::out_of_sequence) {
             result.joined = false;
             return result;
         }
-        if (fit == event_fit::next) {
+        if (fit == event_continuity::next) {
             result.text += event->text;
         }
     }
--- a/src/Delivery/joined_events.hpp
+++ b/src/Delivery/joined_events.hpp
@@ -12,7 +12,7 @@
     /// The events' bytes.
     std::string text;
     /// How far the caller is once it has them.
-    answer_position position;
+    delivery_position position;
     /// False when nothing more of the run may be handed on.
     bool joined = true;
 };
@@ -21,6 +21,6 @@
 /// @param run      the running run
 /// @param position how far the caller is; the result's takes its place only
 ///                 when the events were handed on
-joined_events join_events(event_run& run, answer_position position);
+joined_events join_events(attempt_stream& run, delivery_position position);
 
 } // namespace camphorpoint
--- a/src/Delivery/second_send_budget.cpp
+++ b/src/Delivery/second_send_budget.cpp
@@ -13,8 +13,7 @@
 
 } // namespace
 
-second_send_budget::step&
-second_send_budget::current(history& of, instant now) const {
+resend_budget::step& resend_budget::current(history& of, instant now) const {
     auto const width =
         std::chrono::duration_cast<duration>(limits_.window) / steps_of_window;
     std::int64_t const number = now.time_since_epoch() / width;
@@ -28,11 +27,11 @@
     return of.steps.back();
 }
 
-void second_send_budget::on_request(service_id const& service, instant now) {
+void resend_budget::on_request(service_id const& service, instant now) {
     current(services_[service], now).requests += 1;
 }
 
-bool second_send_budget::left(
+bool resend_budget::available(
     service_id const& service, unsigned nodes, instant now) {
     history& past = services_[service];
     current(past, now);
@@ -47,9 +46,9 @@
     return sent + 1 <= most;
 }
 
-bool second_send_budget::take(
+bool resend_budget::try_consume(
     service_id const& service, unsigned nodes, instant now) {
-    if (!left(service, nodes, now)) {
+    if (!available(service, nodes, now)) {
         return false;
     }
     current(services_[service], now).second_sends += 1;
--- a/src/Delivery/second_send_budget.hpp
+++ b/src/Delivery/second_send_budget.hpp
@@ -11,7 +11,7 @@
 namespace camphorpoint {
 
 /// What all nodes together may send beyond the first send of each request.
-struct second_send_limits {
+struct resend_limits {
     /// Second sends for each request, in any window.
     double ratio = 0.2;
     /// Second sends in a window that are allowed however few requests come.
@@ -24,22 +24,22 @@
 /// the rest several times. It holds without a word between nodes, since each
 /// keeps to the ratio of its own requests and to an equal part of the slack;
 /// the sum over nodes is then within the bound.
-class second_send_budget {
+class resend_budget {
 public:
-    explicit second_send_budget(second_send_limits limits)
+    explicit resend_budget(resend_limits limits)
         : limits_(limits) {}
 
     /// A request for the service has come.
     void on_request(service_id const& service, instant now);
     /// @param nodes how many nodes share the slack, this one included
     /// @returns true when a second send is left
-    bool left(service_id const& service, unsigned nodes, instant now);
+    bool available(service_id const& service, unsigned nodes, instant now);
     /// Takes a second send when one is left.
     /// @param nodes how many nodes share the slack, this one included
     /// @returns true when it may be sent
-    bool take(service_id const& service, unsigned nodes, instant now);
+    bool try_consume(service_id const& service, unsigned nodes, instant now);
     /// New limits, from the settings.
-    void set_limits(second_send_limits limits) { limits_ = limits; }
+    void set_limits(resend_limits limits) { limits_ = limits; }
 
 private:
     /// Counts in steps of a tenth of a window.
@@ -53,7 +53,7 @@
     };
     step& current(history& of, instant now) const;
 
-    second_send_limits limits_;
+    resend_limits limits_;
     std::unordered_map<service_id, history> services_;
 };
 
--- a/src/Gateway/declaration_follower.cpp
+++ b/src/Gateway/declaration_follower.cpp
@@ -244,7 +244,7 @@
     beliefs_->configured = true;
     plan_.note_configured();
     beliefs_->start.configured(boot_clock::now());
-    beliefs_->held_known.serves(boot_clock::now());
+    beliefs_->held_known.on_serving_started(boot_clock::now());
     beliefs_->note(log_line(event_code::configuration_in_force)
                        .with("version", beliefs_->configuration.version)
                        .with("routes", beliefs_->configuration.routes.size())
--- a/src/Gateway/gateway_answers.cpp
+++ b/src/Gateway/gateway_answers.cpp
@@ -49,10 +49,12 @@
     beliefs_.metrics.set(
         "waiting_for_loads", static_cast<double>(beliefs_.waiters.size()));
     beliefs_.metrics.set(
-        "partitions", static_cast<double>(beliefs_.leases.held().size()));
+        "partitions",
+        static_cast<double>(beliefs_.leases.held_partitions().size()));
     beliefs_.metrics.set(
         "contents_held",
-        static_cast<double>(beliefs_.quarantine.held(boot_clock::now())));
+        static_cast<double>(
+            beliefs_.quarantine.quarantined_count(boot_clock::now())));
     beliefs_.metrics.set("store_era", static_cast<double>(beliefs_.epoch));
     beliefs_.metrics.set("nodes", beliefs_.nodes());
     beliefs_.metrics.set("store_calls", static_cast<double>(store_.calls()));
--- a/src/Gateway/gateway_beliefs.cpp
+++ b/src/Gateway/gateway_beliefs.cpp
@@ -46,7 +46,8 @@
 // than is allowed. A partition is held by one node at a time.
 unsigned gateway_beliefs::slack_sharers(instant now) const {
     constexpr unsigned none = 1'000'000;
-    std::size_t const held = leases.valid(now) ? leases.held().size() : 0;
+    std::size_t const held =
+        leases.valid(now) ? leases.held_partitions().size() : 0;
     if (held == 0) {
         return none;
     }
--- a/src/Gateway/gateway_beliefs.hpp
+++ b/src/Gateway/gateway_beliefs.hpp
@@ -80,9 +80,9 @@
     std::mt19937_64 random;
     replica_choice choice{replicas};
     waiter_list waiters;
-    second_send_budget second_sends;
-    content_quarantine quarantine;
-    held_knowledge held_known;
+    resend_budget second_sends;
+    request_quarantine quarantine;
+    quarantine_sync held_known;
     http_pool replica_connections;
     partition_leases leases;
     /// Peer addresses of nodes heard of, with the time of the last word.
--- a/src/Gateway/gateway_settings.cpp
+++ b/src/Gateway/gateway_settings.cpp
@@ -62,7 +62,7 @@
     section.refuse_unknown_keys();
 }
 
-void read_second_sends(toml_section section, second_send_limits& into) {
+void read_second_sends(toml_section section, resend_limits& into) {
     constexpr double most_ratio = 10;
     constexpr double most_slack = 1e6;
     into.ratio = read_real(section, "ratio", into.ratio, most_ratio);
@@ -83,8 +83,8 @@
     into.outage_extension = section.time(
         "outage_extension", into.outage_extension, milliseconds(0),
         longest_time);
-    into.fences_checked =
-        section.boolean("fences_checked", into.fences_checked);
+    into.replicas_check_fencing =
+        section.boolean("fences_checked", into.replicas_check_fencing);
     if (into.lease < 2 * into.renewal) {
         section.complain(
             "lease", "must be at least twice the renewal, or one lost answer "
--- a/src/Gateway/gateway_settings.hpp
+++ b/src/Gateway/gateway_settings.hpp
@@ -33,7 +33,7 @@
     /// for about two seconds, since the platform asks once a second whether a
     /// node is ready and wants two misses.
     std::chrono::milliseconds stop_accepts{2'600};
-    second_send_limits second_sends;
+    resend_limits second_sends;
     lease_times leases;
 };
 
--- a/src/Gateway/order_times.hpp
+++ b/src/Gateway/order_times.hpp
@@ -23,7 +23,7 @@
 inline call_times order_times(partition_leases const& leases) {
     call_times times;
     times.each_step = order_timeout;
-    times.send_before = leases.ends();
+    times.send_before = leases.expires_at();
     return times;
 }
 
--- a/src/Gateway/peer_datagram.hpp
+++ b/src/Gateway/peer_datagram.hpp
@@ -21,7 +21,7 @@
     std::uint64_t replica = 0;
     std::string adapter;
     std::uint32_t version = 0;
-    /// For whom, as a number of `want_kind`.
+    /// For whom, as a number of `load_priority`.
     std::uint8_t kind = 0;
     /// It is the first that is said of a request to this replica: it can be
     /// turned away.
--- a/src/Gateway/peer_words.cpp
+++ b/src/Gateway/peer_words.cpp
@@ -117,7 +117,7 @@
 }
 
 void peer_messenger::request_load(
-    replica const& at, adapter_ref const& adapter, want_kind kind,
+    replica const& at, adapter_ref const& adapter, load_priority kind,
     bool first_request, duration patience) {
     instant const now = boot_clock::now();
     instant& said = wanted_[{at.record.id, adapter.id}];
@@ -394,7 +394,7 @@
             beliefs_->replicas.told_total(name, counted(name, now), now);
         }
     }
-    for (std::size_t const each : beliefs_->leases.held()) {
+    for (std::size_t const each : beliefs_->leases.held_partitions()) {
         auto const token = beliefs_->leases.token(each, now);
         if (token && message.claims.size() < most_claims) {
             message.claims.push_back(
--- a/src/Gateway/peer_words.hpp
+++ b/src/Gateway/peer_words.hpp
@@ -59,7 +59,7 @@
     /// @param first_request the request has not asked at this replica before
     /// @param patience how long the request may wait for it there
     void request_load(
-        replica const& at, adapter_ref const& adapter, want_kind kind,
+        replica const& at, adapter_ref const& adapter, load_priority kind,
         bool first_request, duration patience);
     /// Tells all nodes of changes at a replica that this node orders for.
     void broadcast_residency(
@@ -72,23 +72,23 @@
     /// nodes that count it.
     /// @param replica another name for each start of it
     /// @returns true when others count it, who may know of more ends
-    bool report_crash(content_digest content, std::uint64_t replica);
+    bool report_crash(request_fingerprint content, std::uint64_t replica);
     /// A run of a content ended well: it has not ended its replicas.
-    void report_completion(content_digest content);
+    void report_completion(request_fingerprint content);
     /// @returns true when runs of a content begin one at a time: a replica has
     ///          ended under it, or this node has begun and may not know of that
-    bool requires_admission(content_digest content, instant now) const;
+    bool requires_admission(request_fingerprint content, instant now) const;
     /// A run asks to begin.
     /// @param run number of the run, unique over all nodes
     /// @returns false when another run of the content is under way somewhere
     boost::asio::awaitable<bool>
-    request_admission(content_digest content, std::uint64_t run);
+    request_admission(request_fingerprint content, std::uint64_t run);
     /// A run of a content has brought a part of its answer.
-    void report_progress(content_digest content);
+    void report_progress(request_fingerprint content);
     /// A run that was let begin has ended and has shown nothing.
-    void report_attempt_ended(content_digest content, std::uint64_t run);
+    void report_attempt_ended(request_fingerprint content, std::uint64_t run);
     /// Tells all nodes whether a content is run.
-    void broadcast_quarantine(quarantine_word const& word);
+    void broadcast_quarantine(quarantine_update const& word);
     /// Asks a few nodes how much they know of what the operator declares, while
     /// this one has begun and has not heard it.
     void query_declared();
@@ -149,7 +149,7 @@
     bool has_place_for(peer_load_request const& want, instant now) const;
     void take_want(peer_load_request const& want, std::string const& from);
     void count_end(peer_crash const& end, instant now);
-    void clear(content_digest content);
+    void clear(request_fingerprint content);
     void forget_told_contents(instant now);
     std::set<std::string> counters_of(std::uint64_t content) const;
     void repeat_ends(instant now);
@@ -157,8 +157,9 @@
     void take_quarantine(
         peer_quarantine const& told, std::string const& from, instant now);
 
-    std::string gate_of(content_digest content, instant now) const;
-    bool begins_here(content_digest content, std::uint64_t run, instant now);
+    std::string gate_of(request_fingerprint content, instant now) const;
+    bool
+    begins_here(request_fingerprint content, std::uint64_t run, instant now);
     void send_gate(std::string const& to, peer_gate_message word);
     void take_gate(
         peer_gate_message const& word, std::string const& from, instant now);
@@ -184,8 +185,8 @@
     run_ledger ledger_;
     std::deque<told_end> ends_;
     /// Contents whose ends this node has told, and when it did last.
-    std::unordered_map<content_digest, instant> told_contents_;
-    content_gate gate_;
+    std::unordered_map<request_fingerprint, instant> told_contents_;
+    request_gate gate_;
     std::unordered_map<std::uint64_t, gate_question> gate_questions_;
     bool running_ = false;
 };
--- a/src/Gateway/peer_words_gate.cpp
+++ b/src/Gateway/peer_words_gate.cpp
@@ -24,14 +24,15 @@
 } // namespace
 
 bool peer_messenger::requires_admission(
-    content_digest content, instant now) const {
+    request_fingerprint content, instant now) const {
     return !beliefs_->held_known.complete(now) ||
            beliefs_->quarantine.suspected(content);
 }
 
 // The first of the nodes that count the content's ends, as they hear of these
 // before all others.
-std::string peer_messenger::gate_of(content_digest content, instant now) const {
+std::string
+peer_messenger::gate_of(request_fingerprint content, instant now) const {
     for (std::uint64_t each = 0; each < crash_counter_nodes; ++each) {
         std::size_t const partition =
             combine_hashes(static_cast<std::uint64_t>(content), each) %
@@ -57,13 +58,13 @@
 }
 
 bool peer_messenger::begins_here(
-    content_digest content, std::uint64_t run, instant now) {
-    return !beliefs_->quarantine.held_for(content, now) &&
-           gate_.may_begin(content, run, now);
+    request_fingerprint content, std::uint64_t run, instant now) {
+    return !beliefs_->quarantine.quarantined_for(content, now) &&
+           gate_.try_admit(content, run, now);
 }
 
-asio::awaitable<bool>
-peer_messenger::request_admission(content_digest content, std::uint64_t run) {
+asio::awaitable<bool> peer_messenger::request_admission(
+    request_fingerprint content, std::uint64_t run) {
     peer_gate_message const ask{
         static_cast<std::uint64_t>(content), run, gate_message_kind::may_begin};
     for (int tries = 0; tries < gate_asks; ++tries) {
@@ -85,11 +86,11 @@
     co_return true;
 }
 
-void peer_messenger::report_progress(content_digest content) {
+void peer_messenger::report_progress(request_fingerprint content) {
     instant const now = boot_clock::now();
     std::string const at = gate_of(content, now);
     if (at == beliefs_->own_name) {
-        gate_.proven(content, now);
+        gate_.mark_safe(content, now);
         return;
     }
     send_gate(
@@ -98,10 +99,10 @@
 }
 
 void peer_messenger::report_attempt_ended(
-    content_digest content, std::uint64_t run) {
+    request_fingerprint content, std::uint64_t run) {
     std::string const at = gate_of(content, boot_clock::now());
     if (at == beliefs_->own_name) {
-        gate_.ended(content, run);
+        gate_.release(content, run);
         return;
     }
     send_gate(
@@ -111,7 +112,7 @@
 
 void peer_messenger::take_gate(
     peer_gate_message const& word, std::string const& from, instant now) {
-    content_digest const content{word.content};
+    request_fingerprint const content{word.content};
     switch (word.what) {
     case gate_message_kind::may_begin: {
         bool const begins = begins_here(content, word.run, now);
@@ -122,10 +123,10 @@
         break;
     }
     case gate_message_kind::proven:
-        gate_.proven(content, now);
+        gate_.mark_safe(content, now);
         break;
     case gate_message_kind::ended:
-        gate_.ended(content, word.run);
+        gate_.release(content, word.run);
         break;
     case gate_message_kind::begins:
     case gate_message_kind::waits:
--- a/src/Gateway/peer_words_quarantine.cpp
+++ b/src/Gateway/peer_words_quarantine.cpp
@@ -24,16 +24,16 @@
 /// Words of contents in one datagram, sixteen bytes each.
 constexpr std::size_t most_quarantines = 16;
 
-peer_quarantine wire_of(quarantine_word const& word) {
+peer_quarantine wire_of(quarantine_update const& word) {
     return {
-        static_cast<std::uint64_t>(word.content), word.turn,
-        clamped_milliseconds(word.left)};
+        static_cast<std::uint64_t>(word.fingerprint), word.revision,
+        clamped_milliseconds(word.remaining)};
 }
 
 } // namespace
 
 bool peer_messenger::report_crash(
-    content_digest content, std::uint64_t replica) {
+    request_fingerprint content, std::uint64_t replica) {
     instant const now = boot_clock::now();
     peer_crash const end{static_cast<std::uint64_t>(content), replica};
     ends_.push_back({end, now + end_told_for});
@@ -55,7 +55,7 @@
 // Guards against a content that many ask for in the same words and that is held
 // for ends that lie apart, though it has ended well in between: each node would
 // clear it of its own evidence only.
-void peer_messenger::report_completion(content_digest content) {
+void peer_messenger::report_completion(request_fingerprint content) {
     clear(content);
     // Few contents have had an end, so that a run which ends well costs
     // nothing.
@@ -73,14 +73,14 @@
     }
 }
 
-void peer_messenger::clear(content_digest content) {
-    auto const word = beliefs_->quarantine.note_whole(content);
+void peer_messenger::clear(request_fingerprint content) {
+    auto const word = beliefs_->quarantine.record_success(content);
     if (!word) {
         return;
     }
     beliefs_->note(log_line(event_code::content_cleared)
                        .with("content", to_string(content))
-                       .with("turn", word->turn)
+                       .with("turn", word->revision)
                        .with("by", beliefs_->own_name));
     broadcast_quarantine(*word);
 }
@@ -97,13 +97,13 @@
 }
 
 void peer_messenger::count_end(peer_crash const& end, instant now) {
-    content_digest const content{end.content};
-    gate_.broken(content);
+    request_fingerprint const content{end.content};
+    gate_.revoke(content);
     if (auto const word =
-            beliefs_->quarantine.note_end(content, end.replica, now)) {
+            beliefs_->quarantine.record_crash(content, end.replica, now)) {
         beliefs_->note(log_line(event_code::content_held, log_level::warning)
                            .with("content", to_string(content))
-                           .with("turn", word->turn)
+                           .with("turn", word->revision)
                            .with("by", beliefs_->own_name));
         broadcast_quarantine(*word);
     }
@@ -143,7 +143,7 @@
     }
 }
 
-void peer_messenger::broadcast_quarantine(quarantine_word const& word) {
+void peer_messenger::broadcast_quarantine(quarantine_update const& word) {
     peer_datagram message;
     message.quarantines.push_back(wire_of(word));
     send_all(message);
@@ -151,10 +151,10 @@
 
 // A node that has begun anew, or was cut off, hears them again from everybody.
 void peer_messenger::repeat_quarantines(instant now) {
-    beliefs_->quarantine.forget_old(now);
+    beliefs_->quarantine.remove_expired(now);
     peer_datagram message;
-    for (quarantine_word const& each :
-         beliefs_->quarantine.some(most_quarantines, now)) {
+    for (quarantine_update const& each :
+         beliefs_->quarantine.next_batch(most_quarantines, now)) {
         message.quarantines.push_back(wire_of(each));
     }
     send_all(message);
@@ -162,17 +162,17 @@
 
 void peer_messenger::take_quarantine(
     peer_quarantine const& told, std::string const& from, instant now) {
-    quarantine_word const word{
-        content_digest{told.content}, told.turn,
+    quarantine_update const word{
+        request_fingerprint{told.content}, told.turn,
         std::chrono::milliseconds(told.left_ms)};
-    if (!beliefs_->quarantine.take(word, now)) {
+    if (!beliefs_->quarantine.apply(word, now)) {
         return;
     }
-    event_code const what =
-        word.held() ? event_code::content_held : event_code::content_cleared;
+    event_code const what = word.quarantined() ? event_code::content_held
+                                               : event_code::content_cleared;
     beliefs_->note(log_line(what, log_level::warning)
-                       .with("content", to_string(word.content))
-                       .with("turn", word.turn)
+                       .with("content", to_string(word.fingerprint))
+                       .with("turn", word.revision)
                        .with("by", from));
 }
 
--- a/src/Gateway/peer_words_taking.cpp
+++ b/src/Gateway/peer_words_taking.cpp
@@ -16,7 +16,7 @@
 constexpr duration until_place = std::chrono::milliseconds(1'000);
 
 bool waits(peer_load_request const& want) {
-    return want.kind < static_cast<std::uint8_t>(want_kind::ahead);
+    return want.kind < static_cast<std::uint8_t>(load_priority::prefetch);
 }
 
 } // namespace
@@ -104,7 +104,7 @@
             continue;
         }
         owners_[each.partition] = message.from;
-        beliefs_->leases.overtaken(each.partition, each.token);
+        beliefs_->leases.on_higher_token(each.partition, each.token);
     }
     for (peer_residency const& each : message.words) {
         replica const* const at = beliefs_->replicas.find_short(each.replica);
@@ -135,13 +135,13 @@
         count_end(each, now);
     }
     for (std::uint64_t const each : message.completions) {
-        clear(content_digest{each});
+        clear(request_fingerprint{each});
     }
     for (peer_gate_message const& each : message.gates) {
         take_gate(each, message.from, now);
     }
     if (message.knows_quarantines) {
-        beliefs_->held_known.heard(now);
+        beliefs_->held_known.on_message_from_synced_node(now);
     }
     for (peer_quarantine const& each : message.quarantines) {
         take_quarantine(each, message.from, now);
--- a/src/Gateway/quarantine_keeper.cpp
+++ b/src/Gateway/quarantine_keeper.cpp
@@ -26,7 +26,7 @@
 constexpr unsigned most_doublings = 4;
 constexpr auto topic = platform::store_topic::quarantine;
 
-std::string key_of(content_digest content) {
+std::string key_of(request_fingerprint content) {
     return std::to_string(static_cast<std::uint64_t>(content) % key_count);
 }
 
@@ -39,11 +39,11 @@
     , store_(&store)
     , messenger_(&words) {}
 
-std::vector<quarantine_word> quarantine_keeper::unkept(instant now) const {
-    auto words = beliefs_->quarantine.all(now);
-    std::erase_if(words, [&](quarantine_word const& each) {
-        auto const found = kept_.find(each.content);
-        return found != kept_.end() && found->second >= each.turn;
+std::vector<quarantine_update> quarantine_keeper::unkept(instant now) const {
+    auto words = beliefs_->quarantine.all_updates(now);
+    std::erase_if(words, [&](quarantine_update const& each) {
+        auto const found = kept_.find(each.fingerprint);
+        return found != kept_.end() && found->second >= each.revision;
     });
     return words;
 }
@@ -111,12 +111,12 @@
         if (!word) {
             continue;
         }
-        kept_[word->content] = word->turn;
-        if (beliefs_->quarantine.take(*word, now)) {
+        kept_[word->fingerprint] = word->revision;
+        if (beliefs_->quarantine.apply(*word, now)) {
             beliefs_->note(
                 log_line(event_code::content_held, log_level::warning)
-                    .with("content", to_string(word->content))
-                    .with("turn", word->turn)
+                    .with("content", to_string(word->fingerprint))
+                    .with("turn", word->revision)
                     .with("by", "store"));
             messenger_->broadcast_quarantine(*word);
         }
@@ -124,10 +124,10 @@
     co_return true;
 }
 
-asio::awaitable<bool> quarantine_keeper::write(quarantine_word word) {
+asio::awaitable<bool> quarantine_keeper::write(quarantine_update word) {
     auto const alive = running_;
     store_epoch const epoch = beliefs_->epoch;
-    std::string key = key_of(word.content);
+    std::string key = key_of(word.fingerprint);
     std::string text = platform::write_quarantine(word, wall_now());
     auto const written =
         co_await store_->put(topic, std::move(key), std::move(text));
@@ -140,10 +140,10 @@
     if (epoch != beliefs_->epoch) {
         co_return false;
     }
-    kept_[word.content] = word.turn;
+    kept_[word.fingerprint] = word.revision;
     beliefs_->note(log_line(event_code::content_kept)
-                       .with("content", to_string(word.content))
-                       .with("turn", word.turn));
+                       .with("content", to_string(word.fingerprint))
+                       .with("turn", word.revision));
     co_return true;
 }
 
--- a/src/Gateway/quarantine_keeper.hpp
+++ b/src/Gateway/quarantine_keeper.hpp
@@ -39,15 +39,15 @@
 private:
     boost::asio::awaitable<void> work();
     boost::asio::awaitable<bool> read();
-    boost::asio::awaitable<bool> write(quarantine_word word);
+    boost::asio::awaitable<bool> write(quarantine_update word);
     void note_failure(platform::store_failure why, instant now);
-    std::vector<quarantine_word> unkept(instant now) const;
+    std::vector<quarantine_update> unkept(instant now) const;
 
     gateway_beliefs* beliefs_;
     platform::store_client* store_;
     peer_messenger* messenger_;
     /// Turns as they stand in the store.
-    std::map<content_digest, std::uint32_t> kept_;
+    std::map<request_fingerprint, std::uint32_t> kept_;
     bool read_ = false;
     bool working_ = false;
     unsigned failures_ = 0;
--- a/src/Gateway/request_flow.cpp
+++ b/src/Gateway/request_flow.cpp
@@ -55,8 +55,8 @@
     }
     // Copied: the configuration may change while the request runs.
     route_ = *found;
-    ledger_ = attempt_ledger(route_->idempotent());
-    position_ = answer_position(demand_.last_event, route_->resumable);
+    ledger_ = attempt_tracker(route_->idempotent());
+    position_ = delivery_position(demand_.last_event, route_->resumable);
     milliseconds const patience =
         std::min(demand_.patience.value_or(route_->timeout), route_->timeout);
     deadline_ = arrived_ + patience;
@@ -64,7 +64,7 @@
     need_.adapter = demand_.adapter;
     need_.model = demand_.model;
     need_.draw = beliefs_->random();
-    content_ = digest_content(
+    content_ = fingerprint_request(
         request.method, request.fields.get("Host"), request.target,
         request.body);
     if (!need_.adapter.empty()) {
@@ -108,9 +108,10 @@
 }
 
 // Guards against one request that ends replica after replica; see
-// content_quarantine. It is refused before it takes a place or a load.
+// request_quarantine. It is refused before it takes a place or a load.
 bool request_flow::refuse_held() {
-    held_for_ = beliefs_->quarantine.held_for(content_, boot_clock::now());
+    held_for_ =
+        beliefs_->quarantine.quarantined_for(content_, boot_clock::now());
     if (held_for_) {
         reason_ = "content-held";
     }
@@ -222,7 +223,7 @@
         std::move(to), std::move(request), std::move(times));
     attempt_end end = attempt_end::unreached;
     if (opened != call_result::not_sent) {
-        ledger_.written();
+        ledger_.on_sent();
         end = attempt_end::silent;
     }
     if (opened == call_result::answered) {
@@ -259,7 +260,7 @@
         return tries_ < most_tries;
     case attempt_end::refused:
         reason_ = "refused-by-replica";
-        if (tries_ >= most_tries || !ledger_.may_send_again()) {
+        if (tries_ >= most_tries || !ledger_.may_resend()) {
             return false;
         }
         break;
@@ -268,13 +269,13 @@
     case attempt_end::broken:
     case attempt_end::unproven:
         reason_ = end == attempt_end::failed ? "replica-failed" : "broken-off";
-        if (ledger_.sends() >= route_->attempts || !ledger_.may_send_again()) {
+        if (ledger_.sends() >= route_->attempts || !ledger_.may_resend()) {
             return false;
         }
         break;
     }
     // Told before the search for a replica, whose place would not be used.
-    if (!beliefs_->second_sends.left(
+    if (!beliefs_->second_sends.available(
             need_.service, beliefs_->slack_sharers(now), now)) {
         reason_ += "-no-budget";
         return false;
@@ -289,7 +290,7 @@
         return true;
     }
     instant const now = boot_clock::now();
-    if (!beliefs_->second_sends.take(
+    if (!beliefs_->second_sends.try_consume(
             need_.service, beliefs_->slack_sharers(now), now)) {
         reason_ += "-no-budget";
         return false;
--- a/src/Gateway/request_flow.hpp
+++ b/src/Gateway/request_flow.hpp
@@ -106,7 +106,8 @@
     boost::asio::awaitable<bool>
     hand_on(std::shared_ptr<http_call> call, joined_events events);
     boost::asio::awaitable<attempt_end> end_run(
-        std::shared_ptr<http_call> call, event_run const& run, bool read_whole);
+        std::shared_ptr<http_call> call, attempt_stream const& run,
+        bool read_whole);
     boost::asio::awaitable<attempt_end>
     pass_whole(std::shared_ptr<http_call> call, int status);
     boost::asio::awaitable<bool> forward(std::string_view piece);
@@ -129,7 +130,7 @@
     platform::caller_demand demand_;
     std::optional<service_route> route_;
     replica_need need_;
-    content_digest content_{};
+    request_fingerprint content_{};
     /// Its number at the content's gate, while it was let begin and has shown
     /// nothing yet.
     std::optional<std::uint64_t> gate_run_;
@@ -143,8 +144,8 @@
     /// How long the adapter would take at the soonest, when no home can have it
     /// ready in time.
     std::optional<duration> soonest_;
-    attempt_ledger ledger_{false};
-    answer_position position_;
+    attempt_tracker ledger_{false};
+    delivery_position position_;
     run_trace trace_;
     /// It waits for its replica to read other prompts.
     bool holding_ = false;
--- a/src/Gateway/request_flow_choice.cpp
+++ b/src/Gateway/request_flow_choice.cpp
@@ -86,7 +86,8 @@
     asked_ = home->record.id;
     std::uint32_t const version =
         beliefs_->versions.newest(need_.adapter).value_or(0);
-    want_kind const kind = urgent ? want_kind::waited_for : want_kind::ahead;
+    load_priority const kind =
+        urgent ? load_priority::demand : load_priority::prefetch;
     homes_asked_ += urgent && first_request ? 1 : 0;
     messenger_->request_load(
         *home, {need_.adapter, version}, kind, first_request,
--- a/src/Gateway/request_flow_ending.cpp
+++ b/src/Gateway/request_flow_ending.cpp
@@ -73,7 +73,7 @@
 }
 
 // Guards against requests of one content that go out side by side while nobody
-// knows yet that it ends its replicas; see content_gate.
+// knows yet that it ends its replicas; see request_gate.
 asio::awaitable<bool> request_flow::pass_gate(endpoint_id at) {
     auto const caller = leaving_;
     if (!messenger_->requires_admission(content_, boot_clock::now())) {
@@ -123,7 +123,7 @@
             content_, start_name(at, beliefs_->replicas));
     }
     constexpr int first_redirect = 300;
-    bool const whole = ended_ && ledger_.phase() == attempt_phase::ended &&
+    bool const whole = ended_ && ledger_.phase() == attempt_phase::completed &&
                        status_ < first_redirect;
     if (whole) {
         messenger_->report_completion(content_);
--- a/src/Gateway/request_flow_passing.cpp
+++ b/src/Gateway/request_flow_passing.cpp
@@ -25,7 +25,7 @@
     int const status = call->status();
     answer_kind const kind = platform::judge_answer(status, call->fields());
     if (kind == answer_kind::not_executed || kind == answer_kind::misdirected) {
-        ledger_.not_executed();
+        ledger_.on_not_executed();
         if (kind == answer_kind::misdirected && !need_.adapter.empty()) {
             beliefs_->replicas.told_dropped(
                 at, need_.adapter, boot_clock::now());
@@ -38,7 +38,7 @@
         }
         co_return attempt_end::refused;
     }
-    ledger_.answering();
+    ledger_.on_answering();
     if (kind == answer_kind::spoiled) {
         co_return attempt_end::failed;
     }
@@ -93,7 +93,7 @@
 request_flow::pass_stream(std::shared_ptr<http_call> call) {
     auto const caller = leaving_;
     bool const resumable = route_->resumable;
-    event_run run;
+    attempt_stream run;
     while (true) {
         auto const left = std::chrono::duration_cast<milliseconds>(
             deadline_ + milliseconds(100) - boot_clock::now());
@@ -110,7 +110,7 @@
         }
         run.push(*piece);
         joined_events events = join_events(run, position_);
-        trace_.half_bytes = run.half_bytes();
+        trace_.half_bytes = run.incomplete_bytes();
         bool const joined = events.joined;
         bool passed = true;
         if (!events.text.empty()) {
@@ -129,10 +129,11 @@
 }
 
 asio::awaitable<request_flow::attempt_end> request_flow::end_run(
-    std::shared_ptr<http_call> call, event_run const& run, bool read_whole) {
+    std::shared_ptr<http_call> call, attempt_stream const& run,
+    bool read_whole) {
     auto const caller = leaving_;
-    if (run.half_bytes() > 0) {
-        position_.note_half_event();
+    if (run.incomplete_bytes() > 0) {
+        position_.note_truncated_event();
     }
     if (!read_whole) {
         trace_.body = "cut";
@@ -140,14 +141,14 @@
     }
     bool const framed = !call->ends_with_connection();
     trace_.body = framed ? "whole" : "connection-end";
-    stream_end const end = position_.judge_end(run, framed);
-    if (end == stream_end::unproven) {
+    stream_end const end = position_.classify_end(run, framed);
+    if (end == stream_end::unconfirmed) {
         co_return attempt_end::unproven;
     }
-    if (end == stream_end::cut) {
+    if (end == stream_end::truncated) {
         co_return framed ? attempt_end::failed : attempt_end::silent;
     }
-    ledger_.ended();
+    ledger_.on_completed();
     if (begun_) {
         ended_ = co_await exchange_->end_stream();
         co_return attempt_end::finished;
@@ -177,7 +178,7 @@
         }
         answer.body += *piece;
     }
-    ledger_.ended();
+    ledger_.on_completed();
     constexpr int first_failure = 500;
     if (status >= first_failure) {
         failure_ = std::move(answer);
--- a/src/Gateway/slot_orderer.cpp
+++ b/src/Gateway/slot_orderer.cpp
@@ -33,9 +33,9 @@
 /// The span over which the loads of base models are counted.
 constexpr duration load_window = std::chrono::seconds(5);
 
-want_kind kind_of(peer_load_request const& asked) {
-    auto const last = static_cast<std::uint8_t>(want_kind::ahead);
-    return static_cast<want_kind>(std::min(asked.kind, last));
+load_priority kind_of(peer_load_request const& asked) {
+    auto const last = static_cast<std::uint8_t>(load_priority::prefetch);
+    return static_cast<load_priority>(std::min(asked.kind, last));
 }
 
 } // namespace
@@ -70,7 +70,7 @@
     if (*running_) {
         spawn_workers();
     }
-    if (!beliefs_->leases.without_token().empty()) {
+    if (!beliefs_->leases.partitions_without_token().empty()) {
         claim_timer_.cancel();
     }
 }
@@ -96,10 +96,10 @@
             continue;
         }
         auto const held = std::make_shared<held_replica>(
-            *limits, pace_, beliefs_->io, *token,
-            *beliefs_->leases.held_since(partition_of(id)));
+            *limits, limiter_, beliefs_->io, *token,
+            *beliefs_->leases.exclusive_since(partition_of(id)));
         held_[id] = held;
-        pace_->set_replicas(held_.size());
+        limiter_->set_replicas(held_.size());
         by_short_name_[fleet::short_name(id)] = id;
         asio::co_spawn(
             beliefs_->io, [this, id = id, held] { return work(id, held); },
@@ -125,7 +125,7 @@
         return beliefs_->settings.leases.lease;
     }
     adapter_ref const adapter{adapter_id(asked.adapter), asked.version};
-    slot_account& account = held->second->account;
+    slot_tracker& account = held->second->account;
     if (account.ready(adapter)) {
         // Whoever asks has missed the word of it.
         publish(held->first, account);
@@ -137,14 +137,15 @@
         return std::nullopt;
     }
     instant const now = boot_clock::now();
-    want_kind const kind = kind_of(asked);
+    load_priority const kind = kind_of(asked);
     // Repeats keep their place.
-    bool const may_refuse = asked.first_request || kind == want_kind::ahead;
+    bool const may_refuse =
+        asked.first_request || kind == load_priority::prefetch;
     auto const refused =
-        may_refuse ? account.turn_away(
+        may_refuse ? account.refused_wait(
                          adapter, kind, milliseconds(asked.patience_ms), now)
                    : std::nullopt;
-    bool const fresh = !account.wanted_already(adapter.id);
+    bool const fresh = !account.load_requested(adapter.id);
     if (refused || fresh) {
         beliefs_->note(
             log_line(
@@ -155,13 +156,13 @@
                 .with("kind", to_string(kind))
                 .with("forecast_ms", account.expected_wait(adapter, kind, now))
                 .with("patience_ms", static_cast<int>(asked.patience_ms))
-                .with("free", account.spare_slots(now))
-                .with("waiting", account.waiting()));
+                .with("free", account.available_slots(now))
+                .with("waiting", account.pending_requests()));
     }
     if (refused) {
         return refused;
     }
-    account.want(adapter, kind, now);
+    account.request_load(adapter, kind, now);
     held->second->wake.cancel();
     return std::nullopt;
 }
@@ -169,7 +170,7 @@
 void replica_controller::handle_usage(peer_adapter_usage const& told) {
     auto const held = find_held(told.replica);
     if (held != held_.end()) {
-        held->second->account.used(
+        held->second->account.record_use(
             adapter_id(told.adapter), told.running > 0, boot_clock::now());
     }
 }
@@ -178,21 +179,21 @@
     auto const held = find_held(replica);
     return held == held_.end()
                ? 0
-               : held->second->account.spare_slots(boot_clock::now());
+               : held->second->account.available_slots(boot_clock::now());
 }
 
-void replica_controller::publish(endpoint_id const& id, slot_account& account) {
+void replica_controller::publish(endpoint_id const& id, slot_tracker& account) {
     instant const now = boot_clock::now();
     std::vector<peer_residency> words;
-    for (slot_change const& each : account.take_changes()) {
-        if (each.held) {
+    for (residency_change const& each : account.drain_changes()) {
+        if (each.resident) {
             beliefs_->replicas.told_held(id, each.adapter, now);
             beliefs_->waiters.notify(each.adapter.id);
         } else {
             beliefs_->replicas.told_dropped(id, each.adapter.id, now);
         }
         words.push_back(
-            {0, each.adapter.id.str(), each.adapter.version, each.held});
+            {0, each.adapter.id.str(), each.adapter.version, each.resident});
     }
     messenger_->broadcast_residency(id, std::move(words));
 }
@@ -202,7 +203,7 @@
         co_await work_once(id, held);
     }
     held_.erase(id);
-    pace_->set_replicas(held_.size());
+    limiter_->set_replicas(held_.size());
     by_short_name_.erase(fleet::short_name(id));
 }
 
@@ -211,22 +212,22 @@
     replica const* const at = beliefs_->replicas.find(id);
     instant const now = boot_clock::now();
     auto const token = beliefs_->leases.token(partition_of(id), now);
-    auto const since = beliefs_->leases.held_since(partition_of(id));
+    auto const since = beliefs_->leases.exclusive_since(partition_of(id));
     if (at == nullptr || !at->open() || !token || since != held->since) {
         held->ended = true;
         co_return;
     }
-    slot_account& account = held->account;
+    slot_tracker& account = held->account;
     if (*token != held->token) {
         // The same holder under a new number: what it knows of the replica
         // holds on, and a report shows what it may have missed.
         held->token = *token;
-        account.distrust();
+        account.require_report();
     }
     if (at->record.born != held->born) {
         // Asked by report, which is newer than the list: it may know already.
         held->born = at->record.born;
-        account.distrust();
+        account.require_report();
     }
     if (account.report_due(now)) {
         co_await report(id, held);
@@ -235,19 +236,19 @@
     want_newer_versions(account);
     service_form const* const service =
         beliefs_->configuration.find_service(at->record.service);
-    if (account.known() && !account.has_model() && !account.model_named() &&
-        service != nullptr && service->engine &&
+    if (account.has_report() && !account.has_model() &&
+        !account.base_model_set() && service != nullptr && service->engine &&
         !service->engine->models.empty() && may_load_model(*service)) {
-        account.set_model(service->engine->models.front().name);
+        account.set_base_model(service->engine->models.front().name);
     }
-    auto const next = account.next(now);
+    auto const next = account.next_command(now);
     publish(id, account);
     if (next) {
         co_await order(id, held, *next);
         co_return;
     }
     held->wake.expires_after(std::max<duration>(
-        time_until(account.next_look(now)), milliseconds(5)));
+        time_until(account.next_check_at(now)), milliseconds(5)));
     co_await held->wake.async_wait(use_result);
 }
 
@@ -255,7 +256,7 @@
 replica_controller::report(endpoint_id id, held_ptr held) {
     replica const* const at = beliefs_->replicas.find(id);
     ip_address to = at->record.address;
-    bool const first = !held->account.known();
+    bool const first = !held->account.has_report();
     http_call call(beliefs_->io.get_executor(), &beliefs_->replica_connections);
     call_times times;
     times.each_step = replica_timeout;
@@ -269,12 +270,12 @@
     auto const read =
         answered ? platform::read_report(got.response.body) : std::nullopt;
     if (!read) {
-        held->account.report_failed(now);
+        held->account.on_report_failed(now);
         asio::steady_timer timer(beliefs_->io, no_right_pause);
         co_await timer.async_wait(use_result);
         co_return;
     }
-    held->account.reported(*read, now);
+    held->account.apply_report(*read, now);
     if (first) {
         beliefs_->note(log_line(event_code::replica_reported)
                            .with("replica", id.str())
@@ -285,8 +286,8 @@
     publish(id, held->account);
 }
 
-asio::awaitable<void>
-replica_controller::order(endpoint_id id, held_ptr held, slot_order order) {
+asio::awaitable<void> replica_controller::order(
+    endpoint_id id, held_ptr held, replica_command order) {
     replica const* const at = beliefs_->replicas.find(id);
     ip_address to = at->record.address;
     http_call call(beliefs_->io.get_executor(), &beliefs_->replica_connections);
@@ -296,34 +297,34 @@
     instant const now = boot_clock::now();
     auto const token = beliefs_->leases.token(partition_of(id), now);
     if (!token || *token != held->token) {
-        held->account.answered(order, slot_answer::unsent, now);
+        held->account.on_result(order, command_result::not_sent, now);
         co_return;
     }
     call_times const times = order_times(beliefs_->leases);
     auto const got =
         co_await fetch(call, std::move(to), std::move(request), times);
-    slot_answer answer = slot_answer::lost;
+    command_result answer = command_result::no_answer;
     if (got.how == call_result::answered) {
         answer = platform::read_order_answer(got.response.status);
     } else if (got.how == call_result::not_sent) {
-        answer = slot_answer::unsent;
+        answer = command_result::not_sent;
     }
     beliefs_->metrics.count_order(to_string(answer));
     // An order that is given again to see how far it is decides nothing.
-    bool const same_again = held->account.under_way(order.adapter.id) &&
-                            answer == slot_answer::accepted;
+    bool const same_again = held->account.command_pending(order.adapter.id) &&
+                            answer == command_result::accepted;
     if (!same_again) {
         note_order(id, *held, order, answer);
     }
-    if (answer == slot_answer::fenced) {
-        beliefs_->leases.overtaken(partition_of(id), held->token + 1);
+    if (answer == command_result::fenced) {
+        beliefs_->leases.on_higher_token(partition_of(id), held->token + 1);
     }
-    held->account.answered(order, answer, boot_clock::now());
+    held->account.on_result(order, answer, boot_clock::now());
     publish(id, held->account);
-    if (answer == slot_answer::other_replica) {
+    if (answer == command_result::wrong_replica) {
         note_replaced(id);
     }
-    if (answer == slot_answer::unsent) {
+    if (answer == command_result::not_sent) {
         asio::steady_timer timer(beliefs_->io, no_right_pause);
         co_await timer.async_wait(use_result);
     }
@@ -346,18 +347,18 @@
 }
 
 void replica_controller::note_order(
-    endpoint_id const& id, held_replica const& held, slot_order const& order,
-    slot_answer answer) {
+    endpoint_id const& id, held_replica const& held,
+    replica_command const& order, command_result answer) {
     beliefs_->note(log_line(event_code::order_answered)
                        .with("replica", id.str())
                        .with("order", to_string(order.kind))
                        .with("adapter", order.adapter.id.str())
-                       .with("expect", order.expect)
+                       .with("expect", order.expected_count)
                        .with("token", held.token)
                        .with("answer", to_string(answer)));
 }
 
-void replica_controller::want_newer_versions(slot_account& account) {
+void replica_controller::want_newer_versions(slot_tracker& account) {
     // What is in use is left as it is, and the account sees to that: requests
     // go to a replica that gets the new version in a slot of its own.
     instant const now = boot_clock::now();
@@ -365,7 +366,7 @@
         bool const outdated =
             account.ready({each.id, 0}) && !account.ready(each);
         if (outdated) {
-            account.want(each, want_kind::ahead, now);
+            account.request_load(each, load_priority::prefetch, now);
         }
     }
 }
@@ -378,8 +379,9 @@
         return now >= each + load_window;
     });
     std::chrono::duration<double> const window = load_window;
-    double const share = static_cast<double>(beliefs_->leases.held().size()) /
-                         static_cast<double>(partition_count);
+    double const share =
+        static_cast<double>(beliefs_->leases.held_partitions().size()) /
+        static_cast<double>(partition_count);
     double const most = std::max(
         1.0, service.engine->loads_per_second * window.count() * share);
     if (static_cast<double>(model_loads_.size()) + 1 > most) {
--- a/src/Gateway/slot_orderer.hpp
+++ b/src/Gateway/slot_orderer.hpp
@@ -46,13 +46,13 @@
     /// A replica's account, and the worker that goes by it.
     struct held_replica {
         held_replica(
-            slot_limits limits, std::shared_ptr<load_pace> pace,
+            slot_limits limits, std::shared_ptr<load_limiter> limiter,
             boost::asio::io_context& io, std::uint64_t fence, instant from)
-            : account(limits, std::move(pace))
+            : account(limits, std::move(limiter))
             , wake(io)
             , token(fence)
             , since(from) {}
-        slot_account account;
+        slot_tracker account;
         boost::asio::steady_timer wake;
         /// Another one after a claim in a later era of the store.
         std::uint64_t token;
@@ -73,15 +73,15 @@
     boost::asio::awaitable<void> work_once(endpoint_id id, held_ptr held);
     boost::asio::awaitable<void> report(endpoint_id id, held_ptr held);
     boost::asio::awaitable<void>
-    order(endpoint_id id, held_ptr held, slot_order order);
+    order(endpoint_id id, held_ptr held, replica_command order);
     void note_replaced(endpoint_id const& id);
     void note_order(
         endpoint_id const& id, held_replica const& held,
-        slot_order const& order, slot_answer answer);
+        replica_command const& order, command_result answer);
     void spawn_workers();
-    void want_newer_versions(slot_account& account);
+    void want_newer_versions(slot_tracker& account);
     bool may_load_model(service_form const& service);
-    void publish(endpoint_id const& id, slot_account& account);
+    void publish(endpoint_id const& id, slot_tracker& account);
     std::map<endpoint_id, held_ptr>::const_iterator
     find_held(std::uint64_t replica) const;
     std::optional<slot_limits> limits_of(replica const& at) const;
@@ -99,7 +99,7 @@
     // Shared with the coroutines, which end after it has turned false.
     std::shared_ptr<bool> running_ = std::make_shared<bool>(false);
     std::vector<instant> model_loads_;
-    std::shared_ptr<load_pace> pace_ = std::make_shared<load_pace>();
+    std::shared_ptr<load_limiter> limiter_ = std::make_shared<load_limiter>();
 };
 
 } // namespace camphorpoint
--- a/src/Gateway/slot_orderer_leases.cpp
+++ b/src/Gateway/slot_orderer_leases.cpp
@@ -71,7 +71,7 @@
 
 asio::awaitable<void> replica_controller::claim_used() {
     auto const alive = running_;
-    for (std::size_t const each : beliefs_->leases.without_token()) {
+    for (std::size_t const each : beliefs_->leases.partitions_without_token()) {
         bool const used = std::ranges::any_of(
             beliefs_->replicas.all(), [&](auto const& other) {
                 return partition_of(other.first) == each &&
@@ -97,7 +97,7 @@
         co_await claim_used();
         spawn_workers();
         instant const settled =
-            beliefs_->leases.next_settled(boot_clock::now());
+            beliefs_->leases.next_settling_end(boot_clock::now());
         claim_timer_.expires_after(time_until(std::min(renew_at, settled)));
         co_await claim_timer_.async_wait(use_result);
     }
@@ -123,7 +123,7 @@
         co_return;
     }
     if (!grant) {
-        leases.failed(now);
+        leases.on_renewal_failed(now);
         co_return;
     }
     std::vector<std::size_t> partitions;
@@ -132,9 +132,10 @@
             partitions.push_back(*number);
         }
     }
-    auto const before = leases.held();
-    leases.granted(started, grant.value().generation, partitions, now);
-    auto const after = leases.held();
+    auto const before = leases.held_partitions();
+    leases.on_renewal_granted(
+        started, grant.value().generation, partitions, now);
+    auto const after = leases.held_partitions();
     if (before != after) {
         beliefs_->note(log_line(event_code::partition_gained)
                            .with("held", after.size())
@@ -192,7 +193,7 @@
         co_return;
     }
     std::uint64_t const token = fencing_number(offset.value());
-    if (beliefs_->leases.fenced_as(partition, token)) {
+    if (beliefs_->leases.set_token(partition, token)) {
         messenger_->broadcast_claim(partition, token);
     }
 }
--- a/src/Gateway/store_watch.cpp
+++ b/src/Gateway/store_watch.cpp
@@ -52,7 +52,7 @@
     beliefs_->epoch = epoch;
     // Entries that are not in the copy are written again, as after an outage.
     beliefs_->store_back = now;
-    beliefs_->leases.new_era(epoch);
+    beliefs_->leases.on_store_rollback(epoch);
     era_met_ = now;
     list_whole_ = false;
     declarations_whole_ = false;
--- a/src/Holding/fencing_number.hpp
+++ b/src/Holding/fencing_number.hpp
@@ -8,11 +8,11 @@
 
 /// Places of one era that fit below its part of a fencing number: a thousand
 /// claims a second for thirty years.
-inline constexpr unsigned era_shift = 40;
+inline constexpr unsigned epoch_shift = 40;
 
 /// @returns the least fencing number of an era
 constexpr std::uint64_t first_fencing_number(store_epoch epoch) noexcept {
-    return static_cast<std::uint64_t>(epoch) << era_shift;
+    return static_cast<std::uint64_t>(epoch) << epoch_shift;
 }
 
 /// Makes a fencing number of the place of a claim in the log. Guards against
--- a/src/Holding/load_pace.hpp
+++ b/src/Holding/load_pace.hpp
@@ -16,7 +16,7 @@
 /// widen it.
 /// Reference: D. Chiu, R. Jain, "Analysis of the increase and decrease
 /// algorithms for congestion avoidance", Computer Networks 17(1), 1989.
-class load_pace {
+class load_limiter {
 public:
     /// A load from the store begins.
     void begin() { ++under_way_; }
@@ -26,7 +26,7 @@
     bool may_begin() const { return under_way_ < whole_window(); }
 
     /// A load from the store has come.
-    void note(duration time) {
+    void record_load(duration time) {
         if (shortest_ == duration::zero()) {
             shortest_ = time;
             usual_ = time;
@@ -42,8 +42,8 @@
         }
     }
     /// A load of what the replica kept a copy of has come.
-    void note_kept(duration time) {
-        kept_ += (std::min(time, usual()) - kept_) / averaged;
+    void record_cached_load(duration time) {
+        kept_ += (std::min(time, typical_duration()) - kept_) / averaged;
     }
 
     /// The node orders for so many replicas, which share its window.
@@ -52,18 +52,20 @@
     }
     /// @returns how many loads one replica has under way in the mean while
     ///          all have some to do
-    double at_once() const { return window_ / static_cast<double>(replicas_); }
+    double loads_per_replica() const {
+        return window_ / static_cast<double>(replicas_);
+    }
     /// @returns when to ask first whether a load from the store has come
-    duration expected() const {
+    duration first_check_delay() const {
         return shortest_ == duration::zero() ? first_look
                                              : shortest_ - shortest_ / 20;
     }
     /// @returns how long a load from the store takes by now
-    duration usual() const {
+    duration typical_duration() const {
         return shortest_ == duration::zero() ? first_look : usual_;
     }
     /// @returns how long a load of what lies in the replica's memory takes
-    duration kept() const { return kept_; }
+    duration cached_duration() const { return kept_; }
 
 private:
     unsigned whole_window() const { return static_cast<unsigned>(window_); }
--- a/src/Holding/partition_leases.cpp
+++ b/src/Holding/partition_leases.cpp
@@ -4,7 +4,7 @@
 
 namespace camphorpoint {
 
-std::vector<std::size_t> partition_leases::granted(
+std::vector<std::size_t> partition_leases::on_renewal_granted(
     instant started, std::uint64_t generation,
     std::vector<std::size_t> const& partitions, instant now) {
     bool const lapsed = !valid(now);
@@ -34,7 +34,7 @@
     return fresh;
 }
 
-void partition_leases::failed(instant now) {
+void partition_leases::on_renewal_failed(instant now) {
     bool const in_lease = now < renewed_ + times_.lease;
     bool const in_row =
         failing_since_ != instant::max() && now < last_failure_ + times_.lease;
@@ -46,7 +46,7 @@
     last_failure_ = now;
 }
 
-bool partition_leases::fenced_as(std::size_t partition, std::uint64_t token) {
+bool partition_leases::set_token(std::size_t partition, std::uint64_t token) {
     // Guards against a number that another holder has too: a store that has
     // lost its newest records without saying so gives their places out again.
     // The claim is made again until its number is higher.
@@ -61,12 +61,13 @@
     return true;
 }
 
-void partition_leases::new_era(store_epoch epoch) {
+void partition_leases::on_store_rollback(store_epoch epoch) {
     era_ = std::max(era_, epoch);
     generation_ = 0;
 }
 
-void partition_leases::overtaken(std::size_t partition, std::uint64_t token) {
+void partition_leases::on_higher_token(
+    std::size_t partition, std::uint64_t token) {
     std::uint64_t& shown = shown_[partition];
     shown = std::max(shown, token);
     auto const found = held_.find(partition);
@@ -79,10 +80,10 @@
     held_.clear();
 }
 
-instant partition_leases::ends() const {
+instant partition_leases::expires_at() const {
     instant const granted = renewed_ + times_.lease;
     bool const outage =
-        times_.fences_checked && failing_since_ != instant::max();
+        times_.replicas_check_fencing && failing_since_ != instant::max();
     if (!outage) {
         return granted;
     }
@@ -101,7 +102,7 @@
     return found->second.token;
 }
 
-instant partition_leases::next_settled(instant now) const {
+instant partition_leases::next_settling_end(instant now) const {
     instant next = instant::max();
     for (auto const& [partition, each] : held_) {
         instant const settled = each.gained + times_.settling;
@@ -112,7 +113,7 @@
     return next;
 }
 
-std::vector<std::size_t> partition_leases::held() const {
+std::vector<std::size_t> partition_leases::held_partitions() const {
     std::vector<std::size_t> all;
     for (auto const& [partition, each] : held_) {
         if (!each.lost) {
@@ -123,7 +124,7 @@
 }
 
 std::optional<instant>
-partition_leases::held_since(std::size_t partition) const {
+partition_leases::exclusive_since(std::size_t partition) const {
     return holds(partition) ? std::optional(held_.at(partition).since)
                             : std::nullopt;
 }
@@ -133,7 +134,7 @@
     return found != held_.end() && !found->second.lost;
 }
 
-std::vector<std::size_t> partition_leases::without_token() const {
+std::vector<std::size_t> partition_leases::partitions_without_token() const {
     std::vector<std::size_t> all;
     for (auto const& [partition, each] : held_) {
         bool const claimed =
--- a/src/Holding/partition_leases.hpp
+++ b/src/Holding/partition_leases.hpp
@@ -31,7 +31,7 @@
     /// only where replicas check the fencing number, and no longer than this.
     std::chrono::milliseconds outage_extension{15'000};
     /// Replicas refuse an order with a lower fencing number than one they saw.
-    bool fences_checked = true;
+    bool replicas_check_fencing = true;
 };
 
 /// Which partitions of the replicas this node orders for, and until when.
@@ -48,21 +48,21 @@
     /// @param generation the group's generation in the answer
     /// @param partitions all that this node holds now
     /// @returns the partitions that are new to it: each needs a fencing number
-    std::vector<std::size_t> granted(
+    std::vector<std::size_t> on_renewal_granted(
         instant started, std::uint64_t generation,
         std::vector<std::size_t> const& partitions, instant now);
     /// A renewal was not granted, or had no answer.
-    void failed(instant now);
+    void on_renewal_failed(instant now);
     /// The fencing number for a partition was had from the log.
     /// @returns false when another holder has shown one as high: it must be had
     ///          again
-    bool fenced_as(std::size_t partition, std::uint64_t token);
+    bool set_token(std::size_t partition, std::uint64_t token);
     /// Another node has shown a higher fencing number for the partition.
-    void overtaken(std::size_t partition, std::uint64_t token);
+    void on_higher_token(std::size_t partition, std::uint64_t token);
     /// The store has come back from an older copy. What was claimed before is
     /// claimed again; until then orders go on under the old number, which each
     /// new one overrides.
-    void new_era(store_epoch epoch);
+    void on_store_rollback(store_epoch epoch);
     /// This node gives all up.
     void clear();
 
@@ -72,23 +72,23 @@
     token(std::size_t partition, instant now) const;
     /// @returns when the next partition may be ordered for that may not yet, as
     ///          it was gained a moment ago; max when there is none
-    instant next_settled(instant now) const;
+    instant next_settling_end(instant now) const;
     /// @returns all partitions that this node was given last, and those whose
     ///          fencing number is still missing or of an earlier era
-    std::vector<std::size_t> held() const;
-    std::vector<std::size_t> without_token() const;
+    std::vector<std::size_t> held_partitions() const;
+    std::vector<std::size_t> partitions_without_token() const;
     /// @returns since when no other can have ordered for the partition; nothing
     ///          when this node does not hold it
-    std::optional<instant> held_since(std::size_t partition) const;
+    std::optional<instant> exclusive_since(std::size_t partition) const;
     /// @returns true when this node was given the partition last
     bool holds(std::size_t partition) const;
     /// @returns the group's generation as told last
     std::uint64_t generation() const noexcept { return generation_; }
     /// @returns true when the lease counts at this time
-    bool valid(instant now) const { return now < ends(); }
+    bool valid(instant now) const { return now < expires_at(); }
     /// @returns when the lease ends as far as is known now: no order may leave
     ///          later
-    instant ends() const;
+    instant expires_at() const;
 
 private:
     struct holding {
--- a/src/Holding/slot_account.cpp
+++ b/src/Holding/slot_account.cpp
@@ -24,30 +24,30 @@
 
 } // namespace
 
-std::size_t slot_account::loading() const {
+std::size_t slot_tracker::loading_count() const {
     return static_cast<std::size_t>(
         std::ranges::count_if(slots_, [](auto const& each) {
             return each.second.state == slot_state::loading;
         }));
 }
 
-void slot_account::end_load(slot& of) {
+void slot_tracker::end_load(slot& of) {
     if (of.timed) {
-        pace_->end();
+        limiter_->end();
     }
     of.timed = false;
 }
 
-slot_account::~slot_account() {
+slot_tracker::~slot_tracker() {
     for (auto& [id, each] : slots_) {
         end_load(each);
     }
 }
 
-void slot_account::set_ready(
+void slot_tracker::set_ready(
     adapter_id const& id, slot& of, std::uint32_t version, instant now) {
     end_load(of);
-    of.busy_until = std::max(of.busy_until, now + limits_.rest_after_load);
+    of.busy_until = std::max(of.busy_until, now + limits_.cooldown_after_load);
     of.state = slot_state::resident;
     of.version = version;
     std::erase(recent_, id);
@@ -62,25 +62,26 @@
     }
 }
 
-bool slot_account::ready(adapter_ref const& adapter) const {
+bool slot_tracker::ready(adapter_ref const& adapter) const {
     auto const found = slots_.find(adapter.id);
     return found != slots_.end() &&
            found->second.state == slot_state::resident &&
            found->second.version >= adapter.version;
 }
 
-bool slot_account::under_way(adapter_id const& adapter) const {
+bool slot_tracker::command_pending(adapter_id const& adapter) const {
     auto const found = slots_.find(adapter);
     return found != slots_.end() && found->second.state != slot_state::resident;
 }
 
-bool slot_account::may_load(adapter_id const& id) const {
+bool slot_tracker::may_load(adapter_id const& id) const {
     // What the replica keeps a copy of does not use the way from the store.
-    return loading() < most_under_way && (kept(id) || pace_->may_begin());
+    return loading_count() < most_under_way &&
+           (kept(id) || limiter_->may_begin());
 }
 
-std::optional<slot_order>
-slot_account::load_order(adapter_id const& id, instant now) {
+std::optional<replica_command>
+slot_tracker::load_order(adapter_id const& id, instant now) {
     wanted const& by = wants_.at(id);
     model_id const model(id.str().substr(0, id.str().find('/')));
     bool const replaces = slots_.contains(id);
@@ -88,8 +89,11 @@
         if (!may_load(id)) {
             return std::nullopt;
         }
-        return slot_order{
-            slot_order_kind::load_adapter, model, {id, by.version}, sequence_};
+        return replica_command{
+            replica_command_kind::load_adapter,
+            model,
+            {id, by.version},
+            sequence_};
     }
     bool const dropping = std::ranges::any_of(slots_, [](auto const& each) {
         return each.second.state == slot_state::dropping;
@@ -103,14 +107,14 @@
     }
     model_id const its_model(
         least_used->str().substr(0, least_used->str().find('/')));
-    return slot_order{
-        slot_order_kind::unload_adapter,
+    return replica_command{
+        replica_command_kind::unload_adapter,
         its_model,
         {*least_used, 0},
         sequence_};
 }
 
-std::optional<slot_order> slot_account::next(instant now) {
+std::optional<replica_command> slot_tracker::next_command(instant now) {
     forget_old_wants(now);
     if (!known_ || must_report_ || busy_) {
         return std::nullopt;
@@ -122,8 +126,8 @@
         if (model_loading_ || wanted_model_.empty()) {
             return std::nullopt;
         }
-        return slot_order{
-            slot_order_kind::load_model, wanted_model_, {}, sequence_};
+        return replica_command{
+            replica_command_kind::load_model, wanted_model_, {}, sequence_};
     }
     if (auto check = check_order(now)) {
         return check;
@@ -133,7 +137,7 @@
         return std::nullopt;
     }
     auto order = load_order(*wanted_now, now);
-    if (order && order->kind == slot_order_kind::unload_adapter) {
+    if (order && order->kind == replica_command_kind::unload_adapter) {
         // Told before the order leaves, so that no request goes there any more.
         slot& going = slots_.at(order->adapter.id);
         going.check_at = {};
@@ -144,16 +148,16 @@
     return order;
 }
 
-std::optional<slot_order> slot_account::check_order(instant now) const {
+std::optional<replica_command> slot_tracker::check_order(instant now) const {
     for (auto const& [id, each] : slots_) {
         if (each.state == slot_state::resident || now < each.check_at) {
             continue;
         }
         bool const load = each.state == slot_state::loading;
         model_id const model(id.str().substr(0, id.str().find('/')));
-        return slot_order{
-            load ? slot_order_kind::load_adapter
-                 : slot_order_kind::unload_adapter,
+        return replica_command{
+            load ? replica_command_kind::load_adapter
+                 : replica_command_kind::unload_adapter,
             model,
             {id, load ? each.version : 0},
             sequence_};
@@ -161,41 +165,41 @@
     return std::nullopt;
 }
 
-void slot_account::ordered_again(
-    slot_order const& order, slot_answer answer, instant now) {
+void slot_tracker::ordered_again(
+    replica_command const& order, command_result answer, instant now) {
     slot& of = slots_.at(order.adapter.id);
     of.check_at = now + check_pause;
-    if (answer != slot_answer::holds) {
+    if (answer != command_result::already_done) {
         return;
     }
-    if (order.kind == slot_order_kind::unload_adapter) {
+    if (order.kind == replica_command_kind::unload_adapter) {
         slots_.erase(order.adapter.id);
         return;
     }
     if (of.timed) {
         end_load(of);
-        pace_->note(now - of.since);
+        limiter_->record_load(now - of.since);
     } else if (kept(order.adapter.id)) {
-        pace_->note_kept(now - of.since);
+        limiter_->record_cached_load(now - of.since);
     }
     set_ready(order.adapter.id, of, of.version, now);
 }
 
-void slot_account::began(slot_order const& order, bool done, instant now) {
+void slot_tracker::began(replica_command const& order, bool done, instant now) {
     adapter_id const& id = order.adapter.id;
-    bool const load = order.kind != slot_order_kind::unload_adapter;
+    bool const load = order.kind != replica_command_kind::unload_adapter;
     // A load of what lies there already is not counted by the replica.
     if (!done || !load) {
-        sequence_ = order.expect + 1;
+        sequence_ = order.expected_count + 1;
         last_counted_ = now;
     }
-    if (order.kind == slot_order_kind::load_model) {
+    if (order.kind == replica_command_kind::load_model) {
         model_loading_ = true;
         model_ordered_ = now;
         report_after_ = now + model_look;
         return;
     }
-    if (order.kind == slot_order_kind::unload_adapter) {
+    if (order.kind == replica_command_kind::unload_adapter) {
         slots_.at(id).shown_from = sequence_;
         slots_.at(id).check_at = now + check_pause;
         if (done) {
@@ -218,16 +222,17 @@
     end_load(of);
     of.timed = !replaces && !copied && !done;
     if (of.timed) {
-        pace_->begin();
+        limiter_->begin();
     }
-    of.check_at =
-        now + (copied ? pace_->kept() - pace_->kept() / 10 : pace_->expected());
+    of.check_at = now + (copied ? limiter_->cached_duration() -
+                                      limiter_->cached_duration() / 10
+                                : limiter_->first_check_delay());
     if (done) {
         set_ready(id, of, order.adapter.version, now);
     }
 }
 
-void slot_account::lost(slot_order const& order, instant now) {
+void slot_tracker::lost(replica_command const& order, instant now) {
     auto const found = slots_.find(order.adapter.id);
     bool const again = found != slots_.end() &&
                        found->second.state != slot_state::resident &&
@@ -247,11 +252,11 @@
     report_after_ = now + report_retry;
 }
 
-void slot_account::answered(
-    slot_order const& order, slot_answer answer, instant now) {
+void slot_tracker::on_result(
+    replica_command const& order, command_result answer, instant now) {
     auto const found = slots_.find(order.adapter.id);
-    bool const done = answer == slot_answer::holds;
-    if (answer == slot_answer::lost) {
+    bool const done = answer == command_result::already_done;
+    if (answer == command_result::no_answer) {
         lost(order, now);
         return;
     }
@@ -262,7 +267,7 @@
     bool const again = found != slots_.end() &&
                        found->second.state != slot_state::resident &&
                        found->second.check_at != instant{};
-    if (done || answer == slot_answer::accepted) {
+    if (done || answer == command_result::accepted) {
         if (again) {
             ordered_again(order, answer, now);
         } else {
@@ -274,22 +279,22 @@
         found->second.check_at = now + check_pause;
     } else if (
         found != slots_.end() &&
-        order.kind == slot_order_kind::unload_adapter) {
+        order.kind == replica_command_kind::unload_adapter) {
         found->second.state = slot_state::resident;
         changes_.push_back({{order.adapter.id, found->second.version}, true});
     }
-    must_report_ = answer != slot_answer::unsent;
+    must_report_ = answer != command_result::not_sent;
     report_after_ = now;
-    if (answer == slot_answer::rejected) {
+    if (answer == command_result::rejected) {
         wants_.erase(order.adapter.id);
     }
 }
 
-std::vector<slot_change> slot_account::take_changes() {
+std::vector<residency_change> slot_tracker::drain_changes() {
     return std::exchange(changes_, {});
 }
 
-instant slot_account::next_look(instant now) const {
+instant slot_tracker::next_check_at(instant now) const {
     instant look = now + idle_look;
     if (!known_ || must_report_ || busy_ || model_loading_) {
         look = std::max(report_after_, now);
--- a/src/Holding/slot_account.hpp
+++ b/src/Holding/slot_account.hpp
@@ -24,20 +24,20 @@
     unsigned slots = 1;
     /// An adapter whose use was told a shorter time ago counts as in use. Nodes
     /// repeat their uses every 200 ms while requests run.
-    std::chrono::milliseconds use_lasts{500};
+    std::chrono::milliseconds use_timeout{500};
     /// One whose last request has ended is free after this: the next one may
     /// be on its way already. Of eight slots on a replica half a second's rest
     /// after each use took one or two.
-    std::chrono::milliseconds rest_after_use{100};
+    std::chrono::milliseconds cooldown_after_use{100};
     /// One that has just come is kept for whoever waited for it.
-    std::chrono::milliseconds rest_after_load{300};
+    std::chrono::milliseconds cooldown_after_load{300};
 };
 
 /// A change of what a replica holds, to be told to all nodes.
-struct slot_change {
+struct residency_change {
     adapter_ref adapter;
     /// False when it is about to go.
-    bool held = true;
+    bool resident = true;
 };
 
 /// The account of one replica's adapter slots, kept by the one node that orders
@@ -48,50 +48,52 @@
 /// name the same number the replica carries out one. After an order without
 /// answer that same order is given again, and nothing else until it is answered
 /// or a report shows whether it counted.
-class slot_account {
+class slot_tracker {
 public:
     /// @param limits what the replica has room for
     /// @param pace   how long loads take, of all accounts of a node. Shared: an
     ///               account ends its loads there, also one that a suspended
     ///               coroutine keeps until the node's services are gone.
-    slot_account(slot_limits limits, std::shared_ptr<load_pace> pace)
+    slot_tracker(slot_limits limits, std::shared_ptr<load_limiter> limiter)
         : limits_(limits)
-        , pace_(std::move(pace)) {}
-    ~slot_account();
-    slot_account(slot_account const&) = delete;
-    slot_account& operator=(slot_account const&) = delete;
+        , limiter_(std::move(limiter)) {}
+    ~slot_tracker();
+    slot_tracker(slot_tracker const&) = delete;
+    slot_tracker& operator=(slot_tracker const&) = delete;
 
     /// Takes a report as the truth, but for orders that it is too old to show.
-    void reported(replica_report const& report, instant now);
+    void apply_report(replica_report const& report, instant now);
     /// @returns true when a report must be read before anything is ordered, or
     ///          to see whether a load has come
     bool report_due(instant now) const;
     /// The replica may have started again: a report comes before any order.
-    void distrust() noexcept;
+    void require_report() noexcept;
     /// A report could not be read.
-    void report_failed(instant now);
+    void on_report_failed(instant now);
 
     /// Requests wait for this adapter here, or should find it here.
     /// @param version the least version that will do; 0 for any
     /// @param kind    for whom
-    void want(adapter_ref const& adapter, want_kind kind, instant now);
+    void
+    request_load(adapter_ref const& adapter, load_priority kind, instant now);
     /// @returns true when the adapter could be loaded, or is being loaded: a
     ///          slot is free, or one is held by what nobody uses
-    bool has_room_for(adapter_id const& adapter, instant now) const;
+    bool has_capacity_for(adapter_id const& adapter, instant now) const;
     /// @returns how long it should take until the adapter is ready here, if it
     ///          is wanted now
     duration expected_wait(
-        adapter_ref const& adapter, want_kind kind, instant now) const;
+        adapter_ref const& adapter, load_priority kind, instant now) const;
     /// Requests use this adapter here, or have just done so. Repeated while
     /// requests run.
     /// @param running some node's requests run with it now
-    void used(adapter_id const& adapter, bool running, instant now);
+    void record_use(adapter_id const& adapter, bool running, instant now);
 
     /// @returns what to order next; nothing while there is nothing to do, or
     ///          while a report is due
-    std::optional<slot_order> next(instant now);
+    std::optional<replica_command> next_command(instant now);
     /// Takes up what became of the order that `next` gave last.
-    void answered(slot_order const& order, slot_answer answer, instant now);
+    void
+    on_result(replica_command const& order, command_result answer, instant now);
 
     /// @returns true when the adapter lies there ready, in this version or a
     ///          newer one
@@ -99,35 +101,35 @@
     /// @returns true when the report has been read and a base model lies there
     bool has_model() const noexcept { return !models_.empty(); }
     /// @returns true when a report was taken
-    bool known() const noexcept { return known_; }
+    bool has_report() const noexcept { return known_; }
     /// @returns adapters that take a slot
-    std::size_t taken() const noexcept { return slots_.size(); }
+    std::size_t occupied_slots() const noexcept { return slots_.size(); }
     /// @returns true when an order on the adapter is being carried out
-    bool under_way(adapter_id const& adapter) const;
+    bool command_pending(adapter_id const& adapter) const;
     /// @returns loads under way
-    std::size_t loading() const;
+    std::size_t loading_count() const;
     /// @returns adapters that could be loaded at once, less those that wait
-    int spare_slots(instant now) const;
+    int available_slots(instant now) const;
     /// Decides whether a request that has just asked may wait here.
     /// @param patience how long it may wait to be in time
     /// @returns nothing when it may, else how long it would take
-    std::optional<duration> turn_away(
-        adapter_ref const& adapter, want_kind kind, duration patience,
+    std::optional<duration> refused_wait(
+        adapter_ref const& adapter, load_priority kind, duration patience,
         instant now) const;
     /// @returns true when the adapter is waited for here already
-    bool wanted_already(adapter_id const& adapter) const {
+    bool load_requested(adapter_id const& adapter) const {
         return wants_.contains(adapter);
     }
     /// @returns wants that are not met yet
-    std::size_t waiting() const noexcept { return wants_.size(); }
+    std::size_t pending_requests() const noexcept { return wants_.size(); }
     /// @returns what has changed since the last call
-    std::vector<slot_change> take_changes();
+    std::vector<residency_change> drain_changes();
     /// @returns when `next` or `report_due` should be asked again at the latest
-    instant next_look(instant now) const;
+    instant next_check_at(instant now) const;
     /// The base model that an empty replica is to load.
-    void set_model(model_id model) { wanted_model_ = std::move(model); }
+    void set_base_model(model_id model) { wanted_model_ = std::move(model); }
     /// @returns true when that model was named
-    bool model_named() const noexcept { return !wanted_model_.empty(); }
+    bool base_model_set() const noexcept { return !wanted_model_.empty(); }
 
 private:
     enum class slot_state : std::uint8_t { loading, resident, dropping };
@@ -150,7 +152,7 @@
         std::uint32_t version = 0;
         instant first;
         instant last;
-        want_kind kind = want_kind::ahead;
+        load_priority kind = load_priority::prefetch;
         /// The replica keeps a copy: the load takes a tenth and holds up none.
         bool kept = false;
     };
@@ -165,12 +167,13 @@
     static bool goes_before(wanted const& left, wanted const& right);
     std::optional<adapter_id> first_want(instant now) const;
     std::optional<adapter_id> victim(instant now) const;
-    std::optional<slot_order> check_order(instant now) const;
-    void
-    ordered_again(slot_order const& order, slot_answer answer, instant now);
-    void began(slot_order const& order, bool done, instant now);
-    void lost(slot_order const& order, instant now);
-    std::optional<slot_order> load_order(adapter_id const& id, instant now);
+    std::optional<replica_command> check_order(instant now) const;
+    void ordered_again(
+        replica_command const& order, command_result answer, instant now);
+    void began(replica_command const& order, bool done, instant now);
+    void lost(replica_command const& order, instant now);
+    std::optional<replica_command>
+    load_order(adapter_id const& id, instant now);
     bool may_load(adapter_id const& id) const;
     void end_load(slot& of);
     void set_ready(
@@ -181,7 +184,7 @@
     static constexpr duration report_retry = std::chrono::milliseconds(250);
 
     slot_limits limits_;
-    std::shared_ptr<load_pace> pace_;
+    std::shared_ptr<load_limiter> limiter_;
     slot_releases releases_;
     /// Adapters that lay here, newest last; the replica keeps copies of some.
     std::vector<adapter_id> recent_;
@@ -199,9 +202,9 @@
     std::vector<model_id> models_;
     std::unordered_map<adapter_id, slot> slots_;
     std::unordered_map<adapter_id, wanted> wants_;
-    std::vector<slot_change> changes_;
+    std::vector<residency_change> changes_;
     /// The order that had no answer, and how often it was given.
-    std::optional<slot_order> unanswered_;
+    std::optional<replica_command> unanswered_;
     unsigned times_unanswered_ = 0;
 };
 
--- a/src/Holding/slot_account_reports.cpp
+++ b/src/Holding/slot_account_reports.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-bool slot_account::report_due(instant now) const {
+bool slot_tracker::report_due(instant now) const {
     if (now < report_after_) {
         return false;
     }
@@ -26,16 +26,16 @@
     return false;
 }
 
-void slot_account::distrust() noexcept {
+void slot_tracker::require_report() noexcept {
     must_report_ = true;
     report_after_ = {};
 }
 
-void slot_account::report_failed(instant now) {
+void slot_tracker::on_report_failed(instant now) {
     report_after_ = now + report_retry;
 }
 
-void slot_account::take_resident(adapter_ref const& each, instant now) {
+void slot_tracker::take_resident(adapter_ref const& each, instant now) {
     auto const [place, fresh] = slots_.try_emplace(each.id);
     slot& of = place->second;
     if (fresh) {
@@ -43,7 +43,7 @@
         of.last_used = now;
         of.shown_from = sequence_;
         // Whoever uses it repeats so before this has passed.
-        of.busy_until = now + limits_.use_lasts;
+        of.busy_until = now + limits_.use_timeout;
         set_ready(each.id, of, each.version, now);
         return;
     }
@@ -62,7 +62,7 @@
     }
 }
 
-void slot_account::begin_anew() {
+void slot_tracker::begin_anew() {
     for (auto& [id, of] : slots_) {
         if (of.state == slot_state::resident) {
             changes_.push_back({{id, of.version}, false});
@@ -77,7 +77,7 @@
     known_ = false;
 }
 
-void slot_account::reported(replica_report const& report, instant now) {
+void slot_tracker::apply_report(replica_report const& report, instant now) {
     report_after_ = now + report_pause;
     if (born_ && report.born && report.born != born_) {
         begin_anew();
@@ -113,7 +113,7 @@
     drop_not_shown(report, now);
 }
 
-void slot_account::drop_not_shown(replica_report const& report, instant now) {
+void slot_tracker::drop_not_shown(replica_report const& report, instant now) {
     auto const shown = [&](adapter_id const& id) {
         auto const same = [&](adapter_ref const& each) {
             return each.id == id;
@@ -124,7 +124,7 @@
     for (auto each = slots_.begin(); each != slots_.end();) {
         slot& of = each->second;
         bool const too_young = of.state == slot_state::loading &&
-                               now < of.since + pace_->expected();
+                               now < of.since + limiter_->first_check_delay();
         if (report.sequence < of.shown_from || shown(each->first) ||
             too_young) {
             ++each;
--- a/src/Holding/slot_account_wants.cpp
+++ b/src/Holding/slot_account_wants.cpp
@@ -13,8 +13,8 @@
 
 } // namespace
 
-void slot_account::want(
-    adapter_ref const& adapter, want_kind kind, instant now) {
+void slot_tracker::request_load(
+    adapter_ref const& adapter, load_priority kind, instant now) {
     if (ready(adapter)) {
         return;
     }
@@ -29,7 +29,8 @@
     of.kind = std::min(of.kind, kind);
 }
 
-bool slot_account::has_room_for(adapter_id const& adapter, instant now) const {
+bool slot_tracker::has_capacity_for(
+    adapter_id const& adapter, instant now) const {
     if (!known_ || slots_.contains(adapter) || wants_.contains(adapter) ||
         slots_.size() < limits_.slots) {
         return true;
@@ -37,7 +38,7 @@
     return free_slots(now) > wants_.size();
 }
 
-unsigned slot_account::free_slots(instant now) const {
+unsigned slot_tracker::free_slots(instant now) const {
     auto const used_slots = std::ranges::count_if(slots_, [&](auto const& at) {
         slot const& of = at.second;
         bool const goes = of.state == slot_state::dropping;
@@ -49,23 +50,25 @@
            std::min(limits_.slots, static_cast<unsigned>(used_slots));
 }
 
-int slot_account::spare_slots(instant now) const {
+int slot_tracker::available_slots(instant now) const {
     auto const waiting = std::ranges::count_if(wants_, [&](auto const& each) {
-        return each.second.kind != want_kind::ahead && !under_way(each.first);
+        return each.second.kind != load_priority::prefetch &&
+               !command_pending(each.first);
     });
     return static_cast<int>(free_slots(now)) - static_cast<int>(waiting);
 }
 
-bool slot_account::kept(adapter_id const& id) const {
+bool slot_tracker::kept(adapter_id const& id) const {
     return std::ranges::find(recent_, id) != recent_.end();
 }
 
-duration slot_account::load_time(adapter_id const& id) const {
-    return kept(id) ? pace_->kept() : pace_->usual();
+duration slot_tracker::load_time(adapter_id const& id) const {
+    return kept(id) ? limiter_->cached_duration()
+                    : limiter_->typical_duration();
 }
 
-duration slot_account::expected_wait(
-    adapter_ref const& adapter, want_kind kind, instant now) const {
+duration slot_tracker::expected_wait(
+    adapter_ref const& adapter, load_priority kind, instant now) const {
     if (ready(adapter)) {
         return duration::zero();
     }
@@ -78,7 +81,7 @@
     by.free = free_slots(now);
     by.release_pause = releases_.pause(now);
     by.load = load;
-    by.at_once = pace_->at_once();
+    by.at_once = limiter_->loads_per_replica();
     wanted asked;
     asked.kind = kind;
     asked.kept = kept(adapter.id);
@@ -102,21 +105,23 @@
     return expected_ready(by);
 }
 
-std::optional<duration> slot_account::turn_away(
-    adapter_ref const& adapter, want_kind kind, duration patience,
+std::optional<duration> slot_tracker::refused_wait(
+    adapter_ref const& adapter, load_priority kind, duration patience,
     instant now) const {
     duration const wait = expected_wait(adapter, kind, now);
     // Guards against forecasts that forbid what would correct them: where loads
     // are believed to take too long, none would be ordered, and none would show
     // that they do not. Where they really do, no adapter would ever come. With
     // a slot and the way free it is nowhere ready sooner.
-    bool const at_once = spare_slots(now) > 0 && pace_->may_begin();
-    bool const taken = kind == want_kind::ahead ? has_room_for(adapter.id, now)
-                                                : at_once || wait <= patience;
+    bool const at_once = available_slots(now) > 0 && limiter_->may_begin();
+    bool const taken = kind == load_priority::prefetch
+                           ? has_capacity_for(adapter.id, now)
+                           : at_once || wait <= patience;
     return taken ? std::nullopt : std::optional(wait);
 }
 
-void slot_account::used(adapter_id const& adapter, bool running, instant now) {
+void slot_tracker::record_use(
+    adapter_id const& adapter, bool running, instant now) {
     auto const found = slots_.find(adapter);
     if (found == slots_.end()) {
         return;
@@ -124,29 +129,29 @@
     slot& of = found->second;
     of.last_used = now;
     of.busy_until =
-        now + (running ? limits_.use_lasts : limits_.rest_after_use);
+        now + (running ? limits_.use_timeout : limits_.cooldown_after_use);
     if (!running) {
         releases_.note(now);
     }
 }
 
-void slot_account::forget_old_wants(instant now) {
+void slot_tracker::forget_old_wants(instant now) {
     std::erase_if(wants_, [&](auto const& each) {
         return now >= each.second.last + want_lasts;
     });
 }
 
-bool slot_account::resting(slot const& of, instant now) {
+bool slot_tracker::resting(slot const& of, instant now) {
     return now >= of.busy_until;
 }
 
-bool slot_account::goes_before(wanted const& left, wanted const& right) {
+bool slot_tracker::goes_before(wanted const& left, wanted const& right) {
     // A kept copy comes in a tenth of the time and holds up nobody.
     return std::tuple(left.kind, !left.kept, left.first) <
            std::tuple(right.kind, !right.kept, right.first);
 }
 
-std::optional<adapter_id> slot_account::first_want(instant now) const {
+std::optional<adapter_id> slot_tracker::first_want(instant now) const {
     std::optional<adapter_id> best;
     wanted const* best_want = nullptr;
     for (auto const& [id, each] : wants_) {
@@ -169,7 +174,7 @@
     return best;
 }
 
-std::optional<adapter_id> slot_account::victim(instant now) const {
+std::optional<adapter_id> slot_tracker::victim(instant now) const {
     std::optional<adapter_id> best;
     slot const* best_slot = nullptr;
     for (auto const& [id, each] : slots_) {
--- a/src/Holding/slot_names.cpp
+++ b/src/Holding/slot_names.cpp
@@ -3,45 +3,45 @@
 
 namespace camphorpoint {
 
-std::string_view to_string(want_kind kind) {
+std::string_view to_string(load_priority kind) {
     switch (kind) {
-    case want_kind::waited_for:
+    case load_priority::demand:
         return "waited-for";
-    case want_kind::ahead:
+    case load_priority::prefetch:
         return "ahead";
     }
     return "";
 }
 
-std::string_view to_string(slot_order_kind kind) {
+std::string_view to_string(replica_command_kind kind) {
     switch (kind) {
-    case slot_order_kind::load_model:
+    case replica_command_kind::load_model:
         return "load-model";
-    case slot_order_kind::load_adapter:
+    case replica_command_kind::load_adapter:
         return "load-adapter";
-    case slot_order_kind::unload_adapter:
+    case replica_command_kind::unload_adapter:
         return "unload-adapter";
     }
     return "";
 }
 
-std::string_view to_string(slot_answer answer) {
+std::string_view to_string(command_result answer) {
     switch (answer) {
-    case slot_answer::accepted:
+    case command_result::accepted:
         return "accepted";
-    case slot_answer::holds:
+    case command_result::already_done:
         return "holds";
-    case slot_answer::out_of_step:
+    case command_result::out_of_sequence:
         return "out-of-step";
-    case slot_answer::fenced:
+    case command_result::fenced:
         return "fenced";
-    case slot_answer::other_replica:
+    case command_result::wrong_replica:
         return "other-replica";
-    case slot_answer::rejected:
+    case command_result::rejected:
         return "rejected";
-    case slot_answer::unsent:
+    case command_result::not_sent:
         return "unsent";
-    case slot_answer::lost:
+    case command_result::no_answer:
         return "lost";
     }
     return "";
--- a/src/Holding/want_kind.hpp
+++ b/src/Holding/want_kind.hpp
@@ -6,14 +6,14 @@
 namespace camphorpoint {
 
 /// For whom an adapter is wanted; what comes first here is loaded first.
-enum class want_kind : std::uint8_t {
+enum class load_priority : std::uint8_t {
     /// Requests wait for it.
-    waited_for,
+    demand,
     /// Nobody waits for it yet.
-    ahead
+    prefetch
 };
 
 /// @returns its name in logs
-std::string_view to_string(want_kind kind);
+std::string_view to_string(load_priority kind);
 
 } // namespace camphorpoint
--- a/src/Serving/content_router.cpp
+++ b/src/Serving/content_router.cpp
@@ -32,23 +32,24 @@
 constexpr std::size_t most_remembered = 16'384;
 constexpr duration remembered_for = std::chrono::minutes(10);
 
-std::uint64_t number_of(content_digest content) {
+std::uint64_t number_of(request_fingerprint content) {
     return static_cast<std::uint64_t>(content);
 }
 
-told_content wire_of(quarantine_word const& word) {
+quarantine_entry wire_of(quarantine_update const& word) {
     return {
-        number_of(word.content), word.turn,
+        number_of(word.fingerprint), word.revision,
         static_cast<std::uint64_t>(
-            std::chrono::ceil<std::chrono::milliseconds>(word.left).count())};
+            std::chrono::ceil<std::chrono::milliseconds>(word.remaining)
+                .count())};
 }
 
-quarantine_word word_of(told_content const& told) {
+quarantine_update word_of(quarantine_entry const& told) {
     // A peer's figure may be any: it must not overflow when it is added.
     constexpr std::uint64_t longest_ms = 86'400'000;
     return {
-        content_digest{told.content}, told.turn,
-        std::chrono::milliseconds(std::min(told.left_ms, longest_ms))};
+        request_fingerprint{told.fingerprint}, told.revision,
+        std::chrono::milliseconds(std::min(told.remaining_ms, longest_ms))};
 }
 
 } // namespace
@@ -62,7 +63,8 @@
     , asks_left_(asked_at_start) {}
 
 // Rendezvous hashing: a node that comes or goes moves only what it counts.
-std::vector<node_id> content_router::counters_of(content_digest content) const {
+std::vector<node_id>
+content_router::counters_of(request_fingerprint content) const {
     std::vector<std::pair<std::uint64_t, node_id>> ranked;
     for (live_node const& each : services_.members.live_nodes()) {
         std::uint64_t const weight =
@@ -107,27 +109,27 @@
     return combine_hashes(endpoint, seen.starts);
 }
 
-void content_router::count_end(content_ended const& end, instant now) {
+void content_router::count_end(replica_crash_message const& end, instant now) {
     std::uint64_t const start = start_of(end.endpoint, now);
-    content_digest const content{end.content};
-    auto const word = services_.quarantine.note_end(content, start, now);
+    request_fingerprint const content{end.fingerprint};
+    auto const word = services_.quarantine.record_crash(content, start, now);
     if (!word) {
         return;
     }
     outbox_.act(log_event{
         event_code::content_held, log_level::warning,
         fmt::format(
-            "content={} turn={} by={}", to_string(content), word->turn,
+            "content={} turn={} by={}", to_string(content), word->revision,
             outbox_.self().str())});
     spread(*word);
 }
 
 bool content_router::on_broken(
-    content_digest content, endpoint_id const& at, instant now) {
+    request_fingerprint content, endpoint_id const& at, instant now) {
     if (told_.size() < most_remembered || told_.contains(content)) {
         told_[content] = now;
     }
-    content_ended const end{number_of(content), hash_text(at.str())};
+    replica_crash_message const end{number_of(content), hash_text(at.str())};
     count_end(end, now);
     bool others = false;
     for (node_id const& each : counters_of(content)) {
@@ -139,7 +141,7 @@
     return others;
 }
 
-void content_router::on_served(content_digest content, instant now) {
+void content_router::on_served(request_fingerprint content, instant now) {
     clear(content, now);
     // Few contents have had an end, so that a run which ends well costs no
     // message.
@@ -148,65 +150,68 @@
     }
     for (node_id const& each : counters_of(content)) {
         if (each != outbox_.self()) {
-            outbox_.send(each, content_served{number_of(content)});
+            outbox_.send(each, request_success_message{number_of(content)});
         }
     }
 }
 
-void content_router::clear(content_digest content, instant /*now*/) {
-    auto const word = services_.quarantine.note_whole(content);
+void content_router::clear(request_fingerprint content, instant /*now*/) {
+    auto const word = services_.quarantine.record_success(content);
     if (!word) {
         return;
     }
     outbox_.act(log_event{
         event_code::content_cleared, log_level::info,
         fmt::format(
-            "content={} turn={} by={}", to_string(content), word->turn,
+            "content={} turn={} by={}", to_string(content), word->revision,
             outbox_.self().str())});
     spread(*word);
 }
 
-void content_router::spread(quarantine_word const& word) {
+void content_router::spread(quarantine_update const& word) {
     for (node_id const& each : some_others(spread_to)) {
-        outbox_.send(each, content_words{{wire_of(word)}});
+        outbox_.send(each, quarantine_message{{wire_of(word)}});
     }
 }
 
 void content_router::on_message(
-    node_id const& /*from*/, content_ended const& told, instant now) {
+    node_id const& /*from*/, replica_crash_message const& told, instant now) {
     count_end(told, now);
 }
 
 void content_router::on_message(
-    node_id const& /*from*/, content_served const& told, instant now) {
-    clear(content_digest{told.content}, now);
+    node_id const& /*from*/, request_success_message const& told, instant now) {
+    clear(request_fingerprint{told.fingerprint}, now);
 }
 
 void content_router::on_message(
-    node_id const& from, content_words const& told, instant now) {
-    for (told_content const& each : told.words) {
-        quarantine_word const word = word_of(each);
-        if (!services_.quarantine.take(word, now)) {
+    node_id const& from, quarantine_message const& told, instant now) {
+    for (quarantine_entry const& each : told.entries) {
+        quarantine_update const word = word_of(each);
+        if (!services_.quarantine.apply(word, now)) {
             continue;
         }
-        event_code const what = word.held() ? event_code::content_held
-                                            : event_code::content_cleared;
+        event_code const what = word.quarantined()
+                                    ? event_code::content_held
+                                    : event_code::content_cleared;
         outbox_.act(log_event{
             what, log_level::warning,
             fmt::format(
-                "content={} turn={} by={}", to_string(word.content), word.turn,
-                from.str())});
+                "content={} turn={} by={}", to_string(word.fingerprint),
+                word.revision, from.str())});
         spread(word);
     }
 }
 
 void content_router::on_message(
-    node_id const& from, content_ask const& /*asked*/, instant now) {
-    content_words all;
-    for (quarantine_word const& each : services_.quarantine.all(now)) {
-        all.words.push_back(wire_of(each));
-    }
-    if (!all.words.empty()) {
+    node_id const& from, quarantine_sync_request const& /*asked*/,
+    instant now) {
+    quarantine_message all;
+    for (quarantine_update const& each :
+         services_.quarantine.all_updates(now)) {
+        all.entries.push_back(wire_of(each));
+    }
+    if (!all.entries.empty()) {
         outbox_.send(from, std::move(all));
     }
 }
@@ -217,7 +222,7 @@
         return;
     }
     for (node_id const& each : some_others(asks_left_)) {
-        outbox_.send(each, content_ask{});
+        outbox_.send(each, quarantine_sync_request{});
         --asks_left_;
     }
 }
@@ -227,16 +232,16 @@
         return;
     }
     next_round_ = now + round_period;
-    services_.quarantine.forget_old(now);
+    services_.quarantine.remove_expired(now);
     std::erase_if(told_, [now](auto const& each) {
         return now >= each.second + remembered_for;
     });
-    content_words message;
-    for (quarantine_word const& each :
-         services_.quarantine.some(words_a_round, now)) {
-        message.words.push_back(wire_of(each));
+    quarantine_message message;
+    for (quarantine_update const& each :
+         services_.quarantine.next_batch(words_a_round, now)) {
+        message.entries.push_back(wire_of(each));
     }
-    if (message.words.empty()) {
+    if (message.entries.empty()) {
         return;
     }
     for (node_id const& each : some_others(1)) {
--- a/src/Serving/content_router.hpp
+++ b/src/Serving/content_router.hpp
@@ -32,17 +32,19 @@
 
     /// An endpoint ended while it ran the content.
     /// @returns true when other nodes count it and may say that it is held
-    bool on_broken(content_digest content, endpoint_id const& at, instant now);
+    bool
+    on_broken(request_fingerprint content, endpoint_id const& at, instant now);
     /// A run of the content ended well.
-    void on_served(content_digest content, instant now);
+    void on_served(request_fingerprint content, instant now);
     /// A peer's word.
-    void
-    on_message(node_id const& from, content_ended const& told, instant now);
-    void
-    on_message(node_id const& from, content_served const& told, instant now);
-    void
-    on_message(node_id const& from, content_words const& told, instant now);
-    void on_message(node_id const& from, content_ask const& asked, instant now);
+    void on_message(
+        node_id const& from, replica_crash_message const& told, instant now);
+    void on_message(
+        node_id const& from, request_success_message const& told, instant now);
+    void on_message(
+        node_id const& from, quarantine_message const& told, instant now);
+    void on_message(
+        node_id const& from, quarantine_sync_request const& asked, instant now);
     /// Who is there may have changed: a node that has begun asks.
     void refresh_members();
     void on_tick(instant now);
@@ -54,11 +56,11 @@
         instant newest;
     };
 
-    void count_end(content_ended const& end, instant now);
-    void clear(content_digest content, instant now);
-    void spread(quarantine_word const& word);
+    void count_end(replica_crash_message const& end, instant now);
+    void clear(request_fingerprint content, instant now);
+    void spread(quarantine_update const& word);
     std::uint64_t start_of(std::uint64_t endpoint, instant now);
-    std::vector<node_id> counters_of(content_digest content) const;
+    std::vector<node_id> counters_of(request_fingerprint content) const;
     std::vector<node_id> some_others(std::size_t most);
 
     node_services& services_;
@@ -66,7 +68,7 @@
     std::mt19937_64 random_;
     std::unordered_map<std::uint64_t, endpoint_ends> ends_;
     /// Contents whose ends this node has told, and when it did last.
-    std::unordered_map<content_digest, instant> told_;
+    std::unordered_map<request_fingerprint, instant> told_;
     std::size_t asks_left_;
     instant next_round_{};
 };
--- a/src/Serving/node_core_settle.cpp
+++ b/src/Serving/node_core_settle.cpp
@@ -38,8 +38,9 @@
                                  key_noted, key_heartbeat, key_handover>) {
             keys_.on_message(from, each, clock_);
         } else if constexpr (is_one_of<
-                                 Message, content_ended, content_served,
-                                 content_words, content_ask>) {
+                                 Message, replica_crash_message,
+                                 request_success_message, quarantine_message,
+                                 quarantine_sync_request>) {
             contents_.on_message(from, each, clock_.now);
         } else {
             grants_.on_message(from, each, clock_.now);
--- a/src/Serving/node_services.hpp
+++ b/src/Serving/node_services.hpp
@@ -39,7 +39,7 @@
     placement<> choice;
     retry_budget retries;
     /// Contents that end the endpoints which run them.
-    content_quarantine quarantine;
+    request_quarantine quarantine;
     /// The weight store's budget, while this node owns it.
     store_budget store;
     /// This node's share of it, while its owner is out of reach.
--- a/src/Serving/peer_message.hpp
+++ b/src/Serving/peer_message.hpp
@@ -18,7 +18,7 @@
     grant_heartbeat, handover_offer, handover_accepted, holder_stopped,
     config_ask, config_records, config_state, key_ask, key_reply, key_finished,
     key_noted, key_heartbeat, key_handover, load_ask, load_allowed, load_denied,
-    load_ended, load_cancelled, content_ended, content_served, content_words,
-    content_ask>;
+    load_ended, load_cancelled, replica_crash_message, request_success_message,
+    quarantine_message, quarantine_sync_request>;
 
 } // namespace camphorpoint
--- a/src/Serving/request_services.cpp
+++ b/src/Serving/request_services.cpp
@@ -31,11 +31,11 @@
 
 // A stream that is resumed has no body by which its content is known; it goes
 // on where it ran before, and nowhere else.
-std::optional<content_digest> content_of(live_request const& request) {
+std::optional<request_fingerprint> content_of(live_request const& request) {
     if (request.asked.body_digest == 0) {
         return std::nullopt;
     }
-    return content_digest{combine_hashes(
+    return request_fingerprint{combine_hashes(
         hash_text(request.asked.profile.str()), request.asked.body_digest)};
 }
 
@@ -173,7 +173,7 @@
 std::optional<duration>
 request_services::held_for(live_request const& request, instant now) const {
     auto const content = content_of(request);
-    return content ? services_.quarantine.held_for(*content, now)
+    return content ? services_.quarantine.quarantined_for(*content, now)
                    : std::nullopt;
 }
 
--- a/src/Serving/request_tracker_routing.hpp
+++ b/src/Serving/request_tracker_routing.hpp
@@ -146,7 +146,7 @@
 }
 
 // Guards against one request that ends endpoint after endpoint; see
-// content_quarantine.
+// request_quarantine.
 template <request_environment Environment>
 void request_tracker<Environment>::give_up_held(
     live_request& request, duration held, instant now) {
--- a/test/delivery_test.cpp
+++ b/test/delivery_test.cpp
@@ -12,45 +12,45 @@
 // run", the caller books again, and the booking stands twice. "Not run" may be
 // said only while nothing was written or the replica itself said so.
 TEST_CASE("whether a request has run") {
-    attempt_ledger booking(false);
+    attempt_tracker booking(false);
     booking.begin();
 
     SUBCASE("nothing was written: it has not run and may go elsewhere") {
         CHECK_FALSE(booking.may_run());
-        CHECK(booking.may_send_again());
+        CHECK(booking.may_resend());
         CHECK(booking.sends() == 0);
     }
     SUBCASE("a byte was written: it may run, now or later") {
-        booking.written();
+        booking.on_sent();
         CHECK(booking.may_run());
-        CHECK_FALSE(booking.may_send_again());
+        CHECK_FALSE(booking.may_resend());
 
         SUBCASE("the replica says that it has not run it") {
-            booking.not_executed();
+            booking.on_not_executed();
             CHECK_FALSE(booking.may_run());
-            CHECK(booking.may_send_again());
+            CHECK(booking.may_resend());
         }
         SUBCASE("the replica begins to answer, and breaks off") {
-            booking.answering();
+            booking.on_answering();
             CHECK(booking.may_run());
-            CHECK_FALSE(booking.may_send_again());
+            CHECK_FALSE(booking.may_resend());
         }
         SUBCASE("a whole answer has come") {
-            booking.answering();
-            booking.ended();
+            booking.on_answering();
+            booking.on_completed();
             CHECK(booking.may_run());
         }
     }
     SUBCASE("a first attempt that may run taints the ones after it") {
-        attempt_ledger lookup(true);
+        attempt_tracker lookup(true);
         lookup.begin();
-        lookup.written();
+        lookup.on_sent();
         lookup.begin();
         CHECK(lookup.may_run());
-        lookup.written();
-        lookup.not_executed();
+        lookup.on_sent();
+        lookup.on_not_executed();
         CHECK(lookup.may_run());
-        CHECK(lookup.may_send_again());
+        CHECK(lookup.may_resend());
         CHECK(lookup.sends() == 2);
     }
 }
@@ -58,17 +58,17 @@
 // A quarter of the replicas crashes. Every request comes to the others a second
 // and a third time, and they go down under it too.
 TEST_CASE("second sends keep to the share of one node") {
-    second_send_limits limits;
+    resend_limits limits;
     limits.ratio = 0.2;
     limits.slack = 40;
     limits.window = seconds(10);
-    second_send_budget budget(limits);
+    resend_budget budget(limits);
     service_id const service("s");
     instant now{};
     now += seconds(100);
     auto const taken = [&](unsigned nodes) {
         int count = 0;
-        while (count < 1'000 && budget.take(service, nodes, now)) {
+        while (count < 1'000 && budget.try_consume(service, nodes, now)) {
             ++count;
         }
         return count;
@@ -76,18 +76,18 @@
 
     SUBCASE("with no requests a node has its part of the slack") {
         CHECK(taken(4) <= 10);
-        CHECK(budget.take(service, 1, now));
+        CHECK(budget.try_consume(service, 1, now));
     }
     SUBCASE("all nodes together stay below the bound") {
         constexpr unsigned nodes = 4;
         constexpr int requests = 100;
         int sum = 0;
         for (unsigned node = 0; node < nodes; ++node) {
-            second_send_budget own(limits);
+            resend_budget own(limits);
             for (int each = 0; each < requests; ++each) {
                 own.on_request(service, now);
             }
-            while (own.take(service, nodes, now)) {
+            while (own.try_consume(service, nodes, now)) {
                 ++sum;
             }
         }
@@ -96,13 +96,13 @@
     }
     SUBCASE("a window later there is room again") {
         taken(4);
-        CHECK_FALSE(budget.take(service, 4, now));
+        CHECK_FALSE(budget.try_consume(service, 4, now));
         now += seconds(12);
-        CHECK(budget.take(service, 4, now));
+        CHECK(budget.try_consume(service, 4, now));
     }
     SUBCASE("services do not share it") {
         taken(4);
-        CHECK(budget.take(service_id("other"), 4, now));
+        CHECK(budget.try_consume(service_id("other"), 4, now));
     }
 }
 
--- a/test/gateway/literal_answers_test.cpp
+++ b/test/gateway/literal_answers_test.cpp
@@ -393,7 +393,7 @@
 }
 
 // Guards against a stream that breaks off at what is no event to its client:
-// source as event_run's, a block without data is not dispatched.
+// source as attempt_stream's, a block without data is not dispatched.
 TEST_CASE("a block without data has no number and needs none") {
     literal_world world;
     std::string const body = "retry: 1000\n\n" + events(1, stream_events);
--- a/test/gateway/order_times_test.cpp
+++ b/test/gateway/order_times_test.cpp
@@ -36,7 +36,7 @@
         return read_header(socket, seen);
     });
     auto const send = [&](instant granted) {
-        leases.granted(granted, 1, {4}, granted);
+        leases.on_renewal_granted(granted, 1, {4}, granted);
         fetch_result result;
         loop.run([&]() -> asio::awaitable<void> {
             http_call call(loop.executor(), &pool);
--- a/test/gateway/second_sends_test.cpp
+++ b/test/gateway/second_sends_test.cpp
@@ -99,7 +99,7 @@
     constexpr instant now{std::chrono::hours(1)};
     boost::asio::io_context io;
     gateway_beliefs node(io, gateway_settings(), STDOUT_FILENO);
-    second_send_limits const limits;
+    resend_limits const limits;
 
     SUBCASE("nothing was dealt, and nobody is heard") {
         CHECK(limits.slack / node.slack_sharers(now) < 1);
@@ -107,7 +107,7 @@
     SUBCASE("a third was dealt, and nobody is heard") {
         std::vector<std::size_t> third(partition_count / 3);
         std::iota(third.begin(), third.end(), 0);
-        node.leases.granted(now, 1, third, now);
+        node.leases.on_renewal_granted(now, 1, third, now);
         CHECK(node.slack_sharers(now) == 3);
         instant const lapsed = now + limits.window;
         CHECK(limits.slack / node.slack_sharers(lapsed) < 1);
@@ -115,7 +115,7 @@
     SUBCASE("all was dealt: a node that is alone has all") {
         std::vector<std::size_t> every(partition_count);
         std::iota(every.begin(), every.end(), 0);
-        node.leases.granted(now, 1, every, now);
+        node.leases.on_renewal_granted(now, 1, every, now);
         CHECK(node.slack_sharers(now) == 1);
     }
 }
--- a/test/holding_fixture.hpp
+++ b/test/holding_fixture.hpp
@@ -19,19 +19,20 @@
 
 /// A replica's account, with three slots if not said otherwise, and the orders
 /// that it gives.
-struct account_world {
-    explicit account_world(unsigned slots = 3)
-        : account({slots}, pace) {
+struct slot_tracker_fixture {
+    explicit slot_tracker_fixture(unsigned slots = 3)
+        : tracker({slots}, limiter) {
         report.models = {model_id("m")};
-        account.reported(report, now);
-        account.take_changes();
+        tracker.apply_report(report, now);
+        tracker.drain_changes();
     }
     void pass(milliseconds time) { now += time; }
     void want(adapter_ref const& what) {
-        account.want(what, want_kind::waited_for, now);
+        tracker.request_load(what, load_priority::demand, now);
     }
-    slot_order expect_order(slot_order_kind kind, std::string const& name) {
-        auto const order = account.next(now);
+    replica_command
+    expect_order(replica_command_kind kind, std::string const& name) {
+        auto const order = tracker.next_command(now);
         REQUIRE(order);
         CHECK(order->kind == kind);
         CHECK(order->adapter.id == adapter(name).id);
@@ -40,18 +41,20 @@
     /// Loads an adapter whole.
     void load(std::string const& name) {
         want(adapter(name));
-        auto const order = expect_order(slot_order_kind::load_adapter, name);
-        account.answered(order, slot_answer::accepted, now);
+        auto const order =
+            expect_order(replica_command_kind::load_adapter, name);
+        tracker.on_result(order, command_result::accepted, now);
         pass(milliseconds(300));
-        auto const check = expect_order(slot_order_kind::load_adapter, name);
-        account.answered(check, slot_answer::holds, now);
-        REQUIRE(account.ready(adapter(name)));
+        auto const check =
+            expect_order(replica_command_kind::load_adapter, name);
+        tracker.on_result(check, command_result::already_done, now);
+        REQUIRE(tracker.ready(adapter(name)));
     }
 
     instant now = instant() + seconds(100);
     replica_report report;
-    std::shared_ptr<load_pace> pace = std::make_shared<load_pace>();
-    slot_account account;
+    std::shared_ptr<load_limiter> limiter = std::make_shared<load_limiter>();
+    slot_tracker tracker;
 };
 
 } // namespace camphorpoint::testing
--- a/test/load_forecast_test.cpp
+++ b/test/load_forecast_test.cpp
@@ -12,44 +12,44 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::account_world;
 using testing::adapter;
+using testing::slot_tracker_fixture;
 
 // Eighteen replicas load three adapters each at the same time. The way from the
 // store carries eight at full speed: all come after two seconds, none in time.
 TEST_CASE("loads that take longer are ordered one at a time") {
-    load_pace pace;
+    load_limiter limiter;
     auto const load = [&](milliseconds time) {
-        pace.begin();
-        pace.end();
-        pace.note(time);
+        limiter.begin();
+        limiter.end();
+        limiter.record_load(time);
     };
-    pace.begin();
-    CHECK(pace.may_begin());
-    pace.end();
+    limiter.begin();
+    CHECK(limiter.may_begin());
+    limiter.end();
     load(milliseconds(250));
     for (int each = 0; each < 8; ++each) {
         load(milliseconds(500));
     }
-    pace.begin();
-    CHECK_FALSE(pace.may_begin());
-    pace.note(milliseconds(260));
-    CHECK(pace.may_begin());
-    pace.end();
+    limiter.begin();
+    CHECK_FALSE(limiter.may_begin());
+    limiter.record_load(milliseconds(260));
+    CHECK(limiter.may_begin());
+    limiter.end();
 
     SUBCASE("also where each load takes longer than elsewhere") {
-        load_pace slow;
+        load_limiter slow;
         for (int each = 0; each < 4; ++each) {
             slow.begin();
             slow.begin();
             slow.end();
-            slow.note(milliseconds(900));
+            slow.record_load(milliseconds(900));
             slow.end();
         }
         slow.begin();
         slow.begin();
         CHECK(slow.may_begin());
-        CHECK(slow.usual() == milliseconds(900));
+        CHECK(slow.typical_duration() == milliseconds(900));
     }
 }
 
@@ -77,25 +77,26 @@
     }
 
     SUBCASE("by the account: resident, kept, never seen") {
-        account_world world;
+        slot_tracker_fixture world;
         world.load("a");
         CHECK(
-            world.account.expected_wait(
-                adapter("a"), want_kind::waited_for, world.now) ==
+            world.tracker.expected_wait(
+                adapter("a"), load_priority::demand, world.now) ==
             duration::zero());
-        duration const fetched = world.account.expected_wait(
-            adapter("b"), want_kind::waited_for, world.now);
+        duration const fetched = world.tracker.expected_wait(
+            adapter("b"), load_priority::demand, world.now);
         world.want(adapter("b"));
         CHECK(
-            world.account.expected_wait(
-                adapter("c"), want_kind::waited_for, world.now) > fetched);
+            world.tracker.expected_wait(
+                adapter("c"), load_priority::demand, world.now) > fetched);
         SUBCASE("what is wanted ahead holds nobody up") {
-            account_world other;
+            slot_tracker_fixture other;
             other.load("a");
-            other.account.want(adapter("b"), want_kind::ahead, other.now);
+            other.tracker.request_load(
+                adapter("b"), load_priority::prefetch, other.now);
             CHECK(
-                other.account.expected_wait(
-                    adapter("c"), want_kind::waited_for, other.now) == fetched);
+                other.tracker.expected_wait(
+                    adapter("c"), load_priority::demand, other.now) == fetched);
         }
     }
 }
@@ -103,29 +104,29 @@
 // A replica's six adapters come and go. Each return of one that it still keeps
 // in memory waits behind three that come from the store.
 TEST_CASE("what a replica keeps in memory comes back before the store's") {
-    account_world world;
+    slot_tracker_fixture world;
     for (std::string const name : {"a", "b", "c"}) {
         world.load(name);
         world.pass(milliseconds(500));
     }
     world.want(adapter("d"));
     auto const first_out =
-        world.expect_order(slot_order_kind::unload_adapter, "a");
-    world.account.answered(first_out, slot_answer::holds, world.now);
+        world.expect_order(replica_command_kind::unload_adapter, "a");
+    world.tracker.on_result(first_out, command_result::already_done, world.now);
     world.load("d");
     world.pass(milliseconds(500));
     world.want(adapter("new"));
     world.want(adapter("a"));
-    auto const out = world.account.next(world.now);
+    auto const out = world.tracker.next_command(world.now);
     REQUIRE(out);
-    CHECK(out->kind == slot_order_kind::unload_adapter);
-    world.account.answered(*out, slot_answer::holds, world.now);
-    world.expect_order(slot_order_kind::load_adapter, "a");
+    CHECK(out->kind == replica_command_kind::unload_adapter);
+    world.tracker.on_result(*out, command_result::already_done, world.now);
+    world.expect_order(replica_command_kind::load_adapter, "a");
     CHECK(
-        world.account.expected_wait(
-            adapter("a"), want_kind::waited_for, world.now) <
-        world.account.expected_wait(
-            adapter("new"), want_kind::waited_for, world.now));
+        world.tracker.expected_wait(
+            adapter("a"), load_priority::demand, world.now) <
+        world.tracker.expected_wait(
+            adapter("new"), load_priority::demand, world.now));
 }
 
 // A holder is suspended while a load is under way, or the order is carried out
@@ -137,34 +138,34 @@
         for (unsigned const slots : {2U, 6U, 32U}) {
             CAPTURE(load_ms);
             CAPTURE(slots);
-            account_world world(slots);
+            slot_tracker_fixture world(slots);
             auto const free_now = [&](std::string const& name) {
-                return !world.account.turn_away(
-                    adapter(name), want_kind::waited_for, milliseconds(750),
+                return !world.tracker.refused_wait(
+                    adapter(name), load_priority::demand, milliseconds(750),
                     world.now);
             };
             CHECK(free_now("a"));
             for (int each = 0; each < 20; ++each) {
-                world.pace->begin();
-                world.pace->note(milliseconds(load_ms));
-                world.pace->end();
+                world.limiter->begin();
+                world.limiter->record_load(milliseconds(load_ms));
+                world.limiter->end();
             }
             CHECK(free_now("b"));
-            world.pace->note(seconds(20));
+            world.limiter->record_load(seconds(20));
             CHECK(free_now("c"));
 
             SUBCASE("and one such load does not make the next ones late") {
                 CHECK(
-                    world.account.expected_wait(
-                        adapter("c"), want_kind::waited_for, world.now) <=
+                    world.tracker.expected_wait(
+                        adapter("c"), load_priority::demand, world.now) <=
                     milliseconds(2 * load_ms));
             }
             SUBCASE("but behind others that come too late it is said so") {
                 for (int each = 0; each < 40; ++each) {
                     world.want(adapter("w" + std::to_string(each)));
                 }
-                auto const wait = world.account.turn_away(
-                    adapter("d"), want_kind::waited_for, milliseconds(750),
+                auto const wait = world.tracker.refused_wait(
+                    adapter("d"), load_priority::demand, milliseconds(750),
                     world.now);
                 REQUIRE(wait);
                 CHECK(*wait > milliseconds(750));
@@ -176,22 +177,22 @@
 // A node stops ordering for a replica while a load is under way there. Its
 // window stays narrower by that load, for good.
 TEST_CASE("an account that goes takes its loads off the window") {
-    auto const pace = std::make_shared<load_pace>();
+    auto const limiter = std::make_shared<load_limiter>();
     instant const now = instant() + seconds(100);
     replica_report report;
     report.models = {model_id("m")};
     for (int round = 0; round < 5; ++round) {
-        slot_account account({3}, pace);
-        account.reported(report, now);
-        account.want(adapter("a"), want_kind::waited_for, now);
-        auto const order = account.next(now);
+        slot_tracker tracker({3}, limiter);
+        tracker.apply_report(report, now);
+        tracker.request_load(adapter("a"), load_priority::demand, now);
+        auto const order = tracker.next_command(now);
         REQUIRE(order);
-        account.answered(*order, slot_answer::accepted, now);
+        tracker.on_result(*order, command_result::accepted, now);
     }
-    CHECK(pace->may_begin());
+    CHECK(limiter->may_begin());
     SUBCASE("also one that outlives the node's other services") {
-        std::weak_ptr<load_pace> const watched = pace;
-        slot_account last({3}, pace);
+        std::weak_ptr<load_limiter> const watched = limiter;
+        slot_tracker last({3}, limiter);
         CHECK(watched.use_count() == 2);
     }
 }
--- a/test/platform/request_wire_test.cpp
+++ b/test/platform/request_wire_test.cpp
@@ -232,22 +232,22 @@
 }
 
 TEST_CASE("an order and its answers") {
-    slot_order order;
+    replica_command order;
     order.model = model_id("m");
     order.adapter = {adapter_id("m/a3"), 2};
-    order.expect = 4;
+    order.expected_count = 4;
     http_request const sent = make_order(order, endpoint_id("r1"), "n1", 17);
     for (std::string const part :
          {R"("operation":"load")", R"("adapter":"a3")", R"("version":2)",
           R"("expect":4)", R"("fencing_token":17)", R"("holder":"n1")"}) {
         CHECK(sent.body.find(part) != std::string::npos);
     }
-    CHECK(read_order_answer(200) == slot_answer::holds);
-    CHECK(read_order_answer(202) == slot_answer::accepted);
-    CHECK(read_order_answer(409) == slot_answer::out_of_step);
-    CHECK(read_order_answer(412) == slot_answer::fenced);
-    CHECK(read_order_answer(421) == slot_answer::other_replica);
-    CHECK(read_order_answer(400) == slot_answer::rejected);
+    CHECK(read_order_answer(200) == command_result::already_done);
+    CHECK(read_order_answer(202) == command_result::accepted);
+    CHECK(read_order_answer(409) == command_result::out_of_sequence);
+    CHECK(read_order_answer(412) == command_result::fenced);
+    CHECK(read_order_answer(421) == command_result::wrong_replica);
+    CHECK(read_order_answer(400) == command_result::rejected);
 }
 
 } // namespace camphorpoint
--- a/test/store_eras_property_test.cpp
+++ b/test/store_eras_property_test.cpp
@@ -182,7 +182,7 @@
     std::map<std::uint64_t, std::size_t> had_by;
     instant now = instant() + seconds(100);
     for (partition_leases& each : holders) {
-        each.granted(now, 1, {partition}, now);
+        each.on_renewal_granted(now, 1, {partition}, now);
     }
     for (step const& each : *any_steps()) {
         std::size_t const which = each.which % nodes;
@@ -194,7 +194,7 @@
         claim.epoch = names_era ? store.epoch : store_epoch{};
         store.write();
         std::uint64_t const token = fencing_number(claim);
-        if (!holders[which].fenced_as(partition, token)) {
+        if (!holders[which].set_token(partition, token)) {
             continue;
         }
         auto const [had, fresh] = had_by.try_emplace(token, which);
@@ -202,7 +202,7 @@
         bool const lost = words_are_lost && each.what == happening::lose;
         for (std::size_t other = 0; other < nodes && !lost; ++other) {
             if (other != which) {
-                holders[other].overtaken(partition, token);
+                holders[other].on_higher_token(partition, token);
             }
         }
     }
--- a/test/stream_events_test.cpp
+++ b/test/stream_events_test.cpp
@@ -26,7 +26,7 @@
 
     /// Pushes bytes into a run; what may be handed on reaches the caller.
     /// @returns false when the run can't be joined to what was handed on
-    bool push(event_run& run, std::string_view piece) {
+    bool push(attempt_stream& run, std::string_view piece) {
         run.push(piece);
         joined_events const events = join_events(run, position_);
         position_ = events.position;
@@ -38,7 +38,7 @@
     std::uint64_t last() const { return position_.last().value_or(0); }
 
 private:
-    answer_position position_;
+    delivery_position position_;
     std::string out_;
 };
 
@@ -48,12 +48,12 @@
 // is repeated or missing where a stream goes on at another replica.
 TEST_CASE("a stream over two runs has each event once") {
     stream_caller caller;
-    event_run run;
+    attempt_stream run;
 
     SUBCASE("events pass as they become whole") {
         CHECK(caller.push(run, "id: 1\nda"));
         CHECK(caller.out().empty());
-        CHECK(run.half_bytes() > 0);
+        CHECK(run.incomplete_bytes() > 0);
         CHECK(caller.push(run, "ta: t\n\nid: 2"));
         CHECK(caller.out() == event(1));
         CHECK(caller.last() == 1);
@@ -61,19 +61,19 @@
     SUBCASE(
         "the half event of a cut run is dropped, what came is not repeated") {
         caller.push(run, event(1) + event(2) + "id: 3\nda");
-        event_run next;
-        CHECK(next.half_bytes() == 0);
+        attempt_stream next;
+        CHECK(next.incomplete_bytes() == 0);
         CHECK(caller.push(next, event(2) + event(3)));
         CHECK(caller.out() == event(1) + event(2) + event(3));
     }
     SUBCASE("a run that goes on with a gap is not joined") {
         caller.push(run, event(1));
-        event_run next;
+        attempt_stream next;
         CHECK_FALSE(caller.push(next, event(3)));
         CHECK(caller.out() == event(1));
     }
     SUBCASE("what came before the gap counts once it is handed on") {
-        answer_position const before(1);
+        delivery_position const before(1);
         run.push(event(2) + event(4));
         joined_events const events = join_events(run, before);
         CHECK_FALSE(events.joined);
@@ -109,7 +109,7 @@
         CHECK(caller.out() == "retry: 1000\n\n" + event(1));
     }
     SUBCASE("a stream without numbers passes, and is not gone on with") {
-        answer_position position;
+        delivery_position position;
         run.push("data: t\n\ndata: t\n\n");
         joined_events const events = join_events(run, position);
         CHECK(events.joined);
@@ -117,7 +117,7 @@
         CHECK_FALSE(events.position.may_resume());
     }
     SUBCASE("one run alone passes as it is") {
-        answer_position const one_run(std::nullopt, false);
+        delivery_position const one_run(std::nullopt, false);
         std::string const body = event(1) + event(3) + "data: last\n\n";
         run.push(body);
         joined_events const events = join_events(run, one_run);
@@ -146,35 +146,37 @@
 // Guards against a stream that is taken for whole without proof, and against
 // one that no run can complete.
 TEST_CASE("what the end of a run's body means for its stream") {
-    event_run none;
-    event_run some;
-    answer_position position(2);
+    attempt_stream none;
+    attempt_stream some;
+    delivery_position position(2);
     some.push(event(3));
     position = join_events(some, position).position;
 
     SUBCASE("a length that was told makes it whole") {
-        CHECK(position.judge_end(some, true) == stream_end::whole);
+        CHECK(position.classify_end(some, true) == stream_end::complete);
     }
     SUBCASE("the connection's end alone proves nothing") {
-        CHECK(position.judge_end(some, false) == stream_end::unproven);
-        CHECK(answer_position().judge_end(none, false) == stream_end::unproven);
+        CHECK(position.classify_end(some, false) == stream_end::unconfirmed);
+        CHECK(
+            delivery_position().classify_end(none, false) ==
+            stream_end::unconfirmed);
     }
     SUBCASE("a run that has nothing to add proves it") {
-        CHECK(position.judge_end(none, false) == stream_end::whole);
+        CHECK(position.classify_end(none, false) == stream_end::complete);
     }
     SUBCASE("where nothing may go on, the connection's end has to do") {
-        answer_position const one_run(3, false);
-        CHECK(one_run.judge_end(some, false) == stream_end::whole);
+        delivery_position const one_run(3, false);
+        CHECK(one_run.classify_end(some, false) == stream_end::complete);
     }
     SUBCASE("a half event behind the last one refutes it") {
         some.push("id: 4");
-        CHECK(position.judge_end(some, true) == stream_end::cut);
-        position.note_half_event();
-        CHECK(position.judge_end(none, true) == stream_end::cut);
-        event_run next;
+        CHECK(position.classify_end(some, true) == stream_end::truncated);
+        position.note_truncated_event();
+        CHECK(position.classify_end(none, true) == stream_end::truncated);
+        attempt_stream next;
         next.push(event(4));
         position = join_events(next, position).position;
-        CHECK(position.judge_end(next, true) == stream_end::whole);
+        CHECK(position.classify_end(next, true) == stream_end::complete);
     }
 }
 
@@ -190,7 +192,7 @@
     /// Plays a run that begins behind what the caller has and sends so much.
     auto const play = [&](stream_caller& caller, std::size_t bytes,
                           std::size_t piece) {
-        event_run run;
+        attempt_stream run;
         std::string_view rest =
             std::string_view(whole).substr(caller.last() * one, bytes);
         while (!rest.empty()) {
