--- a/src/Fleet/adapter_demand.cpp
+++ b/src/Fleet/adapter_demand.cpp
@@ -54,7 +54,7 @@
     return share * sure * static_cast<double>(replicas) * spread;
 }
 
-std::size_t adapter_demand::copies(
+std::size_t adapter_demand::target_replica_count(
     adapter_id const& adapter, std::size_t replicas, instant now) const {
     auto const rounded = static_cast<std::size_t>(
         std::lround(wanted_copies(adapter, replicas, now)));
@@ -62,7 +62,7 @@
         rounded, 1, std::max<std::size_t>(1, replicas));
 }
 
-bool adapter_demand::steady(
+bool adapter_demand::warrants_replication(
     adapter_id const& adapter, std::size_t replicas, instant now) const {
     return wanted_copies(adapter, replicas, now) >= steady_copies;
 }
--- a/src/Fleet/adapter_demand.hpp
+++ b/src/Fleet/adapter_demand.hpp
@@ -19,12 +19,12 @@
     void add(adapter_id const& adapter, unsigned prompt_tokens, instant now);
     /// @returns how many replicas should hold the adapter
     /// @param replicas how many there are
-    std::size_t
-    copies(adapter_id const& adapter, std::size_t replicas, instant now) const;
+    std::size_t target_replica_count(
+        adapter_id const& adapter, std::size_t replicas, instant now) const;
     /// @returns true when the adapter is asked for often enough that a further
     ///          copy of it would take work off its replicas
-    bool
-    steady(adapter_id const& adapter, std::size_t replicas, instant now) const;
+    bool warrants_replication(
+        adapter_id const& adapter, std::size_t replicas, instant now) const;
 
 private:
     /// A shift of demand shows within seconds, and a burst of a few requests
--- a/src/Fleet/fleet.cpp
+++ b/src/Fleet/fleet.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::uint64_t fleet::short_name(endpoint_id const& id) {
+std::uint64_t fleet::id_hash(endpoint_id const& id) {
     return hash_text(id.str());
 }
 
@@ -31,18 +31,19 @@
     by_short_name_.clear();
     for (auto& [id, each] : all_) {
         by_service_[each.record.service].push_back(&each);
-        by_short_name_[short_name(id)] = &each;
+        by_short_name_[id_hash(id)] = &each;
     }
 }
 
 void fleet::take_adapters(
     replica& target, replica_record const& record, instant now) {
-    std::unordered_map<adapter_id, held_adapter> next;
+    std::unordered_map<adapter_id, resident_adapter> next;
     for (adapter_ref const& each : record.adapters) {
         next[each.id] = {each.version, {}, false};
     }
     for (auto const& [id, held] : target.adapters) {
-        if (held.told != instant{} && now < held.told + word_outlasts_list) {
+        if (held.confirmed_at != instant{} &&
+            now < held.confirmed_at + word_outlasts_list) {
             next[id] = held;
         }
     }
@@ -50,17 +51,18 @@
 }
 
 bool fleet::started_again(replica const& known, replica_record const& now) {
-    return known.record.born && now.born && known.record.born != now.born;
+    return known.record.started_at && now.started_at &&
+           known.record.started_at != now.started_at;
 }
 
 void fleet::begin_anew(replica& target) {
     // This node's requests there end by themselves, as their connections break.
-    unsigned const running = target.running_here;
+    unsigned const running = target.running_local;
     replica_record record = std::move(target.record);
     record.leaving = false;
     target = replica();
     target.record = std::move(record);
-    target.running_here = running;
+    target.running_local = running;
 }
 
 // Guards against a replica that has gone and stands in the list again, since
@@ -86,27 +88,29 @@
     bool const moved = fresh || target.record.service != record.service;
     take_adapters(target, record, now);
     std::optional<incarnation> const born =
-        record.born ? record.born : target.record.born;
+        record.started_at ? record.started_at : target.record.started_at;
     target.record = record;
-    target.record.born = born;
+    target.record.started_at = born;
     // A replica that has said that it leaves never stays after all.
     target.record.leaving = record.leaving || was_leaving;
     target.missing = false;
     target.missing_since = instant::max();
     if (record.remaining) {
-        target.gone_at = std::min(target.gone_at, now + *record.remaining);
+        target.shutdown_at =
+            std::min(target.shutdown_at, now + *record.remaining);
     }
     if (moved) {
         index();
     }
     if (fresh || again) {
-        return record.leaving ? fleet_change::leaving : fleet_change::seen;
+        return record.leaving ? fleet_change::leaving : fleet_change::joined;
     }
     return target.record.leaving && !was_leaving ? fleet_change::leaving
                                                  : fleet_change::none;
 }
 
-fleet_change fleet::lost(endpoint_id const& id, bool keep, instant now) {
+fleet_change
+fleet::mark_unlisted(endpoint_id const& id, bool keep, instant now) {
     replica* const target = find(id);
     if (target == nullptr || target->missing) {
         return fleet_change::none;
@@ -118,22 +122,22 @@
         return fleet_change::none;
     }
     target->missing = true;
-    return fleet_change::gone;
+    return fleet_change::removed;
 }
 
-std::vector<endpoint_id> fleet::lost_beside(
+std::vector<endpoint_id> fleet::mark_unlisted_except(
     std::vector<endpoint_id> const& listed, bool keep, instant now) {
     std::vector<endpoint_id> gone;
     for (auto const& [id, each] : all_) {
         if (std::ranges::find(listed, id) == listed.end() &&
-            lost(id, keep, now) == fleet_change::gone) {
+            mark_unlisted(id, keep, now) == fleet_change::removed) {
             gone.push_back(id);
         }
     }
     return gone;
 }
 
-std::vector<endpoint_id> fleet::settle_missing(bool store_calm, instant now) {
+std::vector<endpoint_id> fleet::expire_missing(bool store_calm, instant now) {
     std::vector<endpoint_id> gone;
     std::vector<endpoint_id> forgotten;
     for (auto& [id, each] : all_) {
@@ -144,7 +148,7 @@
             each.missing = true;
             gone.push_back(id);
         }
-        if (each.missing && each.running_here == 0 &&
+        if (each.missing && each.running_local == 0 &&
             now >= each.missing_since + memory_of_gone) {
             forgotten.push_back(id);
         }
@@ -158,7 +162,7 @@
     return gone;
 }
 
-void fleet::told_held(
+void fleet::mark_resident(
     endpoint_id const& id, adapter_ref const& adapter, instant now) {
     if (replica* const target = find(id)) {
         target->adapters[adapter.id] = {adapter.version, now, false};
@@ -166,61 +170,61 @@
 }
 
 void fleet::keep(replica& target, adapter_id const& adapter) {
-    std::erase(target.kept, adapter);
-    target.kept.push_back(adapter);
-    if (target.kept.size() > most_kept) {
-        target.kept.erase(target.kept.begin());
+    std::erase(target.cached_adapters, adapter);
+    target.cached_adapters.push_back(adapter);
+    if (target.cached_adapters.size() > most_kept) {
+        target.cached_adapters.erase(target.cached_adapters.begin());
     }
 }
 
-void fleet::told_dropped(
+void fleet::mark_unloading(
     endpoint_id const& id, adapter_id const& adapter, instant now) {
     if (replica* const target = find(id)) {
         keep(*target, adapter);
-        held_adapter& held = target->adapters[adapter];
-        held.told = now;
-        held.dropped = true;
+        resident_adapter& held = target->adapters[adapter];
+        held.confirmed_at = now;
+        held.unloading = true;
     }
 }
 
-void fleet::told_total(
-    std::uint64_t short_name, replica_total const& total, instant now) {
-    replica* const target = find_short(short_name);
+void fleet::update_usage(
+    std::uint64_t id_hash, replica_usage const& total, instant now) {
+    replica* const target = find_by_hash(id_hash);
     if (target == nullptr) {
         return;
     }
-    target->running_elsewhere =
-        total.running - std::min(total.running, target->running_here);
-    double const here = target->backlog_here.tokens_left(now);
-    target->backlog_elsewhere.set(
-        std::max(0.0, total.backlog_tokens - here), now);
+    target->running_remote =
+        total.running - std::min(total.running, target->running_local);
+    double const here = target->local_backlog.remaining_tokens(now);
+    target->remote_backlog.set(std::max(0.0, total.backlog_tokens - here), now);
     target->free_slots = total.free_slots;
-    target->total_told = now;
+    target->usage_received_at = now;
 }
 
-void fleet::forget_old_totals(instant now) {
+void fleet::expire_usage(instant now) {
     for (auto& [id, each] : all_) {
         std::erase_if(each.denials, [&](auto const& denied) {
             return now >= denied.second.until;
         });
-        if (now >= each.total_told + telling_ends) {
-            each.running_elsewhere = 0;
-            each.backlog_elsewhere = {};
+        if (now >= each.usage_received_at + telling_ends) {
+            each.running_remote = 0;
+            each.remote_backlog = {};
         }
     }
 }
 
-void fleet::began(endpoint_id const& id, unsigned prompt_tokens, instant now) {
+void fleet::request_started(
+    endpoint_id const& id, unsigned prompt_tokens, instant now) {
     if (replica* const target = find(id)) {
-        ++target->running_here;
-        target->backlog_here.add(prompt_tokens, now);
+        ++target->running_local;
+        target->local_backlog.add(prompt_tokens, now);
     }
 }
 
-void fleet::ended(endpoint_id const& id) {
+void fleet::request_finished(endpoint_id const& id) {
     replica* const target = find(id);
-    if (target != nullptr && target->running_here > 0) {
-        --target->running_here;
+    if (target != nullptr && target->running_local > 0) {
+        --target->running_local;
     }
 }
 
@@ -238,7 +242,7 @@
     return by_service_[service];
 }
 
-replica* fleet::find_short(std::uint64_t name) {
+replica* fleet::find_by_hash(std::uint64_t name) {
     auto const found = by_short_name_.find(name);
     return found == by_short_name_.end() ? nullptr : found->second;
 }
--- a/src/Fleet/fleet.hpp
+++ b/src/Fleet/fleet.hpp
@@ -16,13 +16,13 @@
 namespace camphorpoint {
 
 /// An adapter as a node believes it to lie on a replica.
-struct held_adapter {
+struct resident_adapter {
     std::uint32_t version = 0;
     /// When the belief was formed from word that is newer than the list; the
     /// list may not take it back before `word_outlasts_list` has passed.
-    instant told;
+    instant confirmed_at;
     /// The replica was ordered to drop or replace it.
-    bool dropped = false;
+    bool unloading = false;
 };
 
 /// Whoever orders for a replica has turned a request for an adapter away.
@@ -35,28 +35,29 @@
 
 /// Word of a replica's load is told again within a second by each of up to 90
 /// nodes; two of these words may be lost.
-inline constexpr duration count_lasts = std::chrono::milliseconds(2'500);
+inline constexpr duration usage_report_lifetime =
+    std::chrono::milliseconds(2'500);
 
 /// One replica as a node believes it to be.
 struct replica {
     replica_record record;
     replica_health health;
-    std::unordered_map<adapter_id, held_adapter> adapters;
+    std::unordered_map<adapter_id, resident_adapter> adapters;
     /// Adapters that lay here, the newest last: the replica keeps copies, from
     /// which they come back in a tenth of the time and for nothing.
-    std::vector<adapter_id> kept;
+    std::vector<adapter_id> cached_adapters;
     /// Requests of this node that are at the replica now.
-    unsigned running_here = 0;
+    unsigned running_local = 0;
     /// Requests of all other nodes there, as the node that orders for it told
     /// last, and when that was.
-    unsigned running_elsewhere = 0;
-    instant total_told;
+    unsigned running_remote = 0;
+    instant usage_received_at;
     /// Adapters that could be loaded there at once, less those that wait, by
     /// the same word.
     int free_slots = 0;
     /// Prompts that this node and all others have sent there.
-    prompt_backlog backlog_here;
-    prompt_backlog backlog_elsewhere;
+    prompt_backlog local_backlog;
+    prompt_backlog remote_backlog;
 
     /// When the list no longer had it.
     instant missing_since = instant::max();
@@ -65,11 +66,12 @@
     /// of the node that orders for it.
     std::unordered_map<adapter_id, load_denial> denials;
     /// When it leaves at short notice.
-    instant gone_at = instant::max();
+    instant shutdown_at = instant::max();
 
     /// @returns true when it should still keep a copy
-    bool keeps(adapter_id const& adapter) const {
-        return std::ranges::find(kept, adapter) != kept.end();
+    bool has_cached(adapter_id const& adapter) const {
+        return std::ranges::find(cached_adapters, adapter) !=
+               cached_adapters.end();
     }
     /// @returns the denial of the adapter that counts now, or null
     load_denial const* denial(adapter_id const& adapter, instant now) const {
@@ -78,14 +80,12 @@
         return counts ? &found->second : nullptr;
     }
     /// @returns requests that are there
-    unsigned running() const noexcept {
-        return running_here + running_elsewhere;
-    }
+    unsigned running() const noexcept { return running_local + running_remote; }
     /// @returns true when the word of others' requests there is not old.
     ///          Guards against a node that takes a replica for empty, as all
     ///          others do, because whoever counts for it is silent.
-    bool counted(instant now) const noexcept {
-        return now < total_told + count_lasts;
+    bool usage_known(instant now) const noexcept {
+        return now < usage_received_at + usage_report_lifetime;
     }
     /// @returns requests there for each slot
     double load() const noexcept {
@@ -93,15 +93,17 @@
     }
     /// @returns prompt tokens that it has still to read
     double backlog(instant now) const {
-        return backlog_here.tokens_left(now) +
-               backlog_elsewhere.tokens_left(now);
+        return local_backlog.remaining_tokens(now) +
+               remote_backlog.remaining_tokens(now);
     }
     /// @returns true when new requests may be sent there
-    bool open() const noexcept { return !record.leaving && !missing; }
+    bool accepts_requests() const noexcept {
+        return !record.leaving && !missing;
+    }
 };
 
 /// A change in a node's belief about a replica, for the log.
-enum class fleet_change : std::uint8_t { none, seen, leaving, gone };
+enum class fleet_change : std::uint8_t { none, joined, leaving, removed };
 
 /// What a node believes about all replicas: the list's word, corrected by
 /// newer word from the nodes that order loads and by this node's own use.
@@ -113,36 +115,37 @@
     /// The list has lost the entry. During a store's outage entries lapse that
     /// come back after it, so the replica stays in use then.
     /// @param keep true while the store is or was just disturbed
-    fleet_change lost(endpoint_id const& id, bool keep, instant now);
+    fleet_change mark_unlisted(endpoint_id const& id, bool keep, instant now);
     /// The list was read whole: entries that are not in it are lost.
-    std::vector<endpoint_id>
-    lost_beside(std::vector<endpoint_id> const& listed, bool keep, instant now);
+    std::vector<endpoint_id> mark_unlisted_except(
+        std::vector<endpoint_id> const& listed, bool keep, instant now);
     /// Forgets replicas whose entry stayed away until the store was calm again,
     /// and those that are long gone. Entries that lapsed in an outage are back
     /// within two seconds of the store's return, whenever they were missed.
     /// Guards against a replica that leaves just after the return and gets
     /// requests until it is gone, as if its entry might still come back.
     /// @returns those that are to be treated as gone from now on
-    std::vector<endpoint_id> settle_missing(bool store_calm, instant now);
+    std::vector<endpoint_id> expire_missing(bool store_calm, instant now);
 
     /// Newer word than the list's: the adapter lies there, ready.
-    void
-    told_held(endpoint_id const& id, adapter_ref const& adapter, instant now);
+    void mark_resident(
+        endpoint_id const& id, adapter_ref const& adapter, instant now);
     /// Newer word: the adapter is about to go from there.
-    void
-    told_dropped(endpoint_id const& id, adapter_id const& adapter, instant now);
+    void mark_unloading(
+        endpoint_id const& id, adapter_id const& adapter, instant now);
     /// What all nodes have at a replica, this one included, by the word of the
     /// node that orders for it.
-    void told_total(
-        std::uint64_t short_name, replica_total const& total, instant now);
+    void update_usage(
+        std::uint64_t id_hash, replica_usage const& total, instant now);
     /// Takes nobody's requests for there where the last word is old: whoever
     /// counted has stopped.
-    void forget_old_totals(instant now);
+    void expire_usage(instant now);
 
     /// A request was sent, with a prompt of so many tokens.
-    void began(endpoint_id const& id, unsigned prompt_tokens, instant now);
+    void
+    request_started(endpoint_id const& id, unsigned prompt_tokens, instant now);
     /// A request has ended there.
-    void ended(endpoint_id const& id);
+    void request_finished(endpoint_id const& id);
 
     /// @returns the replica, or null
     replica* find(endpoint_id const& id);
@@ -152,9 +155,9 @@
     /// @returns every replica
     std::map<endpoint_id, replica> const& all() const noexcept { return all_; }
     /// @returns a short name of a replica for messages between nodes
-    static std::uint64_t short_name(endpoint_id const& id);
+    static std::uint64_t id_hash(endpoint_id const& id);
     /// @returns the replica of a short name, or null
-    replica* find_short(std::uint64_t name);
+    replica* find_by_hash(std::uint64_t name);
 
 private:
     void index();
--- a/src/Fleet/list_turns.cpp
+++ b/src/Fleet/list_turns.cpp
@@ -2,49 +2,50 @@
 
 namespace camphorpoint {
 
-void list_turns::was_read(store_position next, instant now) {
-    if (next.epoch < era_) {
+void registry_poll_schedule::poll_completed(store_position next, instant now) {
+    if (next.epoch < epoch_) {
         // The answer was on its way when the store went back.
         return;
     }
     next_ = next;
-    era_ = next.epoch;
+    epoch_ = next.epoch;
     known_ = true;
     gap_ = false;
     whole_ = false;
     since_ = now;
 }
 
-void list_turns::new_era(store_epoch epoch, instant at) {
-    if (epoch > era_) {
-        era_ = epoch;
-        era_read_at_ = at;
+void registry_poll_schedule::enter_epoch(store_epoch epoch, instant at) {
+    if (epoch > epoch_) {
+        epoch_ = epoch;
+        epoch_poll_at_ = at;
     }
 }
 
-list_word
-list_turns::heard(store_position from, store_position to, instant now) {
-    if (known_ && to.epoch > era_) {
-        return list_word::later_era;
+registry_update_fit registry_poll_schedule::handle_update(
+    store_position from, store_position to, instant now) {
+    if (known_ && to.epoch > epoch_) {
+        return registry_update_fit::later_epoch;
     }
     if (!known_ || outdated() || to.epoch != next_.epoch ||
         is_ahead(next_, to)) {
-        return list_word::old;
+        return registry_update_fit::nothing_new;
     }
     if (is_ahead(from, next_)) {
         gap_ = true;
-        return list_word::gap;
+        return registry_update_fit::gap;
     }
     bool const fresh = is_ahead(to, next_);
     next_ = to;
     since_ = now;
     gap_ = false;
-    return fresh ? list_word::applies : list_word::old;
+    return fresh ? registry_update_fit::applies
+                 : registry_update_fit::nothing_new;
 }
 
-instant list_turns::due(double draw) const {
+instant registry_poll_schedule::next_poll_time(double draw) const {
     if (outdated()) {
-        return era_read_at_;
+        return epoch_poll_at_;
     }
     if (gap_ || whole_) {
         return since_;
--- a/src/Fleet/list_turns.hpp
+++ b/src/Fleet/list_turns.hpp
@@ -8,15 +8,15 @@
 namespace camphorpoint {
 
 /// What another node's word of its reading of the list means for this node.
-enum class list_word : std::uint8_t {
+enum class registry_update_fit : std::uint8_t {
     /// It goes on where this node stands: its records are to be applied.
     applies,
     /// Nothing in it is new.
-    old,
+    nothing_new,
     /// Records before it were missed: this node reads them itself, at once.
     gap,
     /// It is of a later era of the store than this node has read in.
-    later_era
+    later_epoch
 };
 
 /// Whose turn it is to read the list of replicas. Each node waits for a pause
@@ -30,41 +30,42 @@
 /// next, and without any word the node reads for itself. When the store has
 /// come back from an older copy, places mean something else: each node reads
 /// the list whole, and nothing from a place of the era before.
-class list_turns {
+class registry_poll_schedule {
 public:
     /// @param longest a node that hears nothing reads after this
-    explicit list_turns(duration longest)
+    explicit registry_poll_schedule(duration longest)
         : longest_(longest) {}
 
     /// This node has read up to a place.
-    void was_read(store_position next, instant now);
+    void poll_completed(store_position next, instant now);
     /// @param whole what was asked for: all, else what was written from a place
     /// @param from  the place that was asked for
     /// @param next  where the answer ends
     /// @returns false when the store has gone back meanwhile, so that the
     /// answer
     ///          is of other records than those that were asked for
-    bool counts(
+    bool is_valid_answer(
         bool whole, store_position from, store_position next) const noexcept {
-        return next.epoch >= era_ && (whole || next.epoch == from.epoch);
+        return next.epoch >= epoch_ && (whole || next.epoch == from.epoch);
     }
     /// Another node has read the records from one place to another of one era.
-    list_word heard(store_position from, store_position to, instant now);
+    registry_update_fit
+    handle_update(store_position from, store_position to, instant now);
     /// The place to read from is gone from the store's history.
-    void forgotten() noexcept { whole_ = true; }
+    void position_expired() noexcept { whole_ = true; }
     /// The list is to be read whole at the next turn.
-    void read_whole() noexcept { whole_ = true; }
+    void require_full_poll() noexcept { whole_ = true; }
     /// The store is in a later era than was read in.
     /// @param at when this node reads the list whole, another time on each node
-    void new_era(store_epoch epoch, instant at);
+    void enter_epoch(store_epoch epoch, instant at);
 
     /// @param draw 0 to 1, another one after each reading
     /// @returns when this node reads next
-    instant due(double draw) const;
+    instant next_poll_time(double draw) const;
     /// @returns true when it reads the list whole then
-    bool whole() const noexcept { return whole_ || outdated(); }
+    bool needs_full_poll() const noexcept { return whole_ || outdated(); }
     /// @returns where it reads on
-    store_position next() const noexcept { return next_; }
+    store_position position() const noexcept { return next_; }
 
 private:
     /// Pauses are from this part of the longest on. The wider they lie apart,
@@ -72,12 +73,12 @@
     /// the later a leaving is known.
     static constexpr double least_part = 0.7;
 
-    bool outdated() const noexcept { return era_ > next_.epoch; }
+    bool outdated() const noexcept { return epoch_ > next_.epoch; }
 
     duration longest_;
     store_position next_;
-    store_epoch era_{};
-    instant era_read_at_;
+    store_epoch epoch_{};
+    instant epoch_poll_at_;
     bool whole_ = true;
     bool known_ = false;
     bool gap_ = false;
--- a/src/Fleet/prompt_backlog.hpp
+++ b/src/Fleet/prompt_backlog.hpp
@@ -13,7 +13,7 @@
 public:
     /// A prompt was sent there.
     void add(unsigned tokens, instant now) {
-        left_ = tokens_left(now) + tokens;
+        left_ = remaining_tokens(now) + tokens;
         at_ = now;
     }
     /// Takes over what another node tells.
@@ -22,7 +22,7 @@
         at_ = now;
     }
     /// @returns the prompt tokens that it has still to read
-    double tokens_left(instant now) const {
+    double remaining_tokens(instant now) const {
         std::chrono::duration<double, std::milli> const passed = now - at_;
         return std::max(0.0, left_ - passed.count() * tokens_per_ms);
     }
--- a/src/Fleet/replica_choice.cpp
+++ b/src/Fleet/replica_choice.cpp
@@ -52,47 +52,51 @@
 
 } // namespace
 
-double replica_choice::crowding(replica const& each, instant now) {
+double replica_selector::utilization(replica const& each, instant now) {
     return each.load() + each.backlog(now) / backlog_as_full;
 }
 
-double replica_choice::crowding(replica_total const& total, unsigned slots) {
+double
+replica_selector::utilization(replica_usage const& total, unsigned slots) {
     double const load = total.running / std::max(1.0, 1.0 * slots);
     return load + total.backlog_tokens / backlog_as_full;
 }
 
-bool replica_choice::has_place(replica_total const& total, unsigned slots) {
-    return crowding(total, slots) < full_at;
+bool replica_selector::has_capacity(
+    replica_usage const& total, unsigned slots) {
+    return utilization(total, slots) < full_at;
 }
 
-bool replica_choice::holds(
-    replica const& each, replica_need const& need) const {
+bool replica_selector::holds(
+    replica const& each, replica_requirements const& need) const {
     if (need.adapter.empty()) {
         return holds_model(each, need.model);
     }
     auto const found = each.adapters.find(need.adapter);
-    return found != each.adapters.end() && !found->second.dropped &&
-           found->second.version >= need.least_version;
+    return found != each.adapters.end() && !found->second.unloading &&
+           found->second.version >= need.min_version;
 }
 
-bool replica_choice::usable(
-    replica const& each, replica_need const& need, instant now) const {
-    return each.open() && each.gone_at > now + need.expected_time &&
-           std::ranges::find(need.tried, each.record.id) == need.tried.end();
+bool replica_selector::usable(
+    replica const& each, replica_requirements const& need, instant now) const {
+    return each.accepts_requests() &&
+           each.shutdown_at > now + need.expected_time &&
+           std::ranges::find(need.tried_replicas, each.record.id) ==
+               need.tried_replicas.end();
 }
 
-double replica_choice::cost(
-    replica const& each, replica_need const& need, double mean,
+double replica_selector::cost(
+    replica const& each, replica_requirements const& need, double mean,
     instant now) const {
-    double const more = each.health.failure_share(now) - mean;
+    double const more = each.health.failure_fraction(now) - mean;
     double const excess = more < noticed_failures ? 0 : more;
     double result = excess * failure_cost;
     result += each.health.suspected(now) ? suspicion_cost : 0;
-    return result + crowding(each, now);
+    return result + utilization(each, now);
 }
 
-std::vector<replica*>
-replica_choice::candidates(replica_need const& need, instant now) const {
+std::vector<replica*> replica_selector::candidates(
+    replica_requirements const& need, instant now) const {
     std::vector<replica*> found;
     for (replica* const each : fleet_->of_service(need.service)) {
         if (usable(*each, need, now) && holds(*each, need)) {
@@ -102,13 +106,13 @@
     return found;
 }
 
-std::vector<replica*>
-replica_choice::compared(replica_need const& need, instant now) const {
+std::vector<replica*> replica_selector::compared_replicas(
+    replica_requirements const& need, instant now) const {
     auto all = candidates(need, now);
     auto const others =
         std::partition(all.begin(), all.end(), [&](replica* each) {
             return !each->health.suspected(now) &&
-                   crowding(*each, now) < compared_below;
+                   utilization(*each, now) < compared_below;
         });
     if (others != all.begin()) {
         all.erase(others, all.end());
@@ -120,7 +124,7 @@
     // Transactions on Parallel and Distributed Systems 11(1), 2000.
     std::size_t const looks =
         need.adapter.empty() ? all.size() : std::min(all.size(), most_looks);
-    std::uint64_t rest = need.draw;
+    std::uint64_t rest = need.random_sample;
     for (std::size_t look = 0; look < looks; ++look) {
         std::size_t const left = all.size() - look;
         std::swap(all[look], all[look + rest % left]);
@@ -130,14 +134,15 @@
     return all;
 }
 
-replica* replica_choice::best(replica_need const& need, instant now) const {
-    auto const all = compared(need, now);
+replica*
+replica_selector::best(replica_requirements const& need, instant now) const {
+    auto const all = compared_replicas(need, now);
     if (all.empty()) {
         return nullptr;
     }
     double failures = 0;
     for (replica const* const each : all) {
-        failures += each->health.failure_share(now);
+        failures += each->health.failure_fraction(now);
     }
     double const mean = failures / static_cast<double>(all.size());
     return *std::ranges::min_element(all, {}, [&](replica const* each) {
@@ -145,14 +150,14 @@
     });
 }
 
-replica*
-replica_choice::next_home(replica_need const& need, instant now) const {
+replica* replica_selector::next_preferred_replica(
+    replica_requirements const& need, instant now) const {
     std::vector<endpoint_id> open;
     for (replica const* const each : fleet_->of_service(need.service)) {
         // One that holds an older version would have to end its runs first.
         auto const held = each->adapters.find(need.adapter);
         bool const lies_there =
-            held != each->adapters.end() && !held->second.dropped;
+            held != each->adapters.end() && !held->second.unloading;
         if (usable(*each, need, now) && !each->denial(need.adapter, now) &&
             !lies_there && holds_model(*each, need.model) &&
             !each->health.suspected(now)) {
@@ -170,7 +175,7 @@
     std::size_t looked_at = 0;
     for (endpoint_id const& id : ranked) {
         replica* const each = fleet_->find(id);
-        if (each->keeps(need.adapter) &&
+        if (each->has_cached(need.adapter) &&
             (keeper == nullptr || freer(*each, *keeper))) {
             keeper = each;
         }
@@ -183,8 +188,8 @@
     return keeper != nullptr ? keeper : freest;
 }
 
-replica*
-replica_choice::soonest_home(replica_need const& need, instant now) const {
+replica* replica_selector::soonest_ready_replica(
+    replica_requirements const& need, instant now) const {
     replica* soonest = nullptr;
     instant first = instant::max();
     for (replica* const each : fleet_->of_service(need.service)) {
@@ -198,27 +203,27 @@
     return soonest;
 }
 
-std::size_t
-replica_choice::holders(replica_need const& need, instant now) const {
+std::size_t replica_selector::resident_count(
+    replica_requirements const& need, instant now) const {
     return static_cast<std::size_t>(std::ranges::count_if(
         fleet_->of_service(need.service), [&](replica const* each) {
             return usable(*each, need, now) && holds(*each, need);
         }));
 }
 
-bool replica_choice::any_open(service_id const& service) const {
+bool replica_selector::any_accepts_requests(service_id const& service) const {
     return std::ranges::any_of(
         fleet_->of_service(service),
-        [](replica const* each) { return each->open(); });
+        [](replica const* each) { return each->accepts_requests(); });
 }
 
-double
-replica_choice::mean_crowding(service_id const& service, instant now) const {
+double replica_selector::mean_utilization(
+    service_id const& service, instant now) const {
     double sum = 0;
     unsigned count = 0;
     for (replica const* const each : fleet_->of_service(service)) {
-        if (each->open() && !each->health.suspected(now)) {
-            sum += crowding(*each, now);
+        if (each->accepts_requests() && !each->health.suspected(now)) {
+            sum += utilization(*each, now);
             ++count;
         }
     }
--- a/src/Fleet/replica_health.cpp
+++ b/src/Fleet/replica_health.cpp
@@ -25,18 +25,18 @@
 
 } // namespace
 
-double replica_health::failure_share(instant now) const {
+double replica_health::failure_fraction(instant now) const {
     std::chrono::duration<double> const passed = now - noted_;
     std::chrono::duration<double> const half = failures_fade;
     return failures_ * std::exp2(-passed.count() / half.count());
 }
 
-bool replica_health::note(health_evidence what, instant now) {
-    double const failed = what == health_evidence::answered ? 0.0 : 1.0;
-    failures_ = failure_share(now);
+bool replica_health::add_outcome(health_signal what, instant now) {
+    double const failed = what == health_signal::answered ? 0.0 : 1.0;
+    failures_ = failure_fraction(now);
     failures_ += (failed - failures_) * newest_weight;
     noted_ = now;
-    if (what == health_evidence::answered || what == health_evidence::failed) {
+    if (what == health_signal::answered || what == health_signal::failed) {
         silences_ = 0;
         broken_ = 0;
         until_ = {};
@@ -45,7 +45,7 @@
     // Guards against replicas that all rest because each has lost a few answers
     // in a hundred: too few are left for the load, and callers are refused
     // though half of the places are free.
-    if (what == health_evidence::broken && ++broken_ < broken_in_row) {
+    if (what == health_signal::truncated && ++broken_ < broken_in_row) {
         return false;
     }
     if (suspected(now)) {
@@ -58,7 +58,7 @@
     return true;
 }
 
-void replica_health::note_hearsay(instant until) {
+void replica_health::adopt_suspicion(instant until) {
     until_ = std::max(until_, until);
 }
 
--- a/src/Fleet/replica_health.hpp
+++ b/src/Fleet/replica_health.hpp
@@ -5,16 +5,16 @@
 namespace camphorpoint {
 
 /// How an attempt at a replica ended, as far as the replica's health goes.
-enum class health_evidence : unsigned char {
+enum class health_signal : unsigned char {
     /// It answered as it should.
     answered,
     /// It answered that it failed. Some services do so now and then in health.
     failed,
     /// It broke an answer off. A replica that has ended does so with all of
     /// them, one that loses some answers with few.
-    broken,
+    truncated,
     /// It could not be reached or fell silent.
-    silent
+    no_response
 };
 
 /// What one node has seen of one replica's health. Judges by use alone, since a
@@ -23,9 +23,9 @@
 public:
     /// Takes up how an attempt ended.
     /// @returns true when the replica has become suspected by this
-    bool note(health_evidence what, instant now);
+    bool add_outcome(health_signal what, instant now);
     /// Another node suspects the replica.
-    void note_hearsay(instant until);
+    void adopt_suspicion(instant until);
 
     /// @returns true while no request should go there unless all others are
     ///          out as well
@@ -34,7 +34,7 @@
     instant suspected_until() const noexcept { return until_; }
     /// @returns the share of recent attempts that failed, 0 to 1; it fades with
     ///          time, so that a replica which nobody uses is tried again
-    double failure_share(instant now) const;
+    double failure_fraction(instant now) const;
 
 private:
     double failures_ = 0;
--- a/src/Fleet/replica_record.hpp
+++ b/src/Fleet/replica_record.hpp
@@ -24,7 +24,7 @@
 struct replica_record {
     endpoint_id id;
     /// Nothing when it does not say.
-    std::optional<incarnation> born;
+    std::optional<incarnation> started_at;
     service_id service;
     ip_address address;
     domain_id domain;
@@ -44,7 +44,7 @@
 /// milliseconds old.
 struct replica_report {
     /// Nothing when it does not say.
-    std::optional<incarnation> born;
+    std::optional<incarnation> started_at;
     /// How many orders the replica has accepted.
     std::uint64_t sequence = 0;
     /// It carries out an order on a base model.
--- a/src/Fleet/run_ledger.cpp
+++ b/src/Fleet/run_ledger.cpp
@@ -20,18 +20,20 @@
 
 } // namespace
 
-void run_ledger::fading::add(double more, duration half_life, instant now) {
+void running_request_tracker::fading::add(
+    double more, duration half_life, instant now) {
     sum_ = left(half_life, now) + more;
     at_ = now;
 }
 
-double run_ledger::fading::left(duration half_life, instant now) const {
+double
+running_request_tracker::fading::left(duration half_life, instant now) const {
     std::chrono::duration<double> const passed = now - at_;
     std::chrono::duration<double> const half = half_life;
     return sum_ * std::exp2(-passed.count() / half.count());
 }
 
-void run_ledger::change(
+void running_request_tracker::change(
     at_replica& at, adapter_id const& adapter, unsigned from, unsigned to) {
     at.running = at.running - from + to;
     unsigned& of_adapter = at.by_adapter[adapter];
@@ -41,7 +43,7 @@
     }
 }
 
-void run_ledger::told(
+void running_request_tracker::update(
     std::string const& node, std::uint64_t replica, adapter_id const& adapter,
     unsigned running, unsigned prompt_tokens, instant now) {
     at_replica& at = replicas_[replica];
@@ -56,17 +58,19 @@
     }
 }
 
-void run_ledger::answered(
+void running_request_tracker::add_expected_request(
     std::uint64_t replica, double probability, instant now) {
     replicas_[replica].answers.add(probability, answer_fades, now);
 }
 
-void run_ledger::awaited(std::uint64_t replica, instant now) {
+void running_request_tracker::add_waiting_request(
+    std::uint64_t replica, instant now) {
     replicas_[replica].waits.add(1, wait_fades, now);
 }
 
-replica_total run_ledger::total(std::uint64_t replica, instant now) const {
-    replica_total sum;
+replica_usage
+running_request_tracker::usage(std::uint64_t replica, instant now) const {
+    replica_usage sum;
     auto const found = replicas_.find(replica);
     if (found == replicas_.end()) {
         return sum;
@@ -75,18 +79,18 @@
     double const coming =
         at.answers.left(answer_fades, now) + at.waits.left(wait_fades, now);
     sum.running = at.running + static_cast<unsigned>(coming);
-    sum.backlog_tokens = at.backlog.tokens_left(now);
+    sum.backlog_tokens = at.backlog.remaining_tokens(now);
     return sum;
 }
 
-bool run_ledger::in_use(
+bool running_request_tracker::in_use(
     std::uint64_t replica, adapter_id const& adapter) const {
     auto const found = replicas_.find(replica);
     return found != replicas_.end() &&
            found->second.by_adapter.contains(adapter);
 }
 
-void run_ledger::forget_silent(instant now) {
+void running_request_tracker::drop_timed_out_nodes(instant now) {
     for (auto each = replicas_.begin(); each != replicas_.end();) {
         at_replica& at = each->second;
         for (auto runs = at.runs.begin(); runs != at.runs.end();) {
@@ -97,7 +101,8 @@
             change(at, runs->first.second, runs->second.running, 0);
             runs = at.runs.erase(runs);
         }
-        bool const idle = at.runs.empty() && at.backlog.tokens_left(now) <= 0 &&
+        bool const idle = at.runs.empty() &&
+                          at.backlog.remaining_tokens(now) <= 0 &&
                           at.waits.left(wait_fades, now) < least_left;
         each = idle ? replicas_.erase(each) : std::next(each);
     }
--- a/src/Fleet/run_ledger.hpp
+++ b/src/Fleet/run_ledger.hpp
@@ -13,7 +13,7 @@
 namespace camphorpoint {
 
 /// What all nodes together have at one replica.
-struct replica_total {
+struct replica_usage {
     unsigned running = 0;
     /// Prompt tokens that the replica has still to read.
     double backlog_tokens = 0;
@@ -27,7 +27,7 @@
 /// counts that everybody tells everybody are a second old, all nodes then send
 /// to the replica that was idle, and twice as many requests as it has slots
 /// wait there while others are half empty.
-class run_ledger {
+class running_request_tracker {
 public:
     /// A node tells its runs with an adapter at a replica.
     /// @param node          who tells
@@ -35,7 +35,7 @@
     /// @param adapter       empty for a plain service
     /// @param running       all that the node has there with this adapter now
     /// @param prompt_tokens of prompts sent since its last word
-    void told(
+    void update(
         std::string const& node, std::uint64_t replica,
         adapter_id const& adapter, unsigned running, unsigned prompt_tokens,
         instant now);
@@ -43,16 +43,17 @@
     /// Somebody was told how full a replica is, and sends there by that, with
     /// this probability. Until its run is told it counts, so that those who ask
     /// at the same moment do not all hear the same.
-    void answered(std::uint64_t replica, double probability, instant now);
+    void add_expected_request(
+        std::uint64_t replica, double probability, instant now);
     /// Somebody waits for a load there and will send when it has come.
-    void awaited(std::uint64_t replica, instant now);
+    void add_waiting_request(std::uint64_t replica, instant now);
 
     /// @returns what all nodes have there, and are about to have
-    replica_total total(std::uint64_t replica, instant now) const;
+    replica_usage usage(std::uint64_t replica, instant now) const;
     /// @returns true while some node has runs with the adapter there
     bool in_use(std::uint64_t replica, adapter_id const& adapter) const;
     /// Drops what nodes have told that are silent by now.
-    void forget_silent(instant now);
+    void drop_timed_out_nodes(instant now);
 
 private:
     struct told_runs {
--- a/src/Gateway/declaration_follower.cpp
+++ b/src/Gateway/declaration_follower.cpp
@@ -34,11 +34,11 @@
 /// old one: the platform allows five seconds, a load and its order take one.
 constexpr duration old_version_ends = milliseconds(2'800);
 
-declaration_times times_of(gateway_settings const& settings) {
-    declaration_times times;
-    times.silence = settings.store_timeout;
-    times.longest_silence =
-        std::max(times.longest_silence, settings.store_timeout);
+declaration_poll_settings times_of(gateway_settings const& settings) {
+    declaration_poll_settings times;
+    times.response_timeout = settings.store_timeout;
+    times.max_response_timeout =
+        std::max(times.max_response_timeout, settings.store_timeout);
     return times;
 }
 
@@ -76,13 +76,13 @@
 
 void declaration_follower::on_store_rollback(
     store_epoch epoch, instant read_at) {
-    plan_.new_era(epoch, read_at);
+    plan_.enter_epoch(epoch, read_at);
     look_again();
 }
 
 void declaration_follower::handle_peer_progress(
     store_position place, std::uint64_t total) {
-    plan_.heard(place, total);
+    plan_.handle_peer_progress(place, total);
     look_again();
 }
 
@@ -90,7 +90,7 @@
 // is silent for as long as its bound allows, up to seconds after the return,
 // and a node that has begun meanwhile refuses every request until then.
 void declaration_follower::on_store_recovered() {
-    plan_.store_returned();
+    plan_.store_recovered();
     bool const unanswered = reading_now_ && !waiting_ && !reading_.begun();
     if (unanswered) {
         reading_.cancel();
@@ -100,7 +100,7 @@
 }
 
 void declaration_follower::look_again() {
-    if (*running_ && !looking_ && plan_.behind()) {
+    if (*running_ && !looking_ && plan_.is_behind()) {
         looking_ = true;
         asio::co_spawn(
             beliefs_->io, [this] { return end_useless_wait(); },
@@ -123,8 +123,8 @@
     }
     looking_ = false;
     bool const waits = waiting_ && !reading_.begun();
-    if (waits && reading_began_ <= since && plan_.behind()) {
-        plan_.interrupted();
+    if (waits && reading_began_ <= since && plan_.is_behind()) {
+        plan_.long_poll_cancelled();
         reading_.cancel();
     }
 }
@@ -135,12 +135,12 @@
 }
 
 asio::awaitable<platform::store_result<platform::keyed_batch>>
-declaration_follower::ask(declaration_reading const& asked) {
+declaration_follower::ask(declaration_poll const& asked) {
     using platform::store_topic;
     platform::reading_times times;
-    times.wait = asked.waits ? longest_wait() : milliseconds::zero();
-    times.silence = asked.silence;
-    if (asked.whole) {
+    times.wait = asked.long_poll ? longest_wait() : milliseconds::zero();
+    times.silence = asked.response_timeout;
+    if (asked.full) {
         co_return co_await store_->newest(
             store_topic::declarations, times, reading_);
     }
@@ -148,12 +148,12 @@
         store_topic::declarations, asked.from, times, reading_);
 }
 
-asio::awaitable<void> declaration_follower::read(declaration_reading asked) {
+asio::awaitable<void> declaration_follower::read(declaration_poll asked) {
     auto const alive = running_;
     instant const began = boot_clock::now();
     reading_ = platform::store_reading();
     reading_began_ = began;
-    waiting_ = asked.waits;
+    waiting_ = asked.long_poll;
     reading_now_ = true;
     auto const batch = co_await ask(asked);
     if (!*alive) {
@@ -163,35 +163,34 @@
     reading_now_ = false;
     log_store_read(
         *beliefs_, platform::store_topic::declarations,
-        asked.whole ? "whole" : "on", asked.from.offset, began, reading_,
-        batch);
+        asked.full ? "whole" : "on", asked.from.offset, began, reading_, batch);
     if (batch) {
         monitor_->note_answer();
         take_all(batch.value(), asked);
-        plan_.answered(asked, batch.value().next, boot_clock::now());
-        beliefs_->declared_position = plan_.place();
-        if (asked.whole) {
+        plan_.poll_succeeded(asked, batch.value().next, boot_clock::now());
+        beliefs_->declared_position = plan_.position();
+        if (asked.full) {
             monitor_->note_snapshot(
                 platform::store_topic::declarations, batch.value().next.epoch);
         }
     } else if (batch.error() == platform::store_failure::forgotten) {
         monitor_->note_answer();
-        plan_.forgotten(boot_clock::now());
+        plan_.position_expired(boot_clock::now());
     } else if (!reading_.cancelled()) {
         monitor_->note_failure(
             platform::store_topic::declarations, began, reading_,
             batch.error());
-        plan_.failed();
+        plan_.poll_failed();
     }
 }
 
 asio::awaitable<void> declaration_follower::follow() {
     auto const alive = running_;
     while (*alive) {
-        declaration_reading const asked =
-            plan_.next(boot_clock::now(), beliefs_->nodes());
+        declaration_poll const asked =
+            plan_.next_poll(boot_clock::now(), beliefs_->nodes());
         bool const due =
-            asked.pause == milliseconds::zero() || co_await pause(asked.pause);
+            asked.delay == milliseconds::zero() || co_await pause(asked.delay);
         if (*alive && due) {
             co_await read(asked);
         }
@@ -199,10 +198,10 @@
 }
 
 void declaration_follower::take_all(
-    platform::keyed_batch const& batch, declaration_reading const& asked) {
+    platform::keyed_batch const& batch, declaration_poll const& asked) {
     // When a version that was read whole was named is not known, as by a node
     // that has just started: it may bind everywhere else by now.
-    duration const grace = asked.whole ? duration::zero() : old_version_ends;
+    duration const grace = asked.full ? duration::zero() : old_version_ends;
     bool configured = false;
     // The newest first: of several configurations only the last that can be
     // read counts, and reading a large one takes a node a tenth of a second.
@@ -222,7 +221,7 @@
             break;
         }
     }
-    plan_.note_known(beliefs_->declared_total());
+    plan_.set_known_total(beliefs_->declared_total());
 }
 
 bool declaration_follower::take_configuration(std::string const& text) {
@@ -242,8 +241,8 @@
     beliefs_->configuration = std::move(*read);
     beliefs_->routes = route_table(beliefs_->configuration);
     beliefs_->configured = true;
-    plan_.note_configured();
-    beliefs_->start.configured(boot_clock::now());
+    plan_.mark_configured();
+    beliefs_->start.mark_configured(boot_clock::now());
     beliefs_->held_known.on_serving_started(boot_clock::now());
     beliefs_->note(log_line(event_code::configuration_in_force)
                        .with("version", beliefs_->configuration.version)
@@ -256,7 +255,7 @@
 void declaration_follower::take_version(
     std::string const& text, duration grace) {
     auto const read = platform::read_version(text);
-    if (!read || !beliefs_->versions.name(*read, boot_clock::now(), grace)) {
+    if (!read || !beliefs_->versions.declare(*read, boot_clock::now(), grace)) {
         return;
     }
     beliefs_->note(log_line(event_code::version_known)
--- a/src/Gateway/declaration_follower.hpp
+++ b/src/Gateway/declaration_follower.hpp
@@ -16,7 +16,8 @@
 namespace camphorpoint {
 
 /// Follows what the operator declares, from the store into this node's beliefs.
-/// `declaration_plan` decides which reading comes next; this carries it out.
+/// `declaration_poll_schedule` decides which reading comes next; this carries
+/// it out.
 class declaration_follower {
 public:
     /// @param beliefs where what is read goes; must outlive the follower
@@ -40,16 +41,16 @@
 
 private:
     boost::asio::awaitable<void> follow();
-    boost::asio::awaitable<void> read(declaration_reading asked);
+    boost::asio::awaitable<void> read(declaration_poll asked);
     boost::asio::awaitable<platform::store_result<platform::keyed_batch>>
-    ask(declaration_reading const& asked);
+    ask(declaration_poll const& asked);
     boost::asio::awaitable<void> end_useless_wait();
     /// @returns false when it was ended early, as another reading is due
     boost::asio::awaitable<bool> pause(std::chrono::milliseconds time);
     std::chrono::milliseconds longest_wait() const;
     void look_again();
-    void take_all(
-        platform::keyed_batch const& batch, declaration_reading const& asked);
+    void
+    take_all(platform::keyed_batch const& batch, declaration_poll const& asked);
     bool take_configuration(std::string const& text);
     void take_version(std::string const& text, duration grace);
 
@@ -57,7 +58,7 @@
     platform::store_client* store_;
     store_monitor* monitor_;
     std::function<void()> changed_;
-    declaration_plan plan_;
+    declaration_poll_schedule plan_;
     platform::store_reading reading_;
     boost::asio::steady_timer pause_timer_;
     /// Set while a reading, and while a wait, goes on.
--- a/src/Gateway/gateway.cpp
+++ b/src/Gateway/gateway.cpp
@@ -36,8 +36,8 @@
     limits.body_bytes = declared.body_bytes;
     limits.header_bytes = declared.header_bytes;
     limits.read_timeout =
-        std::max(declared.header_time, std::chrono::milliseconds(3'000));
-    limits.idle_timeout = declared.idle_time;
+        std::max(declared.header_timeout, std::chrono::milliseconds(3'000));
+    limits.idle_timeout = declared.idle_timeout;
     return limits;
 }
 
@@ -185,7 +185,7 @@
         beliefs_.note(log_line(event_code::gateway_ready)
                           .with("version", limits_version_)
                           .with("declared", beliefs_.declared_total())
-                          .with("told", beliefs_.start.told()));
+                          .with("told", beliefs_.start.reported_total()));
     }
 }
 
--- a/src/Gateway/gateway.hpp
+++ b/src/Gateway/gateway.hpp
@@ -55,7 +55,7 @@
     /// @returns true when new requests may go to the replica
     bool uses(endpoint_id const& id) const {
         replica const* const found = beliefs_.replicas.find(id);
-        return found != nullptr && found->open();
+        return found != nullptr && found->accepts_requests();
     }
     /// Takes up new settings, as far as they can change while it runs.
     void reload(gateway_settings const& settings);
--- a/src/Gateway/gateway_beliefs.hpp
+++ b/src/Gateway/gateway_beliefs.hpp
@@ -70,15 +70,15 @@
     route_table routes;
     bool configured = false;
     bool stopping = false;
-    named_versions versions;
-    start_check start;
+    declared_versions versions;
+    startup_gate start;
     /// How far this node has read what the operator declares.
     store_position declared_position;
 
     fleet replicas;
     adapter_demand demand;
     std::mt19937_64 random;
-    replica_choice choice{replicas};
+    replica_selector choice{replicas};
     waiter_list waiters;
     resend_budget second_sends;
     request_quarantine quarantine;
--- a/src/Gateway/list_follower.cpp
+++ b/src/Gateway/list_follower.cpp
@@ -39,7 +39,8 @@
     replica_record const& record = at->record;
     told.listed = true;
     told.heartbeat = record.heartbeat;
-    told.born = record.born ? record.born->time_since_epoch().count() : 0;
+    told.born =
+        record.started_at ? record.started_at->time_since_epoch().count() : 0;
     told.service = record.service.str();
     told.host = record.address.host;
     told.port = record.address.port;
@@ -73,12 +74,12 @@
         record.models.emplace_back(each);
     }
     if (told.born != 0) {
-        record.born = incarnation(milliseconds(told.born));
+        record.started_at = incarnation(milliseconds(told.born));
     }
     replica const* const known = replicas.find(record.id);
-    if (known != nullptr && known->record.born == record.born) {
+    if (known != nullptr && known->record.started_at == record.started_at) {
         for (auto const& [id, held] : known->adapters) {
-            if (!held.dropped) {
+            if (!held.unloading) {
                 record.adapters.push_back({id, held.version});
             }
         }
@@ -123,7 +124,8 @@
 void registry_follower::take_end(endpoint_id const& id) {
     instant const now = boot_clock::now();
     bool const keep = !beliefs_->store_calm(now);
-    if (beliefs_->replicas.lost(id, keep, now) == fleet_change::gone) {
+    if (beliefs_->replicas.mark_unlisted(id, keep, now) ==
+        fleet_change::removed) {
         note_gone(id);
     }
 }
@@ -134,7 +136,7 @@
     if (change == fleet_change::none) {
         return false;
     }
-    bool const seen = change == fleet_change::seen;
+    bool const seen = change == fleet_change::joined;
     if (seen) {
         // Those that wait for any replica of a service.
         beliefs_->waiters.notify(adapter_id());
@@ -180,11 +182,12 @@
     if (reading.to.epoch != reading.from.epoch) {
         return;
     }
-    list_word const word = turns_.heard(reading.from, reading.to, now);
-    if (word == list_word::later_era) {
+    registry_update_fit const word =
+        turns_.handle_update(reading.from, reading.to, now);
+    if (word == registry_update_fit::later_epoch) {
         monitor_->observe_epoch(reading.to.epoch, epoch_from_peer);
     }
-    if (word == list_word::applies) {
+    if (word == registry_update_fit::applies) {
         for (peer_registry_entry const& each : reading.changes) {
             if (each.listed) {
                 apply(record_of(each, beliefs_->replicas));
@@ -201,8 +204,8 @@
     peer_registry_update reading;
     // What others have told meanwhile is no news here any more, so this word
     // must not cover it: whoever has missed theirs would take it for whole.
-    bool const told_on = is_ahead(batch.next, turns_.next());
-    reading.from = max_position(from, told_on ? turns_.next() : batch.next);
+    bool const told_on = is_ahead(batch.next, turns_.position());
+    reading.from = max_position(from, told_on ? turns_.position() : batch.next);
     reading.to = batch.next;
     for (platform::keyed_record const& each : batch.records) {
         taken const came = take_replica(each);
@@ -227,7 +230,7 @@
     instant const now = boot_clock::now();
     bool const keep = !beliefs_->store_calm(now);
     for (endpoint_id const& id :
-         beliefs_->replicas.lost_beside(listed, keep, now)) {
+         beliefs_->replicas.mark_unlisted_except(listed, keep, now)) {
         note_gone(id);
     }
 }
@@ -244,8 +247,8 @@
 }
 
 asio::awaitable<bool> registry_follower::step() {
-    bool const whole = turns_.whole();
-    store_position const from = turns_.next();
+    bool const whole = turns_.needs_full_poll();
+    store_position const from = turns_.position();
     instant const began = boot_clock::now();
     reading_ = platform::store_reading();
     auto const batch = co_await ask(whole, from);
@@ -260,7 +263,7 @@
             batch.error() == platform::store_failure::forgotten;
         if (forgotten) {
             monitor_->note_answer();
-            turns_.forgotten();
+            turns_.position_expired();
         } else {
             monitor_->note_failure(topic, began, reading_, batch.error());
         }
@@ -268,7 +271,7 @@
     }
     monitor_->note_answer();
     store_position const next = batch.value().next;
-    if (!turns_.counts(whole, from, next)) {
+    if (!turns_.is_valid_answer(whole, from, next)) {
         co_return false;
     }
     if (whole) {
@@ -277,7 +280,7 @@
     } else {
         tell(from, batch.value());
     }
-    turns_.was_read(next, boot_clock::now());
+    turns_.poll_completed(next, boot_clock::now());
     co_return true;
 }
 
@@ -289,7 +292,7 @@
 }
 
 void registry_follower::on_store_rollback(store_epoch epoch, instant read_at) {
-    turns_.new_era(epoch, read_at);
+    turns_.enter_epoch(epoch, read_at);
     list_timer_.cancel();
     // It waits for what comes after an old place, for as long as two seconds.
     if (!reading_.begun()) {
@@ -304,23 +307,23 @@
     double draw = part(beliefs_->random);
     while (*alive) {
         instant const now = boot_clock::now();
-        for (endpoint_id const& id : beliefs_->replicas.settle_missing(
+        for (endpoint_id const& id : beliefs_->replicas.expire_missing(
                  beliefs_->store_calm(now), now)) {
             note_gone(id);
         }
         // A node that takes the store for lost sees its return by itself only.
         bool const lost = beliefs_->store_lost_since != instant::max();
         if (now >= read_whole + whole_list_again) {
-            turns_.read_whole();
+            turns_.require_full_poll();
             read_whole = now;
         }
-        if (lost || now >= turns_.due(draw)) {
+        if (lost || now >= turns_.next_poll_time(draw)) {
             co_await read();
             draw = part(beliefs_->random);
             continue;
         }
         instant const calm = beliefs_->store_calm_from();
-        instant const due = turns_.due(draw);
+        instant const due = turns_.next_poll_time(draw);
         instant const wake = now < calm ? std::min(due, calm) : due;
         list_timer_.expires_after(time_until(wake));
         co_await list_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
--- a/src/Gateway/list_follower.hpp
+++ b/src/Gateway/list_follower.hpp
@@ -65,7 +65,7 @@
     store_monitor* monitor_;
     peer_messenger* messenger_;
     std::function<void()> changed_;
-    list_turns turns_;
+    registry_poll_schedule turns_;
     platform::store_reading reading_;
     boost::asio::steady_timer list_timer_;
     // Shared with the coroutine, which ends after it has turned false.
--- a/src/Gateway/peer_words.cpp
+++ b/src/Gateway/peer_words.cpp
@@ -53,7 +53,7 @@
 } // namespace
 
 std::size_t partition_of(endpoint_id const& replica) {
-    return fleet::short_name(replica) % partition_count;
+    return fleet::id_hash(replica) % partition_count;
 }
 
 peer_messenger::peer_messenger(gateway_beliefs& beliefs, receiver to)
@@ -102,7 +102,8 @@
 
 bool peer_messenger::lacks_reachable_lease_holder(instant now) const {
     return std::ranges::any_of(beliefs_->replicas.all(), [&](auto const& each) {
-        if (!each.second.open() || each.second.record.models.empty()) {
+        if (!each.second.accepts_requests() ||
+            each.second.record.models.empty()) {
             return false;
         }
         auto const owner = owners_.find(partition_of(each.first));
@@ -129,7 +130,7 @@
     }
     said = now;
     peer_load_request asked;
-    asked.replica = fleet::short_name(at.record.id);
+    asked.replica = fleet::id_hash(at.record.id);
     asked.adapter = adapter.id.str();
     asked.version = adapter.version;
     asked.kind = static_cast<std::uint8_t>(kind);
@@ -165,7 +166,7 @@
 void peer_messenger::broadcast_residency(
     endpoint_id const& at, std::vector<peer_residency> words) {
     for (peer_residency& each : words) {
-        each.replica = fleet::short_name(at);
+        each.replica = fleet::id_hash(at);
     }
     while (!words.empty()) {
         peer_datagram message;
@@ -206,7 +207,7 @@
 void peer_messenger::broadcast_suspicion(replica const& at, duration rest) {
     peer_datagram message;
     message.suspicions.push_back(
-        {fleet::short_name(at.record.id), clamped_milliseconds(rest)});
+        {fleet::id_hash(at.record.id), clamped_milliseconds(rest)});
     send_all(message);
 }
 
@@ -238,7 +239,7 @@
         return;
     }
     peer_adapter_usage told{
-        fleet::short_name(key.replica), key.adapter.str(), count.running,
+        fleet::id_hash(key.replica), key.adapter.str(), count.running,
         count.prompt_tokens};
     count.prompt_tokens = 0;
     if (owner->second == beliefs_->own_name) {
@@ -259,8 +260,7 @@
             continue;
         }
         peer_adapter_usage told{
-            fleet::short_name(key.replica), key.adapter.str(), count.running,
-            0};
+            fleet::id_hash(key.replica), key.adapter.str(), count.running, 0};
         if (owner->second == beliefs_->own_name) {
             take_use(told, beliefs_->own_name, now);
         } else {
@@ -281,9 +281,9 @@
     return owner != owners_.end() && owner->second == beliefs_->own_name;
 }
 
-replica_total
+replica_usage
 peer_messenger::counted(std::uint64_t replica, instant now) const {
-    replica_total total = ledger_.total(replica, now);
+    replica_usage total = ledger_.usage(replica, now);
     total.free_slots = to_.free_slots(replica);
     return total;
 }
@@ -292,11 +292,11 @@
 peer_messenger::total_of(std::uint64_t replica, instant now) const {
     constexpr double most = std::numeric_limits<std::uint16_t>::max();
     camphorpoint::replica const* const at =
-        beliefs_->replicas.find_short(replica);
+        beliefs_->replicas.find_by_hash(replica);
     if (at == nullptr || !orders_for(at->record.id)) {
         return std::nullopt;
     }
-    replica_total const total = counted(replica, now);
+    replica_usage const total = counted(replica, now);
     peer_replica_usage load;
     load.replica = replica;
     load.free_slots = static_cast<std::int16_t>(total.free_slots);
@@ -308,10 +308,11 @@
 
 void peer_messenger::take_use(
     peer_adapter_usage const& use, std::string const& from, instant now) {
-    ledger_.told(
+    ledger_.update(
         from, use.replica, adapter_id(use.adapter), use.running,
         use.prompt_tokens, now);
-    beliefs_->replicas.told_total(use.replica, counted(use.replica, now), now);
+    beliefs_->replicas.update_usage(
+        use.replica, counted(use.replica, now), now);
     // What counts for the slot is whether any node has runs there.
     peer_adapter_usage of_all = use;
     of_all.running =
@@ -326,10 +327,10 @@
         auto const owner = owners_.find(partition_of(each->record.id));
         bool const known =
             owner != owners_.end() && owner->second != beliefs_->own_name;
-        if (known && now >= each->total_told + fresh_word) {
+        if (known && now >= each->usage_received_at + fresh_word) {
             peer_datagram message;
             message.asks.push_back(
-                {fleet::short_name(each->record.id), adapter.str(),
+                {fleet::id_hash(each->record.id), adapter.str(),
                  static_cast<std::uint8_t>(of.size())});
             send(owner->second, std::move(message));
             asked.push_back(each->record.id);
@@ -344,7 +345,8 @@
     if (!total) {
         return;
     }
-    ledger_.answered(ask.replica, 1.0 / std::max<double>(1, ask.of), now);
+    ledger_.add_expected_request(
+        ask.replica, 1.0 / std::max<double>(1, ask.of), now);
     peer_datagram message;
     message.loads.push_back(*total);
     // Echoed: it names who waits for the answer.
@@ -373,7 +375,7 @@
     if (!beliefs_->start.done()) {
         peer_datagram message = declared();
         message.queries_declared = true;
-        for (std::string const& each : beliefs_->start.asked()) {
+        for (std::string const& each : beliefs_->start.peers_to_ask()) {
             send(each, message);
         }
     }
@@ -385,13 +387,13 @@
     });
     peer_datagram message = declared();
     for (auto const& [id, each] : beliefs_->replicas.all()) {
-        if (!each.open() || message.loads.size() >= most_counts) {
+        if (!each.accepts_requests() || message.loads.size() >= most_counts) {
             continue;
         }
-        std::uint64_t const name = fleet::short_name(id);
+        std::uint64_t const name = fleet::id_hash(id);
         if (auto const total = total_of(name, now)) {
             message.loads.push_back(*total);
-            beliefs_->replicas.told_total(name, counted(name, now), now);
+            beliefs_->replicas.update_usage(name, counted(name, now), now);
         }
     }
     for (std::size_t const each : beliefs_->leases.held_partitions()) {
@@ -416,8 +418,8 @@
         if (tick % ticks_to_repeat == 0) {
             repeat_ends(now);
             repeat_uses();
-            ledger_.forget_silent(now);
-            beliefs_->replicas.forget_old_totals(now);
+            ledger_.drop_timed_out_nodes(now);
+            beliefs_->replicas.expire_usage(now);
         }
         ++tick;
         forget_peers(now);
--- a/src/Gateway/peer_words.hpp
+++ b/src/Gateway/peer_words.hpp
@@ -138,7 +138,7 @@
     void take_ask(
         peer_replica_usage_query const& ask, std::string const& from,
         instant now);
-    replica_total counted(std::uint64_t replica, instant now) const;
+    replica_usage counted(std::uint64_t replica, instant now) const;
     std::optional<peer_replica_usage>
     total_of(std::uint64_t replica, instant now) const;
     void tell_totals(instant now);
@@ -182,7 +182,7 @@
     std::map<use_key, use_count> uses_;
     /// When this node said last that it waits for an adapter at a replica.
     std::map<use_key, instant> wanted_;
-    run_ledger ledger_;
+    running_request_tracker ledger_;
     std::deque<told_end> ends_;
     /// Contents whose ends this node has told, and when it did last.
     std::unordered_map<request_fingerprint, instant> told_contents_;
--- a/src/Gateway/peer_words_taking.cpp
+++ b/src/Gateway/peer_words_taking.cpp
@@ -26,12 +26,12 @@
     // Guards against hundreds of requests for an adapter that has just become
     // busy which all wait for one replica: those beyond its places are turned
     // away at once and have it loaded elsewhere at the same time.
-    replica const* const at = beliefs_->replicas.find_short(want.replica);
+    replica const* const at = beliefs_->replicas.find_by_hash(want.replica);
     if (at == nullptr || !want.first_request) {
         return true;
     }
-    replica_total const total = ledger_.total(want.replica, now);
-    return replica_choice::has_place(total, at->record.slots);
+    replica_usage const total = ledger_.usage(want.replica, now);
+    return replica_selector::has_capacity(total, at->record.slots);
 }
 
 void peer_messenger::take_want(
@@ -41,7 +41,7 @@
         has_place_for(want, now) ? to_.want(want) : until_place;
     if (!wait) {
         if (waits(want) && want.first_request) {
-            ledger_.awaited(want.replica, now);
+            ledger_.add_waiting_request(want.replica, now);
         }
         return;
     }
@@ -58,7 +58,7 @@
 
 void peer_messenger::take_denial(
     peer_load_rejection const& denial, instant now) {
-    if (replica* const at = beliefs_->replicas.find_short(denial.replica)) {
+    if (replica* const at = beliefs_->replicas.find_by_hash(denial.replica)) {
         adapter_id const adapter(denial.adapter);
         at->denials[adapter] = {
             now + denial_lasts, now + milliseconds(denial.wait_ms)};
@@ -81,16 +81,16 @@
         to_.epoch(message.declared_position.epoch);
     }
     if (message.present) {
-        beliefs_->start.heard(message.from, message.declared_total);
+        beliefs_->start.handle_peer_total(message.from, message.declared_total);
     }
     if (message.queries_declared) {
         send(message.from, declared());
     }
     for (peer_replica_usage const& each : message.loads) {
-        replica_total const total{
+        replica_usage const total{
             each.running, static_cast<double>(each.backlog_tokens),
             each.free_slots};
-        beliefs_->replicas.told_total(each.replica, total, now);
+        beliefs_->replicas.update_usage(each.replica, total, now);
     }
     for (peer_replica_usage_query const& each : message.asks) {
         if (message.answers) {
@@ -107,22 +107,22 @@
         beliefs_->leases.on_higher_token(each.partition, each.token);
     }
     for (peer_residency const& each : message.words) {
-        replica const* const at = beliefs_->replicas.find_short(each.replica);
+        replica const* const at = beliefs_->replicas.find_by_hash(each.replica);
         adapter_id const adapter(each.adapter);
         if (at == nullptr) {
             continue;
         }
         if (each.held) {
-            beliefs_->replicas.told_held(
+            beliefs_->replicas.mark_resident(
                 at->record.id, {adapter, each.version}, now);
             beliefs_->waiters.notify(adapter);
         } else {
-            beliefs_->replicas.told_dropped(at->record.id, adapter, now);
+            beliefs_->replicas.mark_unloading(at->record.id, adapter, now);
         }
     }
     for (peer_suspicion const& each : message.suspicions) {
-        if (replica* const at = beliefs_->replicas.find_short(each.replica)) {
-            at->health.note_hearsay(now + milliseconds(each.milliseconds));
+        if (replica* const at = beliefs_->replicas.find_by_hash(each.replica)) {
+            at->health.adopt_suspicion(now + milliseconds(each.milliseconds));
         }
     }
     for (peer_load_request const& each : message.wants) {
--- a/src/Gateway/request_flow.cpp
+++ b/src/Gateway/request_flow.cpp
@@ -63,7 +63,7 @@
     need_.service = pick_service(*route_, hash_text(demand_.id.str()));
     need_.adapter = demand_.adapter;
     need_.model = demand_.model;
-    need_.draw = beliefs_->random();
+    need_.random_sample = beliefs_->random();
     content_ = fingerprint_request(
         request.method, request.fields.get("Host"), request.target,
         request.body);
@@ -146,7 +146,7 @@
         }
         // One that has ended its answer unproven is sound.
         if (end != attempt_end::unproven) {
-            need_.tried.push_back(id);
+            need_.tried_replicas.push_back(id);
         }
         if (!may_go_on(end)) {
             co_await finish(reason_);
@@ -165,7 +165,8 @@
     terms.replica = at.record.id;
     terms.remaining = std::chrono::duration_cast<milliseconds>(deadline_ - now);
     terms.priority = route_->priority;
-    std::uint32_t const least = beliefs_->versions.least(need_.adapter, now);
+    std::uint32_t const least =
+        beliefs_->versions.min_version(need_.adapter, now);
     if (least > 0) {
         // A replica refuses any other version than the one that is named, also
         // a newer one: the version that it should hold.
@@ -215,7 +216,7 @@
                        .with("prompt", demand_.prompt_tokens)
                        .with("try", tries_)
                        .with("waited_ms", now - arrived_));
-    beliefs_->replicas.began(id, demand_.prompt_tokens, now);
+    beliefs_->replicas.request_started(id, demand_.prompt_tokens, now);
     messenger_->begin_use(id, need_.adapter, demand_.prompt_tokens);
     trace_ = run_trace{position_.last().value_or(0)};
     call_times times = times_of_send(now);
@@ -234,7 +235,7 @@
     }
     trace_.broke_off = call->broke_off();
     leaving_->call = nullptr;
-    beliefs_->replicas.ended(id);
+    beliefs_->replicas.request_finished(id);
     messenger_->end_use(id, need_.adapter);
     bool const late = boot_clock::now() >= deadline_;
     if (late && end != attempt_end::finished && end != attempt_end::refused) {
--- a/src/Gateway/request_flow.hpp
+++ b/src/Gateway/request_flow.hpp
@@ -129,7 +129,7 @@
     instant deadline_;
     platform::caller_demand demand_;
     std::optional<service_route> route_;
-    replica_need need_;
+    replica_requirements need_;
     request_fingerprint content_{};
     /// Its number at the content's gate, while it was let begin and has shown
     /// nothing yet.
--- a/src/Gateway/request_flow_choice.cpp
+++ b/src/Gateway/request_flow_choice.cpp
@@ -61,7 +61,7 @@
 // Guards against refusals while a service's replicas are there and write their
 // entries again, which lapsed in the store's outage.
 bool request_flow::awaits_entries(instant now) const {
-    return !beliefs_->choice.any_open(need_.service) &&
+    return !beliefs_->choice.any_accepts_requests(need_.service) &&
            beliefs_->list_refills(now) && now < arrived_ + route_->objective;
 }
 
@@ -107,25 +107,27 @@
 void request_flow::want_copies(replica const& best, instant now) {
     std::size_t const replicas =
         beliefs_->replicas.of_service(need_.service).size();
-    std::size_t const here = beliefs_->choice.holders(need_, now);
+    std::size_t const here = beliefs_->choice.resident_count(need_, now);
     std::size_t const wanted =
-        beliefs_->demand.copies(need_.adapter, replicas, now);
+        beliefs_->demand.target_replica_count(need_.adapter, replicas, now);
     // A copy spreads nothing while the holders are no fuller than the others.
     // Each node guesses the demand from its own few requests, and the highest
     // of many guesses would make copies everywhere.
-    double const mean = beliefs_->choice.mean_crowding(need_.service, now);
+    double const mean = beliefs_->choice.mean_utilization(need_.service, now);
     bool const fuller =
-        replica_choice::crowding(best, now) > mean + noticed_crowding;
+        replica_selector::utilization(best, now) > mean + noticed_crowding;
     // Where prompts queue at all holders one more pays whatever the share: it
     // may be another adapter there that fills them.
-    bool const queues = replica_choice::crowding(best, now) >= queue_crowding &&
-                        beliefs_->demand.steady(need_.adapter, replicas, now);
+    bool const queues =
+        replica_selector::utilization(best, now) >= queue_crowding &&
+        beliefs_->demand.warrants_replication(need_.adapter, replicas, now);
     if (fuller && here > 0 && (here < wanted || queues)) {
         // While its holders have room the copy waits for loads that somebody
         // waits for.
         bool const urgent =
-            replica_choice::crowding(best, now) >= copy_crowding;
-        ask_for_copy(beliefs_->choice.next_home(need_, now), urgent);
+            replica_selector::utilization(best, now) >= copy_crowding;
+        ask_for_copy(
+            beliefs_->choice.next_preferred_replica(need_, now), urgent);
     }
 }
 
@@ -134,13 +136,14 @@
     // way, and another would be a second one for nothing.
     replica* const asked = beliefs_->replicas.find(asked_);
     // One that has filled up meanwhile would be a reason to refuse.
-    if (asked != nullptr && asked->open() &&
+    if (asked != nullptr && asked->accepts_requests() &&
         asked->denial(need_.adapter, now) == nullptr &&
         asked->load() < full_load && !asked->health.suspected(now)) {
         return asked;
     }
-    replica* const next = beliefs_->choice.next_home(need_, now);
-    replica const* const soonest = beliefs_->choice.soonest_home(need_, now);
+    replica* const next = beliefs_->choice.next_preferred_replica(need_, now);
+    replica const* const soonest =
+        beliefs_->choice.soonest_ready_replica(need_, now);
     bool const all_asked = next == nullptr || homes_asked_ >= most_homes;
     if (soonest != nullptr && all_asked) {
         soonest_ = soonest->denial(need_.adapter, now)->ready_at - now;
@@ -160,17 +163,18 @@
     holding_ = false;
     std::uint32_t const newest =
         beliefs_->versions.newest(need_.adapter).value_or(0);
-    need_.least_version = newest;
+    need_.min_version = newest;
     replica* best = beliefs_->choice.best(need_, now);
-    std::uint32_t const least = beliefs_->versions.least(need_.adapter, now);
+    std::uint32_t const least =
+        beliefs_->versions.min_version(need_.adapter, now);
     if (best == nullptr && least < newest) {
         // The old version serves until the new one lies somewhere.
-        ask_for_copy(beliefs_->choice.next_home(need_, now), true);
-        need_.least_version = least;
+        ask_for_copy(beliefs_->choice.next_preferred_replica(need_, now), true);
+        need_.min_version = least;
         best = beliefs_->choice.best(need_, now);
     }
     bool const sound = best != nullptr && !best->health.suspected(now);
-    if (sound && best->counted(now) && best->load() < easy_load) {
+    if (sound && best->usage_known(now) && best->load() < easy_load) {
         want_copies(*best, now);
         holding_ = should_hold(*best, now);
         if (holding_) {
@@ -181,8 +185,8 @@
     replica* const home = home_for(now);
     // Where nobody is known to count, all others send blindly too. It is used
     // when there is no other.
-    bool const blind = sound && !best->counted(now) && home != nullptr &&
-                       home->counted(now) &&
+    bool const blind = sound && !best->usage_known(now) && home != nullptr &&
+                       home->usage_known(now) &&
                        now < arrived_ + route_->objective / 2;
     if (sound && !blind && best->load() < full_load) {
         if (home != nullptr && home->load() < best->load() &&
@@ -195,7 +199,7 @@
     // its load is older. When all are busy a further load would make everybody
     // late, and places come free elsewhere no sooner.
     bool const service_busy =
-        beliefs_->choice.mean_crowding(need_.service, now) >= busy_service;
+        beliefs_->choice.mean_utilization(need_.service, now) >= busy_service;
     if (home != nullptr && (home->load() < full_load || !service_busy)) {
         ask_for_copy(home, true);
         return std::nullopt;
@@ -209,7 +213,7 @@
         return std::nullopt;
     }
     if (none && now < arrived_ + route_->objective &&
-        beliefs_->choice.any_open(need_.service)) {
+        beliefs_->choice.any_accepts_requests(need_.service)) {
         // All that lies anywhere is in use right now; some of it ends soon.
         return std::nullopt;
     }
@@ -231,10 +235,10 @@
     instant const began = boot_clock::now();
     instant const until = began + ask_time;
     auto const asked = messenger_->query_replica_usage(
-        beliefs_->choice.compared(need_, began), need_.adapter, began);
+        beliefs_->choice.compared_replicas(need_, began), need_.adapter, began);
     auto const unanswered = [&](endpoint_id const& id) {
         replica const* const at = beliefs_->replicas.find(id);
-        return at != nullptr && at->total_told < began;
+        return at != nullptr && at->usage_received_at < began;
     };
     while (std::ranges::any_of(asked, unanswered) && !caller->gone &&
            boot_clock::now() < until) {
--- a/src/Gateway/request_flow_ending.cpp
+++ b/src/Gateway/request_flow_ending.cpp
@@ -30,12 +30,12 @@
 
 /// @returns a name that is another one after each start of the replica
 std::uint64_t start_name(endpoint_id const& id, fleet const& replicas) {
-    std::uint64_t const name = fleet::short_name(id);
+    std::uint64_t const name = fleet::id_hash(id);
     replica const* const at = replicas.find(id);
-    if (at == nullptr || !at->record.born) {
+    if (at == nullptr || !at->record.started_at) {
         return name;
     }
-    auto const born = at->record.born->time_since_epoch().count();
+    auto const born = at->record.started_at->time_since_epoch().count();
     return combine_hashes(name, static_cast<std::uint64_t>(born));
 }
 
@@ -47,15 +47,15 @@
         return;
     }
     instant const now = boot_clock::now();
-    health_evidence evidence = health_evidence::answered;
+    health_signal evidence = health_signal::answered;
     if (end == attempt_end::silent || end == attempt_end::unreached) {
-        evidence = health_evidence::silent;
+        evidence = health_signal::no_response;
     } else if (end == attempt_end::broken) {
-        evidence = health_evidence::broken;
+        evidence = health_signal::truncated;
     } else if (end == attempt_end::failed || end == attempt_end::late) {
-        evidence = health_evidence::failed;
+        evidence = health_signal::failed;
     }
-    if (target->health.note(evidence, now)) {
+    if (target->health.add_outcome(evidence, now)) {
         duration const rest = target->health.suspected_until() - now;
         beliefs_->note(
             log_line(event_code::replica_suspected, log_level::warning)
@@ -89,8 +89,8 @@
     }
     gate_run_ = run;
     replica const* const still = beliefs_->replicas.find(at);
-    bool const usable =
-        still != nullptr && still->open() && !caller->gone && !refuse_held();
+    bool const usable = still != nullptr && still->accepts_requests() &&
+                        !caller->gone && !refuse_held();
     if (!usable) {
         leave_gate(attempt_end::unreached);
     }
--- a/src/Gateway/request_flow_passing.cpp
+++ b/src/Gateway/request_flow_passing.cpp
@@ -27,7 +27,7 @@
     if (kind == answer_kind::not_executed || kind == answer_kind::misdirected) {
         ledger_.on_not_executed();
         if (kind == answer_kind::misdirected && !need_.adapter.empty()) {
-            beliefs_->replicas.told_dropped(
+            beliefs_->replicas.mark_unloading(
                 at, need_.adapter, boot_clock::now());
         }
         // Read to its end, so that the connection can be kept.
--- a/src/Gateway/slot_orderer.cpp
+++ b/src/Gateway/slot_orderer.cpp
@@ -77,7 +77,7 @@
 
 std::optional<slot_limits>
 replica_controller::limits_of(replica const& at) const {
-    service_form const* const service =
+    service_definition const* const service =
         beliefs_->configuration.find_service(at.record.service);
     if (service == nullptr || !service->engine) {
         return std::nullopt;
@@ -92,7 +92,7 @@
     for (auto const& [id, at] : beliefs_->replicas.all()) {
         auto const token = beliefs_->leases.token(partition_of(id), now);
         auto const limits = limits_of(at);
-        if (!token || !limits || !at.open() || held_.contains(id)) {
+        if (!token || !limits || !at.accepts_requests() || held_.contains(id)) {
             continue;
         }
         auto const held = std::make_shared<held_replica>(
@@ -100,7 +100,7 @@
             *beliefs_->leases.exclusive_since(partition_of(id)));
         held_[id] = held;
         limiter_->set_replicas(held_.size());
-        by_short_name_[fleet::short_name(id)] = id;
+        by_short_name_[fleet::id_hash(id)] = id;
         asio::co_spawn(
             beliefs_->io, [this, id = id, held] { return work(id, held); },
             asio::detached);
@@ -132,7 +132,8 @@
         std::vector<peer_residency> words{
             {0, asked.adapter, asked.version, true}};
         messenger_->broadcast_residency(held->first, std::move(words));
-        beliefs_->replicas.told_held(held->first, adapter, boot_clock::now());
+        beliefs_->replicas.mark_resident(
+            held->first, adapter, boot_clock::now());
         beliefs_->waiters.notify(adapter.id);
         return std::nullopt;
     }
@@ -187,10 +188,10 @@
     std::vector<peer_residency> words;
     for (residency_change const& each : account.drain_changes()) {
         if (each.resident) {
-            beliefs_->replicas.told_held(id, each.adapter, now);
+            beliefs_->replicas.mark_resident(id, each.adapter, now);
             beliefs_->waiters.notify(each.adapter.id);
         } else {
-            beliefs_->replicas.told_dropped(id, each.adapter.id, now);
+            beliefs_->replicas.mark_unloading(id, each.adapter.id, now);
         }
         words.push_back(
             {0, each.adapter.id.str(), each.adapter.version, each.resident});
@@ -204,7 +205,7 @@
     }
     held_.erase(id);
     limiter_->set_replicas(held_.size());
-    by_short_name_.erase(fleet::short_name(id));
+    by_short_name_.erase(fleet::id_hash(id));
 }
 
 asio::awaitable<void>
@@ -213,7 +214,8 @@
     instant const now = boot_clock::now();
     auto const token = beliefs_->leases.token(partition_of(id), now);
     auto const since = beliefs_->leases.exclusive_since(partition_of(id));
-    if (at == nullptr || !at->open() || !token || since != held->since) {
+    if (at == nullptr || !at->accepts_requests() || !token ||
+        since != held->since) {
         held->ended = true;
         co_return;
     }
@@ -224,9 +226,9 @@
         held->token = *token;
         account.require_report();
     }
-    if (at->record.born != held->born) {
+    if (at->record.started_at != held->born) {
         // Asked by report, which is newer than the list: it may know already.
-        held->born = at->record.born;
+        held->born = at->record.started_at;
         account.require_report();
     }
     if (account.report_due(now)) {
@@ -234,7 +236,7 @@
         co_return;
     }
     want_newer_versions(account);
-    service_form const* const service =
+    service_definition const* const service =
         beliefs_->configuration.find_service(at->record.service);
     if (account.has_report() && !account.has_model() &&
         !account.base_model_set() && service != nullptr && service->engine &&
@@ -336,14 +338,14 @@
 void replica_controller::note_replaced(endpoint_id const& id) {
     instant const now = boot_clock::now();
     replica const* const at = beliefs_->replicas.find(id);
-    if (at == nullptr || !at->open()) {
+    if (at == nullptr || !at->accepts_requests()) {
         return;
     }
     beliefs_->note(log_line(event_code::replica_gone, log_level::warning)
                        .with("replica", id.str())
                        .with("why", "its address is another's"));
     messenger_->broadcast_suspicion(*at, entry_lapses);
-    beliefs_->replicas.lost(id, false, now);
+    beliefs_->replicas.mark_unlisted(id, false, now);
 }
 
 void replica_controller::note_order(
@@ -371,7 +373,7 @@
     }
 }
 
-bool replica_controller::may_load_model(service_form const& service) {
+bool replica_controller::may_load_model(service_definition const& service) {
     // Loads of base models are rated over all replicas. Each holder takes a
     // share as large as its part of the partitions.
     instant const now = boot_clock::now();
--- a/src/Gateway/slot_orderer.hpp
+++ b/src/Gateway/slot_orderer.hpp
@@ -80,7 +80,7 @@
         replica_command const& order, command_result answer);
     void spawn_workers();
     void want_newer_versions(slot_tracker& account);
-    bool may_load_model(service_form const& service);
+    bool may_load_model(service_definition const& service);
     void publish(endpoint_id const& id, slot_tracker& account);
     std::map<endpoint_id, held_ptr>::const_iterator
     find_held(std::uint64_t replica) const;
--- a/src/Gateway/slot_orderer_leases.cpp
+++ b/src/Gateway/slot_orderer_leases.cpp
@@ -176,7 +176,7 @@
         }
     }
     others.erase(beliefs_->own_name);
-    beliefs_->start.listed(beliefs_->own_name, others);
+    beliefs_->start.set_peers(beliefs_->own_name, others);
     messenger_->query_declared();
 }
 
--- a/src/Holding/slot_account_reports.cpp
+++ b/src/Holding/slot_account_reports.cpp
@@ -79,10 +79,10 @@
 
 void slot_tracker::apply_report(replica_report const& report, instant now) {
     report_after_ = now + report_pause;
-    if (born_ && report.born && report.born != born_) {
+    if (born_ && report.started_at && report.started_at != born_) {
         begin_anew();
     }
-    born_ = report.born ? report.born : born_;
+    born_ = report.started_at ? report.started_at : born_;
     if (known_ && report.sequence < sequence_ &&
         now < last_counted_ + report_age) {
         // Older than the newest accepted order: it can't show its effect.
--- a/src/Placement/placement_policy.cpp
+++ b/src/Placement/placement_policy.cpp
@@ -19,7 +19,7 @@
         std::chrono::duration<double>(order) * (1.0 - each.residency));
     double const squared = each.busy * each.busy;
     cost += std::chrono::duration_cast<duration>(
-        std::chrono::duration<double>(crowding) * squared * squared);
+        std::chrono::duration<double>(utilization) * squared * squared);
     if (each.prefix_cached) {
         cost -= prefix_saving;
     }
--- a/src/Placement/placement_policy.hpp
+++ b/src/Placement/placement_policy.hpp
@@ -53,7 +53,7 @@
     static constexpr std::chrono::microseconds distance{500};
     /// What a full batch costs: requests that come next would wait. Less full
     /// batches cost far less, by the fourth power.
-    static constexpr std::chrono::milliseconds crowding{400};
+    static constexpr std::chrono::milliseconds utilization{400};
     /// Each place further down the order of an adapter that is not resident.
     static constexpr std::chrono::milliseconds rank_cost{20};
     /// A load elsewhere costs the store a load and some other adapter its
--- a/src/Routing/declaration_plan.hpp
+++ b/src/Routing/declaration_plan.hpp
@@ -9,96 +9,98 @@
 namespace camphorpoint {
 
 /// The times by which a node reads what the operator declares.
-struct declaration_times {
+struct declaration_poll_settings {
     /// A reading is given up when it is silent for so long. Each failure in a
     /// row doubles it, as a store that many read at once answers late: with a
     /// fixed bound all give up and ask again, and nobody is answered.
-    std::chrono::milliseconds silence{800};
-    std::chrono::milliseconds longest_silence{3'200};
+    std::chrono::milliseconds response_timeout{800};
+    std::chrono::milliseconds max_response_timeout{3'200};
     /// Between a failed reading and the next. Doubles likewise.
-    std::chrono::milliseconds retry{250};
-    std::chrono::milliseconds longest_retry{1'000};
+    std::chrono::milliseconds retry_delay{250};
+    std::chrono::milliseconds max_retry_delay{1'000};
     /// Between two readings while there is no configuration at all, which
     /// stands some seconds before the first request comes.
-    std::chrono::milliseconds first_pause{500};
+    std::chrono::milliseconds unconfigured_delay{500};
     /// Of all nodes together one reads everything anew so often, in case that a
     /// record was missed without a sign; it tells the others how much it knows.
-    std::chrono::milliseconds check{12'000};
+    std::chrono::milliseconds full_poll_interval{12'000};
     /// After the store has forgotten its history its answers may be seconds
     /// old (5.5 s were seen): for so long a node reads everything again, so
     /// often.
-    std::chrono::milliseconds doubt{5'000};
-    std::chrono::milliseconds doubt_check{3'000};
+    std::chrono::milliseconds stale_history_period{5'000};
+    std::chrono::milliseconds stale_history_poll_interval{3'000};
 };
 
 /// One reading of what the operator declares.
-struct declaration_reading {
+struct declaration_poll {
     /// The newest record of each key; else what was written from a place on.
-    bool whole = true;
+    bool full = true;
     store_position from;
     /// The store may hold its answer back until there is something new.
-    bool waits = false;
-    std::chrono::milliseconds pause{0};
-    std::chrono::milliseconds silence{0};
+    bool long_poll = false;
+    std::chrono::milliseconds delay{0};
+    std::chrono::milliseconds response_timeout{0};
 };
 
 /// Decides how a node reads what the operator declares: when it waits for the
 /// next record, when it reads everything, and when a wait is no longer trusted.
 /// A node has one reading at a time.
-class declaration_plan {
+class declaration_poll_schedule {
 public:
     /// @param times by which it reads
     /// @param draw  0 to 1, another one on each node
-    explicit declaration_plan(declaration_times times = {}, double draw = 0.5);
+    explicit declaration_poll_schedule(
+        declaration_poll_settings times = {}, double draw = 0.5);
 
     /// @param nodes how many nodes share the checks
     /// @returns the reading to begin now
-    declaration_reading next(instant now, unsigned nodes) const;
+    declaration_poll next_poll(instant now, unsigned nodes) const;
     /// A reading has been answered.
     /// @param place where what is written next will stand
-    void answered(
-        declaration_reading const& asked, store_position place, instant now);
+    void poll_succeeded(
+        declaration_poll const& asked, store_position place, instant now);
     /// A reading has brought nothing.
-    void failed();
+    void poll_failed();
     /// The place to read from is gone from the store's history.
-    void forgotten(instant now);
+    void position_expired(instant now);
     /// There is a configuration.
-    void note_configured() noexcept { configured_ = true; }
+    void mark_configured() noexcept { configured_ = true; }
     /// How much is known: the sum of all versions, which only rises.
-    void note_known(std::uint64_t total) noexcept { known_ = total; }
+    void set_known_total(std::uint64_t total) noexcept { known_ = total; }
 
     /// Another node has read so far, and knows so much.
-    void heard(store_position place, std::uint64_t total) noexcept;
+    void
+    handle_peer_progress(store_position place, std::uint64_t total) noexcept;
     /// The store has come back from an older copy, in this era.
     /// @param at when this node reads everything, another time on each node
-    void new_era(store_epoch epoch, instant at) noexcept;
+    void enter_epoch(store_epoch epoch, instant at) noexcept;
     /// The connection that a wait uses may have died with the store's outage.
-    void distrust_wait() noexcept { wait_distrusted_ = true; }
+    void distrust_long_poll() noexcept { wait_distrusted_ = true; }
     /// The store answers again: the failures were its outage's.
-    void store_returned() noexcept {
-        distrust_wait();
+    void store_recovered() noexcept {
+        distrust_long_poll();
         failures_ = 0;
     }
     /// @returns true when a wait should have brought something by now
-    bool behind() const noexcept;
+    bool is_behind() const noexcept;
     /// A wait was ended, since it brought nothing.
-    void interrupted() noexcept;
+    void long_poll_cancelled() noexcept;
 
     /// @returns how far has been read
-    store_position place() const noexcept { return place_; }
+    store_position position() const noexcept { return position_; }
     /// @returns the era of the store that has been heard of last
-    store_epoch epoch() const noexcept { return era_; }
+    store_epoch epoch() const noexcept { return epoch_; }
 
 private:
     instant check_due(unsigned nodes) const;
     bool misses_something() const noexcept;
-    bool outdated() const noexcept { return era_ > place_.epoch; }
+    bool outdated() const noexcept { return epoch_ > position_.epoch; }
 
-    declaration_times times_;
+    declaration_poll_settings times_;
     double draw_;
-    store_position place_;
-    store_epoch era_{};
-    instant era_read_at_;
+    store_position position_;
+    store_epoch epoch_{};
+    instant epoch_poll_at_;
     std::uint64_t known_ = 0;
     store_position told_place_;
     std::uint64_t told_total_ = 0;
--- a/src/Routing/named_versions.cpp
+++ b/src/Routing/named_versions.cpp
@@ -5,7 +5,7 @@
 
 namespace camphorpoint {
 
-bool named_versions::name(
+bool declared_versions::declare(
     adapter_ref const& adapter, instant now, duration grace) {
     auto const [place, fresh] = versions_.try_emplace(adapter.id);
     adapter_versions& of = place->second;
@@ -35,7 +35,7 @@
 }
 
 std::uint32_t
-named_versions::least(adapter_id const& adapter, instant now) const {
+declared_versions::min_version(adapter_id const& adapter, instant now) const {
     auto const found = versions_.find(adapter);
     std::uint32_t bound = 0;
     if (found != versions_.end()) {
@@ -47,7 +47,7 @@
 }
 
 std::optional<std::uint32_t>
-named_versions::newest(adapter_id const& adapter) const {
+declared_versions::newest(adapter_id const& adapter) const {
     auto const found = versions_.find(adapter);
     if (found == versions_.end()) {
         return std::nullopt;
--- a/src/Routing/named_versions.hpp
+++ b/src/Routing/named_versions.hpp
@@ -12,16 +12,16 @@
 
 /// The versions that the operator has named for adapters, and from when on each
 /// binds: a request may begin on an older one for a while.
-class named_versions {
+class declared_versions {
 public:
     /// A version was named.
     /// @param grace requests may begin on an older one for so long from now
     /// @returns true when it is newer than all that are known
-    bool name(adapter_ref const& adapter, instant now, duration grace);
+    bool declare(adapter_ref const& adapter, instant now, duration grace);
 
     /// @returns the version that a request must run on at least, by now; 0 for
     ///          any
-    std::uint32_t least(adapter_id const& adapter, instant now) const;
+    std::uint32_t min_version(adapter_id const& adapter, instant now) const;
     /// @returns the newest version that is known, nothing when none was named
     std::optional<std::uint32_t> newest(adapter_id const& adapter) const;
     /// @returns adapters with their newest versions
--- a/src/Routing/route_table.cpp
+++ b/src/Routing/route_table.cpp
@@ -20,9 +20,10 @@
 
 } // namespace
 
-service_form const*
+service_definition const*
 routing_configuration::find_service(service_id const& wanted) const noexcept {
-    auto const found = std::ranges::find(services, wanted, &service_form::name);
+    auto const found =
+        std::ranges::find(services, wanted, &service_definition::name);
     return found == services.end() ? nullptr : &*found;
 }
 
@@ -52,20 +53,20 @@
 }
 
 service_id const& pick_service(service_route const& route, std::uint64_t draw) {
-    assert(!route.shares.empty() && "a route leads to a service");
+    assert(!route.weighted_services.empty() && "a route leads to a service");
     double total = 0;
-    for (service_share const& each : route.shares) {
+    for (weighted_service const& each : route.weighted_services) {
         total += each.weight;
     }
     constexpr auto most = std::numeric_limits<std::uint64_t>::max();
     double left = total * static_cast<double>(draw) / static_cast<double>(most);
-    for (service_share const& each : route.shares) {
+    for (weighted_service const& each : route.weighted_services) {
         left -= each.weight;
         if (left < 0) {
             return each.service;
         }
     }
-    return route.shares.back().service;
+    return route.weighted_services.back().service;
 }
 
 } // namespace camphorpoint
--- a/src/Routing/routing_configuration.hpp
+++ b/src/Routing/routing_configuration.hpp
@@ -24,7 +24,7 @@
 };
 
 /// A service's part of a route's requests.
-struct service_share {
+struct weighted_service {
     service_id service;
     double weight = 1;
 };
@@ -46,7 +46,7 @@
     unsigned attempts = 1;
     /// A cut stream may go on at another replica.
     bool resumable = false;
-    std::vector<service_share> shares;
+    std::vector<weighted_service> weighted_services;
 
     /// @returns true when a second run does no harm
     bool idempotent() const noexcept {
@@ -62,7 +62,7 @@
 };
 
 /// What the replicas of an engine service can hold.
-struct engine_form {
+struct engine_definition {
     unsigned adapter_slots = 0;
     /// Loads of base models that the weight store starts in a second.
     double loads_per_second = 1;
@@ -70,30 +70,31 @@
 };
 
 /// A service as declared.
-struct service_form {
+struct service_definition {
     service_id name;
     /// Connections that a replica takes from all nodes together; 0: no limit.
-    unsigned most_connections = 0;
-    std::optional<engine_form> engine;
+    unsigned max_connections = 0;
+    std::optional<engine_definition> engine;
 };
 
 /// What one caller may send, and how long it may take.
 struct caller_limits {
     std::uint32_t header_bytes = 16U << 10U;
     std::uint64_t body_bytes = 4U << 20U;
-    std::chrono::milliseconds header_time{3'000};
-    std::chrono::milliseconds idle_time{15'000};
+    std::chrono::milliseconds header_timeout{3'000};
+    std::chrono::milliseconds idle_timeout{15'000};
 };
 
 /// One version of all routes and services, in full.
 struct routing_configuration {
     std::uint64_t version = 0;
     std::vector<service_route> routes;
-    std::vector<service_form> services;
+    std::vector<service_definition> services;
     caller_limits limits;
 
     /// @returns the service of the name, or null
-    service_form const* find_service(service_id const& name) const noexcept;
+    service_definition const*
+    find_service(service_id const& name) const noexcept;
 };
 
 } // namespace camphorpoint
--- a/src/Routing/start_check.cpp
+++ b/src/Routing/start_check.cpp
@@ -15,14 +15,14 @@
 
 } // namespace
 
-start_check::start_check(start_check_times times)
+startup_gate::startup_gate(startup_gate_timeouts times)
     : times_(times) {}
 
-void start_check::configured(instant now) {
+void startup_gate::mark_configured(instant now) {
     configured_at_ = configured_at_.value_or(now);
 }
 
-void start_check::listed(
+void startup_gate::set_peers(
     std::string_view own, std::set<std::string> const& others) {
     if (done_) {
         return;
@@ -42,25 +42,26 @@
     }
 }
 
-void start_check::heard(std::string const& from, std::uint64_t total) {
+void startup_gate::handle_peer_total(
+    std::string const& from, std::uint64_t total) {
     if (!done_) {
         heard_.insert(from);
         told_ = std::max(told_, total);
     }
 }
 
-bool start_check::heard_all() const {
+bool startup_gate::heard_all() const {
     return listed_ && std::ranges::includes(heard_, asked_);
 }
 
-bool start_check::passed(std::uint64_t known, instant now) {
+bool startup_gate::passed(std::uint64_t known, instant now) {
     if (done_ || !configured_at_) {
         return done_;
     }
     bool const heard_in_time =
-        heard_all() || now >= *configured_at_ + times_.hearing;
+        heard_all() || now >= *configured_at_ + times_.peer_report_timeout;
     bool const has_all =
-        known >= told_ || now >= *configured_at_ + times_.catching_up;
+        known >= told_ || now >= *configured_at_ + times_.catch_up_timeout;
     done_ = heard_in_time && has_all;
     return done_;
 }
--- a/src/Routing/start_check.hpp
+++ b/src/Routing/start_check.hpp
@@ -12,15 +12,15 @@
 namespace camphorpoint {
 
 /// How long a node that has begun waits before it serves.
-struct start_check_times {
+struct startup_gate_timeouts {
     /// For the group's list and for the first word of each node in it, from
     /// the first configuration on. A node that was killed stays in the list
     /// for as long as its lease, and says nothing.
-    std::chrono::milliseconds hearing{500};
+    std::chrono::milliseconds peer_report_timeout{500};
     /// For what others know and the store does not have, from the first
     /// configuration on. The operator writes it again within seconds; after
     /// this the node serves by what it has read.
-    std::chrono::milliseconds catching_up{8'000};
+    std::chrono::milliseconds catch_up_timeout{8'000};
 };
 
 /// Decides whether a node that has begun may serve by what it has read of what
@@ -28,19 +28,19 @@
 /// store for the newest: it would answer 404 on a route that was in force, or
 /// begin runs on a version that was replaced. It holds because the nodes that
 /// run say how much they know, and a node that has begun hears them first.
-class start_check {
+class startup_gate {
 public:
     /// @param times how long it waits
-    explicit start_check(start_check_times times = {});
+    explicit startup_gate(startup_gate_timeouts times = {});
 
     /// There is a configuration.
-    void configured(instant now);
+    void mark_configured(instant now);
     /// The group's list has been read.
     /// @param own    this node's name
     /// @param others the other nodes in it, of which a few are to be asked
-    void listed(std::string_view own, std::set<std::string> const& others);
+    void set_peers(std::string_view own, std::set<std::string> const& others);
     /// Another node has said how much it knows: the sum of all versions.
-    void heard(std::string const& from, std::uint64_t total);
+    void handle_peer_total(std::string const& from, std::uint64_t total);
 
     /// Once true it stays so: a node that serves keeps what it has.
     /// @param known the sum of all versions that this node knows
@@ -49,14 +49,16 @@
     /// @returns true once it has passed
     bool done() const noexcept { return done_; }
     /// @returns the nodes that are to be asked
-    std::set<std::string> const& asked() const noexcept { return asked_; }
+    std::set<std::string> const& peers_to_ask() const noexcept {
+        return asked_;
+    }
     /// @returns the most that others have said so far
-    std::uint64_t told() const noexcept { return told_; }
+    std::uint64_t reported_total() const noexcept { return told_; }
 
 private:
     bool heard_all() const;
 
-    start_check_times times_;
+    startup_gate_timeouts times_;
     std::optional<instant> configured_at_;
     bool listed_ = false;
     std::set<std::string> asked_;
--- a/standins/service/call_capacity.cpp
+++ b/standins/service/call_capacity.cpp
@@ -19,10 +19,10 @@
 }
 
 std::chrono::milliseconds call_capacity::time() const noexcept {
-    double const crowding =
+    double const utilization =
         std::max(1.0, static_cast<double>(running_) / std::max(1U, at_once_));
     std::chrono::duration<double, std::milli> const grown =
-        base_time_ * (crowding * crowding);
+        base_time_ * (utilization * utilization);
     return std::chrono::duration_cast<std::chrono::milliseconds>(grown);
 }
 
--- a/test/holding_test.cpp
+++ b/test/holding_test.cpp
@@ -336,7 +336,7 @@
 // nobody carries out, and name a count of orders that is refused for good.
 TEST_CASE("the account of a replica that starts again begins anew") {
     slot_tracker_fixture world;
-    world.report.born = incarnation(milliseconds(1'000));
+    world.report.started_at = incarnation(milliseconds(1'000));
     world.report.sequence = 0;
     world.tracker.apply_report(world.report, world.now);
     world.load("a1");
@@ -348,7 +348,7 @@
     world.tracker.on_result(order, command_result::accepted, world.now);
     world.tracker.drain_changes();
 
-    world.report.born = incarnation(milliseconds(5'000));
+    world.report.started_at = incarnation(milliseconds(5'000));
     world.report.sequence = 0;
     world.pass(milliseconds(50));
     world.tracker.require_report();
@@ -371,13 +371,13 @@
     SUBCASE(
         "an order that the earlier one left unanswered is not given again") {
         slot_tracker_fixture other;
-        other.report.born = incarnation(milliseconds(1'000));
+        other.report.started_at = incarnation(milliseconds(1'000));
         other.tracker.apply_report(other.report, other.now);
         other.want(adapter("b1"));
         replica_command const lost =
             other.expect_order(replica_command_kind::load_adapter, "b1");
         other.tracker.on_result(lost, command_result::no_answer, other.now);
-        other.report.born = incarnation(milliseconds(5'000));
+        other.report.started_at = incarnation(milliseconds(5'000));
         other.tracker.require_report();
         other.tracker.apply_report(other.report, other.now);
         other.want(adapter("b2"));
@@ -387,7 +387,7 @@
     }
     SUBCASE("a late report of the earlier one does not bring its slots back") {
         replica_report late = world.report;
-        late.born = incarnation(milliseconds(1'000));
+        late.started_at = incarnation(milliseconds(1'000));
         late.adapters = {adapter("a1", 1), adapter("a2", 1)};
         late.sequence = 2;
         world.tracker.apply_report(late, world.now);
--- a/test/list_turns_test.cpp
+++ b/test/list_turns_test.cpp
@@ -30,32 +30,38 @@
 } // namespace
 
 TEST_CASE("a node reads the list when nobody else has read it lately") {
-    list_turns turns(longest);
+    registry_poll_schedule turns(longest);
     instant const now = instant() + seconds(100);
-    turns.was_read(at(40), now);
-    CHECK(turns.due(1) == now + longest);
-    CHECK(turns.due(0) < turns.due(1));
+    turns.poll_completed(at(40), now);
+    CHECK(turns.next_poll_time(1) == now + longest);
+    CHECK(turns.next_poll_time(0) < turns.next_poll_time(1));
 
     SUBCASE("another's word that goes on from here puts it off") {
         instant const then = now + milliseconds(600);
-        CHECK(turns.heard(at(40), at(50), then) == list_word::applies);
-        CHECK(turns.next() == at(50));
-        CHECK(turns.due(1) == then + longest);
+        CHECK(
+            turns.handle_update(at(40), at(50), then) ==
+            registry_update_fit::applies);
+        CHECK(turns.position() == at(50));
+        CHECK(turns.next_poll_time(1) == then + longest);
         SUBCASE("so does one that nothing has changed") {
             instant const last = then + milliseconds(600);
-            CHECK(turns.heard(at(50), at(50), last) == list_word::old);
-            CHECK(turns.due(1) == last + longest);
+            CHECK(
+                turns.handle_update(at(50), at(50), last) ==
+                registry_update_fit::nothing_new);
+            CHECK(turns.next_poll_time(1) == last + longest);
         }
     }
     SUBCASE("what overlaps goes on as well") {
-        CHECK(turns.heard(at(30), at(45), now) == list_word::applies);
-        CHECK(turns.next() == at(45));
+        CHECK(
+            turns.handle_update(at(30), at(45), now) ==
+            registry_update_fit::applies);
+        CHECK(turns.position() == at(45));
     }
     SUBCASE("old word, as of a node that reads behind, changes nothing") {
         CHECK(
-            turns.heard(at(10), at(39), now + milliseconds(900)) ==
-            list_word::old);
-        CHECK(turns.due(1) == now + longest);
+            turns.handle_update(at(10), at(39), now + milliseconds(900)) ==
+            registry_update_fit::nothing_new);
+        CHECK(turns.next_poll_time(1) == now + longest);
     }
 }
 
@@ -63,26 +69,31 @@
 // node. It hears the next one, relies on it, and sends to the replica until
 // that is gone.
 TEST_CASE("a lost word is read at once") {
-    list_turns turns(longest);
+    registry_poll_schedule turns(longest);
     instant const now = instant() + seconds(100);
-    turns.was_read(at(40), now);
+    turns.poll_completed(at(40), now);
     instant const then = now + milliseconds(700);
-    CHECK(turns.heard(at(45), at(50), then) == list_word::gap);
-    CHECK(turns.next() == at(40));
-    CHECK(turns.due(1) <= then);
+    CHECK(
+        turns.handle_update(at(45), at(50), then) == registry_update_fit::gap);
+    CHECK(turns.position() == at(40));
+    CHECK(turns.next_poll_time(1) <= then);
 
     SUBCASE("and the reading closes the gap") {
-        turns.was_read(at(52), then);
-        CHECK(turns.heard(at(50), at(55), then) == list_word::applies);
-        CHECK(turns.due(1) == then + longest);
+        turns.poll_completed(at(52), then);
+        CHECK(
+            turns.handle_update(at(50), at(55), then) ==
+            registry_update_fit::applies);
+        CHECK(turns.next_poll_time(1) == then + longest);
     }
 }
 
 TEST_CASE("a node that has not read anything yet relies on nobody") {
-    list_turns turns(longest);
+    registry_poll_schedule turns(longest);
     instant const now = instant() + seconds(100);
-    CHECK(turns.heard(at(0), at(50), now) == list_word::old);
-    CHECK(turns.next() == store_position{});
+    CHECK(
+        turns.handle_update(at(0), at(50), now) ==
+        registry_update_fit::nothing_new);
+    CHECK(turns.position() == store_position{});
 }
 
 // Ninety nodes that each read the list every second make ninety calls a second
@@ -90,14 +101,15 @@
 TEST_CASE("many nodes read hardly more often than a few") {
     constexpr std::size_t nodes = 90;
     constexpr milliseconds word_takes{10};
-    std::vector<list_turns> all(nodes, list_turns(longest));
+    std::vector<registry_poll_schedule> all(
+        nodes, registry_poll_schedule(longest));
     std::mt19937_64 random(7);
     std::uniform_real_distribution<double> part(0, 1);
     instant now = instant() + seconds(100);
     instant const end = now + seconds(60);
     std::vector<double> draws(nodes);
     for (std::size_t each = 0; each < nodes; ++each) {
-        all[each].was_read(at(1), now);
+        all[each].poll_completed(at(1), now);
         draws[each] = part(random);
     }
     std::size_t readings = 0;
@@ -105,20 +117,20 @@
     while (now < end) {
         instant first = instant::max();
         for (std::size_t each = 0; each < nodes; ++each) {
-            first = std::min(first, all[each].due(draws[each]));
+            first = std::min(first, all[each].next_poll_time(draws[each]));
         }
         longest_gap = std::max(longest_gap, first - now);
         // All whose pause ends before the first one's word has come read too.
-        std::uint64_t const place = all.front().next().offset + 1;
+        std::uint64_t const place = all.front().position().offset + 1;
         for (std::size_t each = 0; each < nodes; ++each) {
-            if (all[each].due(draws[each]) <= first + word_takes) {
+            if (all[each].next_poll_time(draws[each]) <= first + word_takes) {
                 ++readings;
                 draws[each] = part(random);
             }
         }
         now = first + word_takes;
-        for (list_turns& each : all) {
-            each.was_read(at(place), now);
+        for (registry_poll_schedule& each : all) {
+            each.poll_completed(at(place), now);
         }
     }
     CHECK(longest_gap <= longest);
@@ -129,49 +141,59 @@
 // to leave is written below the place that this node goes on from: it sends to
 // the replica until that is gone.
 TEST_CASE("after the store has gone back nothing is read from an old place") {
-    list_turns turns(longest);
+    registry_poll_schedule turns(longest);
     instant const now = instant() + seconds(100);
     instant const own_time = now + milliseconds(300);
-    turns.was_read(at(40), now);
-    CHECK_FALSE(turns.whole());
+    turns.poll_completed(at(40), now);
+    CHECK_FALSE(turns.needs_full_poll());
 
     SUBCASE("the list is read whole, at a time of this node's own") {
-        turns.new_era(store_epoch{2}, own_time);
-        CHECK(turns.whole());
-        CHECK(turns.due(1) == own_time);
-        turns.was_read(later(31), own_time);
-        CHECK_FALSE(turns.whole());
-        CHECK(turns.next() == later(31));
-        CHECK(turns.due(1) == own_time + longest);
+        turns.enter_epoch(store_epoch{2}, own_time);
+        CHECK(turns.needs_full_poll());
+        CHECK(turns.next_poll_time(1) == own_time);
+        turns.poll_completed(later(31), own_time);
+        CHECK_FALSE(turns.needs_full_poll());
+        CHECK(turns.position() == later(31));
+        CHECK(turns.next_poll_time(1) == own_time + longest);
     }
     SUBCASE("another's word of the later era says that it has gone back") {
-        CHECK(turns.heard(later(30), later(35), now) == list_word::later_era);
-        CHECK(turns.next() == at(40));
+        CHECK(
+            turns.handle_update(later(30), later(35), now) ==
+            registry_update_fit::later_epoch);
+        CHECK(turns.position() == at(40));
     }
     SUBCASE("and none puts the reading off, or takes its place") {
-        turns.new_era(store_epoch{2}, own_time);
-        CHECK(turns.heard(at(40), at(50), now) == list_word::old);
-        CHECK(turns.heard(later(0), later(50), now) == list_word::old);
-        CHECK(turns.due(1) == own_time);
+        turns.enter_epoch(store_epoch{2}, own_time);
+        CHECK(
+            turns.handle_update(at(40), at(50), now) ==
+            registry_update_fit::nothing_new);
+        CHECK(
+            turns.handle_update(later(0), later(50), now) ==
+            registry_update_fit::nothing_new);
+        CHECK(turns.next_poll_time(1) == own_time);
     }
     SUBCASE("word of the era before means nothing") {
-        turns.new_era(store_epoch{2}, own_time);
-        turns.was_read(later(31), own_time);
-        CHECK(turns.heard(at(31), at(90), own_time) == list_word::old);
-        CHECK(turns.heard(at(50), at(90), own_time) == list_word::old);
-        CHECK(turns.next() == later(31));
-        CHECK(turns.due(1) == own_time + longest);
+        turns.enter_epoch(store_epoch{2}, own_time);
+        turns.poll_completed(later(31), own_time);
+        CHECK(
+            turns.handle_update(at(31), at(90), own_time) ==
+            registry_update_fit::nothing_new);
+        CHECK(
+            turns.handle_update(at(50), at(90), own_time) ==
+            registry_update_fit::nothing_new);
+        CHECK(turns.position() == later(31));
+        CHECK(turns.next_poll_time(1) == own_time + longest);
     }
     SUBCASE("an answer that was on its way is not gone on from") {
-        turns.new_era(store_epoch{2}, own_time);
-        turns.was_read(at(60), now);
-        CHECK(turns.whole());
+        turns.enter_epoch(store_epoch{2}, own_time);
+        turns.poll_completed(at(60), now);
+        CHECK(turns.needs_full_poll());
     }
     SUBCASE("a store that names no era has forgotten the place") {
-        turns.forgotten();
-        CHECK(turns.whole());
-        turns.was_read(at(31), now);
-        CHECK(turns.next() == at(31));
+        turns.position_expired();
+        CHECK(turns.needs_full_poll());
+        turns.poll_completed(at(31), now);
+        CHECK(turns.position() == at(31));
     }
 }
 
--- a/test/named_versions_test.cpp
+++ b/test/named_versions_test.cpp
@@ -18,25 +18,27 @@
 } // namespace
 
 TEST_CASE("a version binds some time after it was named") {
-    named_versions versions;
-    CHECK(versions.least(hot, start) == 0);
+    declared_versions versions;
+    CHECK(versions.min_version(hot, start) == 0);
     CHECK_FALSE(versions.newest(hot));
 
-    REQUIRE(versions.name({hot, 2}, start, grace));
+    REQUIRE(versions.declare({hot, 2}, start, grace));
     CHECK(versions.newest(hot) == 2);
-    CHECK(versions.least(hot, start + seconds(2)) == 0);
-    CHECK(versions.least(hot, start + seconds(3)) == 2);
+    CHECK(versions.min_version(hot, start + seconds(2)) == 0);
+    CHECK(versions.min_version(hot, start + seconds(3)) == 2);
 
     SUBCASE("an older one is no news") {
-        CHECK_FALSE(versions.name({hot, 1}, start, grace));
-        CHECK_FALSE(versions.name({hot, 2}, start, grace));
+        CHECK_FALSE(versions.declare({hot, 1}, start, grace));
+        CHECK_FALSE(versions.declare({hot, 2}, start, grace));
         CHECK(versions.newest(hot) == 2);
     }
     SUBCASE("others are not bound by it") {
-        CHECK(versions.least(adapter_id("m/other"), start + seconds(9)) == 0);
+        CHECK(
+            versions.min_version(adapter_id("m/other"), start + seconds(9)) ==
+            0);
     }
     SUBCASE("all that is known adds up") {
-        versions.name({adapter_id("m/other"), 5}, start, grace);
+        versions.declare({adapter_id("m/other"), 5}, start, grace);
         CHECK(versions.total() == 7);
         CHECK(versions.all().size() == 2);
     }
@@ -46,20 +48,20 @@
 // second begins anew, callers are answered by the first of all three versions
 // for two seconds after it should have been out of use everywhere.
 TEST_CASE("a version that is named before the last one binds") {
-    named_versions versions;
-    versions.name({hot, 2}, start, grace);
-    versions.name({hot, 3}, start + seconds(2), grace);
-    CHECK(versions.least(hot, start + seconds(2)) == 0);
-    CHECK(versions.least(hot, start + seconds(3)) == 2);
-    CHECK(versions.least(hot, start + seconds(4)) == 2);
-    CHECK(versions.least(hot, start + seconds(5)) == 3);
+    declared_versions versions;
+    versions.declare({hot, 2}, start, grace);
+    versions.declare({hot, 3}, start + seconds(2), grace);
+    CHECK(versions.min_version(hot, start + seconds(2)) == 0);
+    CHECK(versions.min_version(hot, start + seconds(3)) == 2);
+    CHECK(versions.min_version(hot, start + seconds(4)) == 2);
+    CHECK(versions.min_version(hot, start + seconds(5)) == 3);
     CHECK(versions.newest(hot) == 3);
 
     SUBCASE("a row of them without an end binds one after the other") {
         for (std::uint32_t each = 4; each < 60; ++each) {
             instant const now = start + seconds(each - 1);
-            versions.name({hot, each}, now, grace);
-            CHECK(versions.least(hot, now) == std::max(2U, each - 3));
+            versions.declare({hot, each}, now, grace);
+            CHECK(versions.min_version(hot, now) == std::max(2U, each - 3));
         }
     }
 }
--- a/test/platform/request_wire_test.cpp
+++ b/test/platform/request_wire_test.cpp
@@ -162,7 +162,7 @@
     REQUIRE(record->adapters.size() == 2);
     CHECK(record->adapters[0].id.str() == "m/a3");
     CHECK(record->adapters[0].version == 2);
-    CHECK(record->born == std::nullopt);
+    CHECK(record->started_at == std::nullopt);
     CHECK_FALSE(read_replica("i-2", R"({"service":"s"})"));
 
     auto const report = read_report(
@@ -181,11 +181,11 @@
         "i-1", R"({"service":"s","address":"127.0.0.1:80","state":"ready",)"
                R"("zone":"z","slots":4,"born":1767225600123})");
     REQUIRE(record);
-    CHECK(record->born == started);
+    CHECK(record->started_at == started);
     auto const report =
         read_report(R"({"sequence":0,"models":[],"born":1767225600123})");
     REQUIRE(report);
-    CHECK(report->born == started);
+    CHECK(report->started_at == started);
 }
 
 // Somebody else has written into the list. What such an entry names is no
--- a/test/routing_test.cpp
+++ b/test/routing_test.cpp
@@ -14,7 +14,7 @@
     made.name = std::move(name);
     made.host = std::move(host);
     made.path_prefix = std::move(prefix);
-    made.shares.push_back({service_id("s"), 1});
+    made.weighted_services.push_back({service_id("s"), 1});
     return made;
 }
 
@@ -55,7 +55,8 @@
 
 TEST_CASE("a route's requests are split by weight") {
     service_route split = route("a.example", "/", "split");
-    split.shares = {{service_id("most"), 90}, {service_id("few"), 10}};
+    split.weighted_services = {
+        {service_id("most"), 90}, {service_id("few"), 10}};
     constexpr auto most = std::numeric_limits<std::uint64_t>::max();
 
     CHECK(pick_service(split, 0).str() == "most");
@@ -66,7 +67,8 @@
         CHECK(pick_service(split, most).str() == "few");
     }
     SUBCASE("a service without weight gets nothing") {
-        split.shares = {{service_id("none"), 0}, {service_id("all"), 5}};
+        split.weighted_services = {
+            {service_id("none"), 0}, {service_id("all"), 5}};
         CHECK(pick_service(split, 0).str() == "all");
     }
 }
--- a/test/run_ledger_test.cpp
+++ b/test/run_ledger_test.cpp
@@ -22,73 +22,74 @@
 // of 16 slots has 9 requests and send there: callers wait two seconds for a
 // first event while the next replica is half empty.
 TEST_CASE("one node counts the runs of all at a replica") {
-    run_ledger ledger;
+    running_request_tracker ledger;
     instant now = instant() + seconds(100);
-    ledger.told("n1", at_r1, hot, 1, 500, now);
-    ledger.told("n2", at_r1, hot, 2, 700, now);
-    ledger.told("n2", at_r2, hot, 1, 0, now);
-    CHECK(ledger.total(at_r1, now).running == 3);
-    CHECK(ledger.total(at_r1, now).backlog_tokens == 1'200);
-    CHECK(ledger.total(at_r2, now).running == 1);
+    ledger.update("n1", at_r1, hot, 1, 500, now);
+    ledger.update("n2", at_r1, hot, 2, 700, now);
+    ledger.update("n2", at_r2, hot, 1, 0, now);
+    CHECK(ledger.usage(at_r1, now).running == 3);
+    CHECK(ledger.usage(at_r1, now).backlog_tokens == 1'200);
+    CHECK(ledger.usage(at_r2, now).running == 1);
     CHECK(ledger.in_use(at_r1, hot));
 
     SUBCASE("a repeated word counts once") {
-        ledger.told("n2", at_r1, hot, 2, 0, now);
-        CHECK(ledger.total(at_r1, now).running == 3);
+        ledger.update("n2", at_r1, hot, 2, 0, now);
+        CHECK(ledger.usage(at_r1, now).running == 3);
     }
     SUBCASE("an adapter is in use until the last node's run has ended") {
-        ledger.told("n1", at_r1, hot, 0, 0, now);
+        ledger.update("n1", at_r1, hot, 0, 0, now);
         CHECK(ledger.in_use(at_r1, hot));
-        ledger.told("n2", at_r1, hot, 0, 0, now);
+        ledger.update("n2", at_r1, hot, 0, 0, now);
         CHECK_FALSE(ledger.in_use(at_r1, hot));
-        CHECK(ledger.total(at_r1, now).running == 0);
+        CHECK(ledger.usage(at_r1, now).running == 0);
     }
     SUBCASE("a node that fell silent has no runs there any more") {
         now += seconds(2);
-        ledger.told("n1", at_r1, hot, 1, 0, now);
+        ledger.update("n1", at_r1, hot, 1, 0, now);
         now += seconds(2);
-        ledger.forget_silent(now);
-        CHECK(ledger.total(at_r1, now).running == 1);
-        CHECK(ledger.total(at_r2, now).running == 0);
+        ledger.drop_timed_out_nodes(now);
+        CHECK(ledger.usage(at_r1, now).running == 1);
+        CHECK(ledger.usage(at_r2, now).running == 0);
     }
 }
 
 // An adapter becomes busy at once. Two hundred requests at ninety nodes wait
 // for its load, are woken together, and all go to the one replica.
 TEST_CASE("what is about to come counts as well") {
-    run_ledger ledger;
+    running_request_tracker ledger;
     instant now = instant() + seconds(100);
 
     SUBCASE("those who asked at the same moment hear of each other") {
         for (int each = 0; each < 9; ++each) {
-            ledger.answered(at_r1, 1.0 / 3, now);
+            ledger.add_expected_request(at_r1, 1.0 / 3, now);
         }
-        CHECK(ledger.total(at_r1, now).running >= 2);
+        CHECK(ledger.usage(at_r1, now).running >= 2);
         SUBCASE("until their runs have been told") {
             now += milliseconds(200);
-            CHECK(ledger.total(at_r1, now).running == 0);
+            CHECK(ledger.usage(at_r1, now).running == 0);
         }
     }
     SUBCASE("those who wait for a load take places") {
         for (int each = 0; each < 12; ++each) {
-            ledger.awaited(at_r1, now);
+            ledger.add_waiting_request(at_r1, now);
         }
-        CHECK(ledger.total(at_r1, now).running == 12);
-        CHECK(replica_choice::crowding(ledger.total(at_r1, now), 12) >= 1.0);
+        CHECK(ledger.usage(at_r1, now).running == 12);
+        CHECK(
+            replica_selector::utilization(ledger.usage(at_r1, now), 12) >= 1.0);
         SUBCASE("while the load may still come") {
             now += seconds(3);
-            CHECK(ledger.total(at_r1, now).running == 0);
+            CHECK(ledger.usage(at_r1, now).running == 0);
         }
     }
 }
 
 TEST_CASE("a ledger forgets replicas with nothing to count") {
-    run_ledger ledger;
+    running_request_tracker ledger;
     instant const now = instant() + seconds(100);
-    ledger.awaited(at_r1, now);
-    ledger.forget_silent(now + seconds(5));
-    CHECK(ledger.total(at_r1, now + seconds(5)).running == 0);
-    CHECK(ledger.total(at_r2, now).running == 0);
+    ledger.add_waiting_request(at_r1, now);
+    ledger.drop_timed_out_nodes(now + seconds(5));
+    CHECK(ledger.usage(at_r1, now + seconds(5)).running == 0);
+    CHECK(ledger.usage(at_r2, now).running == 0);
 }
 
 } // namespace camphorpoint
--- a/test/store_eras_property_test.cpp
+++ b/test/store_eras_property_test.cpp
@@ -64,18 +64,18 @@
 
 /// A node that reads the records, and hears of others' readings.
 struct reader {
-    list_turns turns{milliseconds(1'000)};
+    registry_poll_schedule turns{milliseconds(1'000)};
     std::vector<int> known;
 
     void read(lossy_store const& store, instant now) {
-        bool const whole = turns.whole();
-        store_position const from = turns.next();
-        turns.new_era(store.epoch, now);
-        if (!turns.counts(whole, from, store.end())) {
+        bool const whole = turns.needs_full_poll();
+        store_position const from = turns.position();
+        turns.enter_epoch(store.epoch, now);
+        if (!turns.is_valid_answer(whole, from, store.end())) {
             return;
         }
         known = store.records;
-        turns.was_read(store.end(), now);
+        turns.poll_completed(store.end(), now);
     }
 };
 
@@ -98,7 +98,7 @@
         std::deque<word> words;
         instant const now = instant() + seconds(100);
         auto const as_it_stands = [&](reader const& each) {
-            store_position const at = each.turns.next();
+            store_position const at = each.turns.position();
             return at.epoch != store.epoch ||
                    (each.known.size() == at.offset &&
                     std::ranges::equal(
@@ -121,12 +121,12 @@
                 node.read(store, now);
                 break;
             case happening::tell:
-                if (!node.turns.whole()) {
+                if (!node.turns.needs_full_poll()) {
                     std::size_t const from =
                         std::min(each.which, node.known.size());
                     words.push_back(
-                        {{node.turns.next().epoch, from},
-                         node.turns.next(),
+                        {{node.turns.position().epoch, from},
+                         node.turns.position(),
                          {node.known.begin() +
                               static_cast<std::ptrdiff_t>(from),
                           node.known.end()}});
@@ -135,10 +135,10 @@
             case happening::deliver:
                 if (!words.empty()) {
                     word const told = words.front();
-                    std::uint64_t const before = node.turns.next().offset;
+                    std::uint64_t const before = node.turns.position().offset;
                     auto const means =
-                        node.turns.heard(told.from, told.to, now);
-                    if (means == list_word::applies) {
+                        node.turns.handle_update(told.from, told.to, now);
+                    if (means == registry_update_fit::applies) {
                         auto const known_already = before - told.from.offset;
                         node.known.insert(
                             node.known.end(),
@@ -146,8 +146,8 @@
                                 static_cast<std::ptrdiff_t>(known_already),
                             told.records.end());
                     }
-                    if (means == list_word::later_era) {
-                        node.turns.new_era(told.to.epoch, now);
+                    if (means == registry_update_fit::later_epoch) {
+                        node.turns.enter_epoch(told.to.epoch, now);
                     }
                     words.pop_front();
                 }
