--- a/bench/capacity_messages.cpp
+++ b/bench/capacity_messages.cpp
@@ -44,10 +44,10 @@
 }
 
 void print_grants() {
-    auto ask = grant_message<grant_ask>();
+    auto ask = grant_message<grant_request>();
     ask.adapter = some_adapter();
     print_message("grant_ask", ask);
-    print_message("grant_given", grant_message<grant_given>());
+    print_message("grant_given", grant_message<grant_issued>());
     print_message("grant_refused", grant_message<grant_refused>());
     print_message("grant_released", grant_message<grant_released>());
     print_message("grant_heartbeat, empty", grant_heartbeat());
@@ -78,7 +78,7 @@
 }
 
 void print_loads() {
-    load_ask ask;
+    load_request ask;
     ask.replica = endpoint_id(some_engine);
     ask.adapter = some_adapter();
     print_message("load_ask", ask);
@@ -86,7 +86,7 @@
     allowed.replica = ask.replica;
     allowed.adapter = ask.adapter;
     print_message("load_allowed", allowed);
-    load_ended ended;
+    load_result ended;
     ended.replica = ask.replica;
     ended.adapter = ask.adapter;
     print_message("load_ended", ended);
--- a/bench/capacity_work.cpp
+++ b/bench/capacity_work.cpp
@@ -72,14 +72,14 @@
     }
 
     void ask() {
-        grant_ask message;
+        grant_request message;
         message.request = request_id(fmt::format("request-{:012}", next_));
         message.attempt = 3;
         message.replica = endpoint_id("engine-00001");
         message.adapter = adapters_[next_ % slots];
         message.time_left = std::chrono::minutes(10);
         message.expected_tokens = 1;
-        scheduler_.on_ask(
+        scheduler_.on_grant_request(
             node_id(fmt::format("node-{}", next_ % nodes)), message, now_);
         ++next_;
     }
@@ -95,7 +95,7 @@
         message.replica = oldest.message.replica;
         message.grant = oldest.message.grant;
         message.tokens = 1;
-        scheduler_.on_released(oldest.to, message, now_);
+        scheduler_.on_grant_released(oldest.to, message, now_);
         running_.pop_front();
     }
 
@@ -239,8 +239,8 @@
     return {adapter_id(fmt::format("tenant-{:05}-lora", number)), 1};
 }
 
-load_ask make_want(std::uint32_t number) {
-    load_ask result;
+load_request make_want(std::uint32_t number) {
+    load_request result;
     result.replica = endpoint_id(fmt::format("engine-{:05}", number));
     result.adapter = make_adapter(number);
     result.waiting = 1;
@@ -255,14 +255,14 @@
     instant now{hours(1)};
     subject.on_authority({1}, now + hours(24), now);
     for (std::uint32_t at = 0; at < wants; ++at) {
-        subject.on_ask(node_id("node-1000"), make_want(at), now);
+        subject.on_load_request(node_id("node-1000"), make_want(at), now);
     }
     subject.take_actions();
     constexpr std::uint32_t asks = 2'000;
     capacity_meter const meter;
     for (std::uint32_t at = 0; at < asks; ++at) {
         now += microseconds(100);
-        subject.on_ask(
+        subject.on_load_request(
             node_id("node-1000"), make_want(at % std::max(wants, 1U)), now);
         subject.take_actions();
     }
@@ -281,7 +281,7 @@
     // A new owner's first window counts as used up.
     now += std::chrono::milliseconds(1'500);
     for (std::uint32_t at = 0; at <= wants; ++at) {
-        subject.on_ask(node_id("node-1000"), make_want(at), now);
+        subject.on_load_request(node_id("node-1000"), make_want(at), now);
     }
     constexpr std::uint32_t turns = 2'000;
     std::uint32_t allowed = 0;
@@ -295,15 +295,16 @@
             }
             ++allowed;
             load_allowed const& given = send->message;
-            load_ended end;
+            load_result end;
             end.replica = given.replica;
             end.adapter = given.adapter;
             end.permission = given.permission;
             end.ok = true;
-            subject.on_ended(node_id("node-1000"), end, now);
+            subject.on_load_result(node_id("node-1000"), end, now);
             break;
         }
-        subject.on_ask(node_id("node-1000"), make_want(wants + 1 + at), now);
+        subject.on_load_request(
+            node_id("node-1000"), make_want(wants + 1 + at), now);
     }
     capacity_cost const cost = meter.read(turns);
     // A rig that gave no permissions would measure something else.
@@ -316,7 +317,7 @@
     instant const now{hours(1)};
     subject.on_authority({1}, now + hours(24), now);
     for (std::uint32_t at = 0; at < wants; ++at) {
-        subject.on_ask(node_id("node-1000"), make_want(at), now);
+        subject.on_load_request(node_id("node-1000"), make_want(at), now);
     }
     subject.take_actions();
     return meter.read(1);
--- a/bench/product_orders.cpp
+++ b/bench/product_orders.cpp
@@ -42,19 +42,19 @@
                 });
             },
             [&](engine_order const& each) { carry_out(engine, each); },
-            [&](want_load const& each) {
+            [&](send_load_request const& each) {
                 to_budget(engine, [this, message = each.message](auto& from) {
-                    budget_.on_ask(from, message, world_.now());
+                    budget_.on_load_request(from, message, world_.now());
                 });
             },
-            [&](cancel_want const& each) {
+            [&](send_load_cancelled const& each) {
                 to_budget(engine, [this, message = each.message](auto& from) {
-                    budget_.on_cancelled(from, message, world_.now());
+                    budget_.on_load_cancelled(from, message, world_.now());
                 });
             },
-            [&](report_load const& each) {
+            [&](send_load_result const& each) {
                 to_budget(engine, [this, message = each.message](auto& from) {
-                    budget_.on_ended(from, message, world_.now());
+                    budget_.on_load_result(from, message, world_.now());
                 });
             },
             [](auto const&) {
@@ -154,7 +154,7 @@
         node, engine_hop(node, engine),
         [this, engine, order, how, epoch = owners_[engine].epoch] {
             if (owners_[engine].epoch == epoch) {
-                owners_[engine].scheduler->on_order_ended(
+                owners_[engine].scheduler->on_command_result(
                     order, how, world_.now());
                 pump(engine);
             }
--- a/bench/product_policy.cpp
+++ b/bench/product_policy.cpp
@@ -33,7 +33,7 @@
     result.load_time =
         std::chrono::duration_cast<milliseconds>(workload.store.load_time());
     constexpr std::uint64_t orders_apart = 1'000'000'000;
-    result.first_order = 1 + n * orders_apart;
+    result.first_command = 1 + n * orders_apart;
     result.seed = n + 1;
     return result;
 }
--- a/bench/product_policy.hpp
+++ b/bench/product_policy.hpp
@@ -46,7 +46,7 @@
     void arrived(std::size_t index);
     void ask(std::size_t index);
     void leave(std::size_t index);
-    void granted(std::size_t index, grant_given const& message);
+    void granted(std::size_t index, grant_issued const& message);
     void refused(std::size_t index, grant_refused const& message);
     void reach_engine(std::size_t index, std::uint32_t attempt);
     void release(std::size_t index, std::uint32_t tokens, bool was_loaded);
--- a/bench/product_requests.cpp
+++ b/bench/product_requests.cpp
@@ -56,7 +56,7 @@
     ++entry.attempt;
     node.active.insert(index);
     world_.assign(index, entry.engine);
-    grant_ask message;
+    grant_request message;
     message.request = id_of(index);
     message.attempt = entry.attempt;
     message.replica = *chosen;
@@ -71,7 +71,7 @@
     on_owner(
         from.node, entry.engine,
         [this, message, node = from.node](auto& scheduler) {
-            scheduler.on_ask(node_ids_[node], message, world_.now());
+            scheduler.on_grant_request(node_ids_[node], message, world_.now());
         });
 }
 
@@ -81,7 +81,7 @@
     nodes_[world_.request(index).node].active.erase(index);
 }
 
-void product_policy::granted(std::size_t index, grant_given const& message) {
+void product_policy::granted(std::size_t index, grant_issued const& message) {
     entry_request& entry = requests_[index];
     std::uint32_t const engine = engine_of(message.replica);
     std::uint32_t const node = world_.request(index).node;
@@ -135,18 +135,18 @@
     message.adapter_was_loaded = was_loaded;
     leave(index);
     on_owner(node, entry.engine, [this, message, node](auto& scheduler) {
-        scheduler.on_released(node_ids_[node], message, world_.now());
+        scheduler.on_grant_released(node_ids_[node], message, world_.now());
     });
 }
 
 void product_policy::withdraw(std::size_t index) {
     entry_request const& entry = requests_[index];
     std::uint32_t const node = world_.request(index).node;
-    grant_withdrawn const message{
+    grant_cancelled const message{
         id_of(index), entry.attempt, engine_ids_[entry.engine]};
     leave(index);
     on_owner(node, entry.engine, [this, message, node](auto& scheduler) {
-        scheduler.on_withdrawn(node_ids_[node], message, world_.now());
+        scheduler.on_grant_cancelled(node_ids_[node], message, world_.now());
     });
 }
 
--- a/bench/slope.cpp
+++ b/bench/slope.cpp
@@ -127,14 +127,15 @@
     }
 
     void ask() {
-        grant_ask message;
+        grant_request message;
         message.request = request_id(fmt::format("r{}", next_request_));
         message.attempt = 1;
         message.replica = endpoint_id("e0");
         message.adapter = adapters_[next_request_ % slots];
         message.time_left = std::chrono::minutes(10);
         message.expected_tokens = 1;
-        scheduler_.on_ask(nodes_[next_request_ % sizes_.nodes], message, now_);
+        scheduler_.on_grant_request(
+            nodes_[next_request_ % sizes_.nodes], message, now_);
         ++next_request_;
     }
 
@@ -164,7 +165,7 @@
         message.replica = oldest.given.replica;
         message.grant = oldest.given.grant;
         message.tokens = 1;
-        scheduler_.on_released(oldest.node, message, now_);
+        scheduler_.on_grant_released(oldest.node, message, now_);
         running_.pop_front();
     }
 
@@ -178,7 +179,7 @@
 
     struct running_grant {
         node_id node;
-        grant_given given;
+        grant_issued given;
     };
 
     sizes sizes_;
--- a/src/Loading/load_messages.hpp
+++ b/src/Loading/load_messages.hpp
@@ -11,7 +11,7 @@
 /// Replica's owner to weight store's owner: this replica wants an adapter.
 /// Sent again while the want lasts, so that a store's new owner learns of it
 /// and one whose replica fell silent is forgotten.
-struct load_ask {
+struct load_request {
     endpoint_id replica;
     adapter_ref adapter;
     /// The most urgent class that waits.
@@ -23,7 +23,7 @@
     double expected_demand = 0;
 
     /// @returns true when nobody waits yet
-    bool speculative() const noexcept { return waiting == 0; }
+    bool is_prefetch() const noexcept { return waiting == 0; }
 
     template <class Archive>
     void serialize(Archive& archive);
@@ -53,7 +53,7 @@
 };
 
 /// Replica's owner to weight store's owner: a permission is used up.
-struct load_ended {
+struct load_result {
     endpoint_id replica;
     adapter_ref adapter;
     std::uint64_t permission = 0;
@@ -79,7 +79,7 @@
 };
 
 template <class Archive>
-void load_ask::serialize(Archive& archive) {
+void load_request::serialize(Archive& archive) {
     auto wait = oldest_wait.count();
     archive(replica, adapter, how_urgent, waiting, wait, expected_demand);
     oldest_wait = std::chrono::milliseconds(wait);
@@ -100,7 +100,7 @@
 }
 
 template <class Archive>
-void load_ended::serialize(Archive& archive) {
+void load_result::serialize(Archive& archive) {
     auto time = took.count();
     archive(replica, adapter, permission, started, ok, time);
     took = std::chrono::milliseconds(time);
--- a/src/Loading/store_budget.cpp
+++ b/src/Loading/store_budget.cpp
@@ -68,8 +68,8 @@
     running_.clear();
 }
 
-void store_budget::on_ask(
-    node_id const& from, load_ask const& ask, instant now) {
+void store_budget::on_load_request(
+    node_id const& from, load_request const& ask, instant now) {
     want_key const key{ask.replica, ask.adapter};
     if (crosses_permission(key, now)) {
         return;
@@ -104,7 +104,7 @@
 }
 
 void store_budget::deny_while_paused(
-    node_id const& to, load_ask const& ask, instant now) {
+    node_id const& to, load_request const& ask, instant now) {
     if (now >= paused_until_) {
         return;
     }
@@ -114,14 +114,14 @@
     actions_.emplace_back(send_load_denied{to, message});
 }
 
-void store_budget::on_cancelled(
+void store_budget::on_load_cancelled(
     node_id const&, load_cancelled const& message, instant now) {
     wants_.erase({message.replica, message.adapter});
     allow_some(now);
 }
 
-void store_budget::on_ended(
-    node_id const&, load_ended const& message, instant now) {
+void store_budget::on_load_result(
+    node_id const&, load_result const& message, instant now) {
     auto const known = running_.find(message.permission);
     bool const matches =
         known != running_.end() &&
@@ -147,7 +147,7 @@
     allow_some(now);
 }
 
-void store_budget::note_success(load_ended const& message, instant) {
+void store_budget::note_success(load_result const& message, instant) {
     if (down()) {
         actions_.emplace_back(log_event{
             event_code::store_recovered, log_level::info,
@@ -166,7 +166,7 @@
                       : usual_time_ + (took - usual_time_) / slow_drift;
 }
 
-void store_budget::note_failure(load_ended const& message, instant now) {
+void store_budget::note_failure(load_result const& message, instant now) {
     // One adapter that always fails says nothing about the store.
     if (message.adapter.id == last_failed_ && !down()) {
         return;
@@ -196,7 +196,7 @@
     // A replica whose owner died asks no more: its wants would take loads that
     // nobody carries out, and its permissions would block the store for good.
     std::erase_if(wants_, [&](auto const& each) {
-        return now - each.second.heard > limits_.ask_lifetime;
+        return now - each.second.heard > limits_.request_lifetime;
     });
     std::erase_if(running_, [&](auto const& each) {
         return now - each.second.given > limits_.longest_load;
@@ -227,7 +227,7 @@
         return false;
     }
     double const allowed =
-        limits_.speculative_share * static_cast<double>(starts_in_window());
+        limits_.prefetch_fraction * static_cast<double>(starts_in_window());
     auto const recent = std::ranges::count_if(
         starts_, [&](instant start) { return now - start < window(); });
     return static_cast<double>(recent) < std::max(1.0, allowed);
@@ -248,13 +248,13 @@
     double best_weight = 0;
     bool const spare = may_speculate(now);
     for (auto each = wants_.begin(); each != wants_.end(); ++each) {
-        bool const ahead = each->second.ask.speculative();
+        bool const ahead = each->second.ask.is_prefetch();
         if (ahead && !spare) {
             continue;
         }
         double const own = weight(each->second, now);
         bool const first = best == wants_.end();
-        bool const best_ahead = !first && best->second.ask.speculative();
+        bool const best_ahead = !first && best->second.ask.is_prefetch();
         bool const better = first || (best_ahead && !ahead) ||
                             (best_ahead == ahead && own > best_weight);
         if (better) {
--- a/src/Loading/store_budget.hpp
+++ b/src/Loading/store_budget.hpp
@@ -31,7 +31,7 @@
     std::variant<send_load_allowed, send_load_denied, log_event>;
 
 /// Decides who loads next from one weight store. Runs at the store's owner;
-/// with fallback_share() limits also at each node that reaches no owner.
+/// with fallback_limits() limits also at each node that reaches no owner.
 ///
 /// Loads start at most `loads_per_second` times in any second and at most
 /// `concurrency` run at once. Among the wants the one with the largest weighted
@@ -49,10 +49,12 @@
     void on_authority(log_offset fencing, instant not_after, instant now);
     /// A newer claim was seen: nothing more is allowed.
     void on_authority_lost(instant now);
-    void on_ask(node_id const& from, load_ask const& ask, instant now);
-    void on_cancelled(
+    void
+    on_load_request(node_id const& from, load_request const& ask, instant now);
+    void on_load_cancelled(
         node_id const& from, load_cancelled const& message, instant now);
-    void on_ended(node_id const& from, load_ended const& message, instant now);
+    void on_load_result(
+        node_id const& from, load_result const& message, instant now);
     /// Time has passed. Permissions are given here and with each other event.
     void on_tick(instant now);
 
@@ -76,7 +78,7 @@
     };
     struct want {
         node_id from;
-        load_ask ask;
+        load_request ask;
         instant first_asked;
         instant heard;
     };
@@ -88,7 +90,8 @@
 
     void forget_silent(instant now);
     bool crosses_permission(want_key const& key, instant now);
-    void deny_while_paused(node_id const& to, load_ask const& ask, instant now);
+    void
+    deny_while_paused(node_id const& to, load_request const& ask, instant now);
     void allow_some(instant now);
     bool may_start(instant now) const;
     bool may_speculate(instant now) const;
@@ -96,8 +99,8 @@
     double weight(want const& each, instant now) const;
     want_map::iterator best_want(instant now);
     void allow(want_map::iterator which, instant now);
-    void note_success(load_ended const& message, instant now);
-    void note_failure(load_ended const& message, instant now);
+    void note_success(load_result const& message, instant now);
+    void note_failure(load_result const& message, instant now);
     std::size_t starts_in_window() const;
     duration window() const;
 
--- a/src/Loading/store_limits.cpp
+++ b/src/Loading/store_limits.cpp
@@ -4,7 +4,7 @@
 
 namespace camphorpoint {
 
-store_limits fallback_share(std::size_t nodes, store_limits const& whole) {
+store_limits fallback_limits(std::size_t nodes, store_limits const& whole) {
     store_limits share = whole;
     auto const sharing = static_cast<double>(std::max<std::size_t>(nodes, 1));
     share.loads_per_second = whole.loads_per_second / sharing;
--- a/src/Loading/store_limits.hpp
+++ b/src/Loading/store_limits.hpp
@@ -15,7 +15,7 @@
     /// How long a permission may lie unused at the replica's owner.
     std::chrono::milliseconds valid_for{500};
     /// A want that is not repeated within this time is forgotten.
-    std::chrono::milliseconds ask_lifetime{2'000};
+    std::chrono::milliseconds request_lifetime{2'000};
     /// A permission of which nothing more is heard counts as running this long.
     std::chrono::milliseconds longest_load{20'000};
     /// A wait of this length doubles a want's weight.
@@ -23,7 +23,7 @@
     /// How far ahead expected demand counts as if it waited already.
     std::chrono::milliseconds demand_horizon{500};
     /// Share of the rate that loads ahead of demand may take.
-    double speculative_share = 0.5;
+    double prefetch_fraction = 0.5;
     /// First and longest pause after loads of several adapters failed in a row.
     std::chrono::milliseconds first_pause{500};
     std::chrono::milliseconds longest_pause{10'000};
@@ -38,6 +38,6 @@
 /// @param nodes how many nodes share the store; 0 counts as 1
 /// @param whole the store's limits
 /// @returns limits for a store_budget of the node's own
-store_limits fallback_share(std::size_t nodes, store_limits const& whole);
+store_limits fallback_limits(std::size_t nodes, store_limits const& whole);
 
 } // namespace camphorpoint
--- a/src/Scheduling/adapter_memory.cpp
+++ b/src/Scheduling/adapter_memory.cpp
@@ -13,28 +13,28 @@
 
 } // namespace
 
-adapter_memory::adapter_memory(scheduler_settings const& settings)
+adapter_history::adapter_history(scheduler_settings const& settings)
     : settings_(settings)
     , random_(settings.seed) {}
 
-void adapter_memory::note_ask(adapter_ref const& adapter, instant now) {
+void adapter_history::record_request(adapter_ref const& adapter, instant now) {
     adapter_record& record = records_[adapter];
     record.asks.add(now);
-    record.earlier_ask = record.last_ask;
-    record.last_ask = now;
+    record.previous_request = record.last_request;
+    record.last_request = now;
 }
 
-void adapter_memory::note_rate(
+void adapter_history::note_rate(
     adapter_ref const& adapter, double rate, instant now) {
     adapter_record& record = records_[adapter];
     if (record.asks.per_second(now) < rate) {
         record.asks.set_rate(now, rate);
     }
-    record.last_ask = std::max(record.last_ask, now);
+    record.last_request = std::max(record.last_request, now);
 }
 
 std::uint32_t
-adapter_memory::note_failure(adapter_ref const& adapter, instant now) {
+adapter_history::note_failure(adapter_ref const& adapter, instant now) {
     adapter_record& record = records_[adapter];
     ++record.failures;
     constexpr std::uint32_t most_doublings = 10;
@@ -50,7 +50,7 @@
     return record.failures;
 }
 
-void adapter_memory::note_loaded(adapter_ref const& adapter) {
+void adapter_history::note_loaded(adapter_ref const& adapter) {
     auto const known = records_.find(adapter);
     if (known != records_.end()) {
         known->second.failures = 0;
@@ -58,45 +58,46 @@
     }
 }
 
-void adapter_memory::pause(adapter_ref const& adapter, instant until) {
+void adapter_history::pause(adapter_ref const& adapter, instant until) {
     adapter_record& record = records_[adapter];
     record.retry_at = std::max(record.retry_at, until);
 }
 
-adapter_record const& adapter_memory::of(adapter_ref const& adapter) const {
+adapter_record const& adapter_history::of(adapter_ref const& adapter) const {
     auto const known = records_.find(adapter);
     return known == records_.end() ? empty_ : known->second;
 }
 
-double adapter_memory::rate(adapter_ref const& adapter, instant now) const {
+double adapter_history::rate(adapter_ref const& adapter, instant now) const {
     return of(adapter).asks.per_second(now);
 }
 
-bool adapter_memory::may_load(adapter_ref const& adapter, instant now) const {
+bool adapter_history::may_load(adapter_ref const& adapter, instant now) const {
     return now >= of(adapter).retry_at;
 }
 
-bool adapter_memory::given_up(adapter_ref const& adapter, instant now) const {
+bool adapter_history::load_abandoned(
+    adapter_ref const& adapter, instant now) const {
     adapter_record const& record = of(adapter);
     return record.failures >= settings_.failures_before_refusal &&
            now < record.retry_at;
 }
 
-std::vector<handed_demand> adapter_memory::demand(instant now) const {
-    std::vector<handed_demand> result;
+std::vector<handover_demand> adapter_history::demand(instant now) const {
+    std::vector<handover_demand> result;
     for (auto const& [adapter, record] : records_) {
         double const rate = record.asks.per_second(now);
         if (rate > least_rate) {
             result.push_back({adapter, rate});
         }
     }
-    std::ranges::sort(result, {}, &handed_demand::adapter);
+    std::ranges::sort(result, {}, &handover_demand::adapter);
     return result;
 }
 
-void adapter_memory::prune(instant now) {
+void adapter_history::prune(instant now) {
     std::erase_if(records_, [&](auto const& each) {
-        return now - each.second.last_ask > longest_memory &&
+        return now - each.second.last_request > longest_memory &&
                now >= each.second.retry_at;
     });
 }
--- a/src/Scheduling/adapter_memory.hpp
+++ b/src/Scheduling/adapter_memory.hpp
@@ -16,8 +16,8 @@
 /// What one replica remembers of an adapter, resident or not.
 struct adapter_record {
     decayed_rate asks{std::chrono::seconds(60)};
-    instant last_ask;
-    instant earlier_ask;
+    instant last_request;
+    instant previous_request;
     /// Loads that failed in a row.
     std::uint32_t failures = 0;
     /// No load is wanted before this time.
@@ -25,11 +25,11 @@
 };
 
 /// Demand and load failures by adapter, for the adapters asked for of late.
-class adapter_memory {
+class adapter_history {
 public:
-    explicit adapter_memory(scheduler_settings const& settings);
+    explicit adapter_history(scheduler_settings const& settings);
 
-    void note_ask(adapter_ref const& adapter, instant now);
+    void record_request(adapter_ref const& adapter, instant now);
     /// Takes a rate as measured elsewhere, when it is the higher one.
     void note_rate(adapter_ref const& adapter, double rate, instant now);
     /// Counts a failed load and pauses the adapter, longer with each failure.
@@ -45,9 +45,9 @@
     /// @returns true when a load may be wanted
     bool may_load(adapter_ref const& adapter, instant now) const;
     /// @returns true when loads failed so often that waiting is refused
-    bool given_up(adapter_ref const& adapter, instant now) const;
+    bool load_abandoned(adapter_ref const& adapter, instant now) const;
     /// @returns rates above a hundredth of a request per second, by adapter
-    std::vector<handed_demand> demand(instant now) const;
+    std::vector<handover_demand> demand(instant now) const;
     /// Forgets adapters that were not asked for in a long time.
     void prune(instant now);
 
--- a/src/Scheduling/batch_policy.cpp
+++ b/src/Scheduling/batch_policy.cpp
@@ -15,8 +15,9 @@
 
 bool keeps_reserve(batch_state const& state, instant now) {
     class_state const& immediate = state.classes[index_of(urgency::immediate)];
-    bool const about = immediate.last_ask &&
-                       now - *immediate.last_ask < urgent_first::reserve_memory;
+    bool const about =
+        immediate.last_request &&
+        now - *immediate.last_request < urgent_first::reserve_memory;
     return about && state.batch_limit >= urgent_first::smallest_with_reserve;
 }
 
--- a/src/Scheduling/batch_policy.hpp
+++ b/src/Scheduling/batch_policy.hpp
@@ -19,7 +19,7 @@
     /// while it had ready requests.
     std::uint32_t passed_over = 0;
     /// When the class was last asked for.
-    std::optional<instant> last_ask;
+    std::optional<instant> last_request;
 };
 
 /// What a batch policy sees.
--- a/src/Scheduling/eviction_policy.hpp
+++ b/src/Scheduling/eviction_policy.hpp
@@ -13,9 +13,9 @@
     adapter_ref adapter;
     /// Decayed rate of asks, in requests per second.
     double requests_per_second = 0;
-    instant last_ask;
+    instant last_request;
     /// The ask before the last.
-    instant earlier_ask;
+    instant previous_request;
     instant loaded;
     /// True when a newer version of the adapter is resident.
     bool superseded = false;
@@ -25,21 +25,21 @@
 template <class Policy>
 concept eviction_policy = std::default_initializable<Policy> && requires(
     Policy const& policy, eviction_candidate const& each, instant now) {
-    { policy.worth(each, now) } -> std::convertible_to<double>;
+    { policy.retention_value(each, now) } -> std::convertible_to<double>;
 };
 
 /// Keeps what is expected to be asked for soonest: the highest decayed rate.
 /// Superseded versions go first.
 struct evict_least_demand {
-    double worth(eviction_candidate const& each, instant) const {
+    double retention_value(eviction_candidate const& each, instant) const {
         return each.superseded ? -1.0 : each.requests_per_second;
     }
 };
 
 /// Evicts what was asked for longest ago.
 struct evict_least_recent {
-    double worth(eviction_candidate const& each, instant now) const {
-        return -std::chrono::duration<double>(now - each.last_ask).count();
+    double retention_value(eviction_candidate const& each, instant now) const {
+        return -std::chrono::duration<double>(now - each.last_request).count();
     }
 };
 
@@ -48,8 +48,9 @@
 /// Reference: E. J. O'Neil, P. E. O'Neil, G. Weikum, "The LRU-K page
 /// replacement algorithm for database disk buffering", SIGMOD 1993.
 struct evict_second_least_recent {
-    double worth(eviction_candidate const& each, instant now) const {
-        return -std::chrono::duration<double>(now - each.earlier_ask).count();
+    double retention_value(eviction_candidate const& each, instant now) const {
+        return -std::chrono::duration<double>(now - each.previous_request)
+                    .count();
     }
 };
 
--- a/src/Scheduling/grant_manager.hpp
+++ b/src/Scheduling/grant_manager.hpp
@@ -23,8 +23,8 @@
     /// Queues an ask, or answers it at once.
     /// @param ready    true when the adapter is resident
     /// @param feedback what a refusal says of the replica
-    ask_result on_ask(
-        replica_state& state, node_id const& from, grant_ask const& ask,
+    ask_result on_grant_request(
+        replica_state& state, node_id const& from, grant_request const& ask,
         bool ready, replica_feedback const& feedback, instant now);
     /// Gives grants while the batch has room.
     /// @param pause how long the weight store stays down
@@ -35,10 +35,10 @@
     void refuse_all(replica_state& state, reason why, instant now);
     /// Takes back an ask or an unused grant.
     /// @returns the adapter of a grant that has ended
-    std::optional<adapter_ref> on_withdrawn(
+    std::optional<adapter_ref> on_grant_cancelled(
         replica_state& state, node_id const& from,
-        grant_withdrawn const& message, instant now);
-    std::optional<adapter_ref> on_released(
+        grant_cancelled const& message, instant now);
+    std::optional<adapter_ref> on_grant_released(
         replica_state& state, node_id const& from,
         grant_released const& message, instant now);
     /// @returns the adapters of grants that have ended
@@ -62,16 +62,16 @@
 
 private:
     reason refusal(
-        replica_state const& state, grant_ask const& ask, bool ready,
+        replica_state const& state, grant_request const& ask, bool ready,
         instant now) const;
     bool sent_elsewhere(
-        replica_state const& state, grant_ask const& ask, duration queued,
+        replica_state const& state, grant_request const& ask, duration queued,
         instant now) const;
     void refuse(
-        replica_state& state, node_id const& to, grant_ask const& ask,
+        replica_state& state, node_id const& to, grant_request const& ask,
         reason why, duration retry_after, replica_feedback const& feedback);
     bool answer_repeat(
-        replica_state& state, node_id const& from, grant_ask const& ask,
+        replica_state& state, node_id const& from, grant_request const& ask,
         instant now);
     void send_grant(
         replica_state& state, running_grant const& grant, duration pause,
--- a/src/Scheduling/grant_manager_asks.hpp
+++ b/src/Scheduling/grant_manager_asks.hpp
@@ -37,7 +37,7 @@
 
 template <batch_policy Batch>
 bool grant_manager<Batch>::sent_elsewhere(
-    replica_state const& state, grant_ask const& ask, duration queued,
+    replica_state const& state, grant_request const& ask, duration queued,
     instant now) const {
     // Entry nodes know queues only from replies, which at many nodes are few
     // and old; only the owner knows its queue now. Refusing costs one round
@@ -51,17 +51,17 @@
     double const limit = state.settings.batch_limit;
     double const service =
         std::chrono::duration<double>(state.times.service()).count();
-    double const share = state.memory.rate(ask.adapter, now) * service / limit;
+    double const share = state.history.rate(ask.adapter, now) * service / limit;
     double const taken =
         state.grants.taken() + static_cast<double>(state.queue.size());
-    bool const crowded = taken >= state.settings.nearly_full * limit;
-    bool const worth_copy = share >= state.settings.copy_share;
+    bool const crowded = taken >= state.settings.nearly_full_fraction * limit;
+    bool const worth_copy = share >= state.settings.replication_batch_fraction;
     return (worth_copy && crowded) || queued > state.settings.redirect_wait;
 }
 
 template <batch_policy Batch>
 reason grant_manager<Batch>::refusal(
-    replica_state const& state, grant_ask const& ask, bool ready,
+    replica_state const& state, grant_request const& ask, bool ready,
     instant now) const {
     if (state.stopped) {
         return reason::draining;
@@ -69,7 +69,7 @@
     if (!state.may_grant(now)) {
         return reason::owner_unreachable;
     }
-    if (state.memory.given_up(ask.adapter, now) && !ready) {
+    if (state.history.load_abandoned(ask.adapter, now) && !ready) {
         return reason::load_failed;
     }
     if (state.queue.size(ask.how_urgent) >= state.settings.queue_limit) {
@@ -87,14 +87,15 @@
 }
 
 template <batch_policy Batch>
-typename grant_manager<Batch>::ask_result grant_manager<Batch>::on_ask(
-    replica_state& state, node_id const& from, grant_ask const& ask, bool ready,
-    replica_feedback const& feedback, instant now) {
+typename grant_manager<Batch>::ask_result
+grant_manager<Batch>::on_grant_request(
+    replica_state& state, node_id const& from, grant_request const& ask,
+    bool ready, replica_feedback const& feedback, instant now) {
     heard_.insert_or_assign(from, now);
     if (answer_repeat(state, from, ask, now)) {
         return ask_result::answered;
     }
-    state.memory.note_ask(ask.adapter, now);
+    state.history.record_request(ask.adapter, now);
     last_ask_[static_cast<std::size_t>(ask.how_urgent)] = now;
     reason const why = refusal(state, ask, ready, now);
     if (why != reason::none) {
@@ -122,7 +123,7 @@
 
 template <batch_policy Batch>
 bool grant_manager<Batch>::answer_repeat(
-    replica_state& state, node_id const& from, grant_ask const& ask,
+    replica_state& state, node_id const& from, grant_request const& ask,
     instant now) {
     if (waiting_request const* known = state.queue.find(ask.request)) {
         if (ask.attempt <= known->ask.attempt) {
@@ -152,8 +153,8 @@
 
 template <batch_policy Batch>
 void grant_manager<Batch>::refuse(
-    replica_state& state, node_id const& to, grant_ask const& ask, reason why,
-    duration retry_after, replica_feedback const& feedback) {
+    replica_state& state, node_id const& to, grant_request const& ask,
+    reason why, duration retry_after, replica_feedback const& feedback) {
     grant_refused message;
     message.request = ask.request;
     message.attempt = ask.attempt;
@@ -174,7 +175,7 @@
         class_state& each = result.classes[index];
         each.ready = state.queue.ready(static_cast<urgency>(index));
         each.passed_over = passed_over_[index];
-        each.last_ask = last_ask_[index];
+        each.last_request = last_ask_[index];
     }
     return result;
 }
@@ -245,7 +246,7 @@
     if (left.count() <= 0) {
         return;
     }
-    grant_given message;
+    grant_issued message;
     message.request = grant.request;
     message.attempt = grant.attempt;
     message.replica = state.settings.replica;
--- a/src/Scheduling/grant_manager_ends.hpp
+++ b/src/Scheduling/grant_manager_ends.hpp
@@ -11,8 +11,8 @@
 // How grants end in grant_manager.
 
 template <batch_policy Batch>
-std::optional<adapter_ref> grant_manager<Batch>::on_withdrawn(
-    replica_state& state, node_id const& from, grant_withdrawn const& message,
+std::optional<adapter_ref> grant_manager<Batch>::on_grant_cancelled(
+    replica_state& state, node_id const& from, grant_cancelled const& message,
     instant now) {
     heard_.insert_or_assign(from, now);
     waiting_request const* const waiting = state.queue.find(message.request);
@@ -31,7 +31,7 @@
 }
 
 template <batch_policy Batch>
-std::optional<adapter_ref> grant_manager<Batch>::on_released(
+std::optional<adapter_ref> grant_manager<Batch>::on_grant_released(
     replica_state& state, node_id const& from, grant_released const& message,
     instant now) {
     heard_.insert_or_assign(from, now);
@@ -120,7 +120,7 @@
 template <batch_policy Batch>
 void grant_manager<Batch>::adopt(
     replica_state& state, owner_table const& table, instant now) {
-    for (handed_grant const& each : table.grants) {
+    for (handover_grant const& each : table.grants) {
         bool const known = std::as_const(state.grants).find(each.request);
         if (known) {
             continue;
--- a/src/Scheduling/grant_messages.hpp
+++ b/src/Scheduling/grant_messages.hpp
@@ -11,7 +11,7 @@
 namespace camphorpoint {
 
 /// Entry node to owner: may this request run on your replica?
-struct grant_ask {
+struct grant_request {
     request_id request;
     /// Counts the asks of one request, so that a late reply is told apart.
     std::uint32_t attempt = 0;
@@ -46,7 +46,7 @@
 };
 
 /// Owner to entry node: the request may run now.
-struct grant_given {
+struct grant_issued {
     request_id request;
     std::uint32_t attempt = 0;
     endpoint_id replica;
@@ -82,7 +82,7 @@
 };
 
 /// Entry node to owner: the ask is taken back, or its grant goes unused.
-struct grant_withdrawn {
+struct grant_cancelled {
     request_id request;
     std::uint32_t attempt = 0;
     endpoint_id replica;
@@ -129,7 +129,7 @@
 };
 
 template <class Archive>
-void grant_ask::serialize(Archive& archive) {
+void grant_request::serialize(Archive& archive) {
     auto left = time_left.count();
     archive(
         request, attempt, replica, adapter, how_urgent, left, expected_tokens,
@@ -147,7 +147,7 @@
 }
 
 template <class Archive>
-void grant_given::serialize(Archive& archive) {
+void grant_issued::serialize(Archive& archive) {
     auto within = send_within.count();
     auto waited = queued.count();
     archive(
@@ -164,7 +164,7 @@
 }
 
 template <class Archive>
-void grant_withdrawn::serialize(Archive& archive) {
+void grant_cancelled::serialize(Archive& archive) {
     archive(request, attempt, replica);
 }
 
--- a/src/Scheduling/owner_table.hpp
+++ b/src/Scheduling/owner_table.hpp
@@ -13,7 +13,7 @@
 namespace camphorpoint {
 
 /// A grant that is in use when a replica changes hands.
-struct handed_grant {
+struct handover_grant {
     node_id node;
     request_id request;
     std::uint32_t attempt = 0;
@@ -30,7 +30,7 @@
 };
 
 /// How often an adapter is asked for on a replica.
-struct handed_demand {
+struct handover_demand {
     adapter_ref adapter;
     double requests_per_second = 0;
 
@@ -45,8 +45,8 @@
     endpoint_id replica;
     /// The engine's run that the grants belong to, if a report told it.
     std::optional<std::uint64_t> incarnation;
-    std::vector<handed_grant> grants;
-    std::vector<handed_demand> demand;
+    std::vector<handover_grant> grants;
+    std::vector<handover_demand> demand;
 
     template <class Archive>
     void serialize(Archive& archive) {
--- a/src/Scheduling/replica_scheduler.hpp
+++ b/src/Scheduling/replica_scheduler.hpp
@@ -28,10 +28,11 @@
     explicit replica_scheduler(scheduler_settings const& settings);
 
     /// An entry node asks for a grant; a repeated ask is answered again.
-    void on_ask(node_id const& from, grant_ask const& ask, instant now);
-    void on_withdrawn(
-        node_id const& from, grant_withdrawn const& message, instant now);
-    void on_released(
+    void on_grant_request(
+        node_id const& from, grant_request const& ask, instant now);
+    void on_grant_cancelled(
+        node_id const& from, grant_cancelled const& message, instant now);
+    void on_grant_released(
         node_id const& from, grant_released const& message, instant now);
     /// All that a node still has on the replica: what isn't named has ended.
     /// Grants for other replicas in the list are skipped.
@@ -40,7 +41,7 @@
         instant now);
     void on_report(engine_report const& report, instant now);
     void
-    on_order_ended(engine_order const& order, order_result how, instant now);
+    on_command_result(engine_order const& order, order_result how, instant now);
     void on_load_allowed(load_allowed const& message, instant now);
     void on_load_denied(load_denied const& message, instant now);
     /// This node owns the replica until `not_after`, or its ownership was
--- a/src/Scheduling/replica_scheduler_events.hpp
+++ b/src/Scheduling/replica_scheduler_events.hpp
@@ -45,11 +45,11 @@
 }
 
 template <replica_policy Policy>
-void replica_scheduler<Policy>::on_ask(
-    node_id const& from, grant_ask const& ask, instant now) {
+void replica_scheduler<Policy>::on_grant_request(
+    node_id const& from, grant_request const& ask, instant now) {
     using result = typename decltype(grants_)::ask_result;
     bool const ready = slots_.grantable(ask.adapter);
-    result const how = grants_.on_ask(
+    result const how = grants_.on_grant_request(
         state_, from, ask, ready, feedback(ask.adapter, now), now);
     if (how == result::queued && !ready) {
         slots_.on_blocked(state_, ask.adapter, now);
@@ -66,9 +66,9 @@
 }
 
 template <replica_policy Policy>
-void replica_scheduler<Policy>::on_withdrawn(
-    node_id const& from, grant_withdrawn const& message, instant now) {
-    auto const ended = grants_.on_withdrawn(state_, from, message, now);
+void replica_scheduler<Policy>::on_grant_cancelled(
+    node_id const& from, grant_cancelled const& message, instant now) {
+    auto const ended = grants_.on_grant_cancelled(state_, from, message, now);
     if (ended) {
         slots_.on_idle(*ended, now);
     }
@@ -76,9 +76,9 @@
 }
 
 template <replica_policy Policy>
-void replica_scheduler<Policy>::on_released(
+void replica_scheduler<Policy>::on_grant_released(
     node_id const& from, grant_released const& message, instant now) {
-    auto const ended = grants_.on_released(state_, from, message, now);
+    auto const ended = grants_.on_grant_released(state_, from, message, now);
     if (ended) {
         slots_.on_idle(*ended, now);
     }
@@ -121,9 +121,9 @@
 }
 
 template <replica_policy Policy>
-void replica_scheduler<Policy>::on_order_ended(
+void replica_scheduler<Policy>::on_command_result(
     engine_order const& order, order_result how, instant now) {
-    if (!slots_.on_order_ended(state_, order, how, now)) {
+    if (!slots_.on_command_result(state_, order, how, now)) {
         bool const current = order.fencing == state_.fencing;
         if (current) {
             on_authority_lost(now);
@@ -154,7 +154,7 @@
     state_.not_after = not_after;
     if (taken_over) {
         // What the former owner granted last can be sent for this long.
-        state_.certain_from =
+        state_.grants_known_from =
             now + state_.settings.send_within + state_.settings.grant_margin;
         state_.stopped = false;
         state_.actions.emplace_back(log_event{
@@ -194,7 +194,7 @@
     constexpr std::chrono::seconds upkeep_period{1};
     if (now - last_upkeep_ >= upkeep_period) {
         last_upkeep_ = now;
-        state_.memory.prune(now);
+        state_.history.prune(now);
         auto const idle = [&](adapter_ref const& adapter, instant since) {
             return slots_.reported_idle(adapter, since);
         };
@@ -223,7 +223,7 @@
             {each.node, each.request, each.attempt, each.grant, each.adapter,
              age});
     }
-    table.demand = state_.memory.demand(now);
+    table.demand = state_.history.demand(now);
     return table;
 }
 
@@ -243,9 +243,9 @@
     }
     // The former owner stopped granting before it handed this on: all that can
     // still be sent is known.
-    state_.certain_from = std::min(state_.certain_from, now);
-    for (handed_demand const& each : table.demand) {
-        state_.memory.note_rate(each.adapter, each.requests_per_second, now);
+    state_.grants_known_from = std::min(state_.grants_known_from, now);
+    for (handover_demand const& each : table.demand) {
+        state_.history.note_rate(each.adapter, each.requests_per_second, now);
     }
     after_event(now);
 }
--- a/src/Scheduling/replica_state.hpp
+++ b/src/Scheduling/replica_state.hpp
@@ -17,12 +17,12 @@
 struct replica_state {
     explicit replica_state(scheduler_settings const& given)
         : settings(given)
-        , memory(given)
+        , history(given)
         , times(given) {}
 
     /// @returns true while orders may be given. Asked right before each order:
     /// an owner that was paused past its deadline still believes in itself.
-    bool may_order(instant now) const { return owned && now < not_after; }
+    bool may_command(instant now) const { return owned && now < not_after; }
     /// @returns true while grants may be given
     bool may_grant(instant now) const {
         return owned && !stopped &&
@@ -32,7 +32,7 @@
     scheduler_settings settings;
     waiting_queue queue;
     grant_table grants;
-    adapter_memory memory;
+    adapter_history history;
     time_estimates times;
     std::vector<scheduler_action> actions;
     log_offset fencing;
@@ -41,7 +41,7 @@
     bool stopped = false;
     /// From this time on no grant of a former owner can still be sent, so that
     /// a report measured later tells all that runs.
-    instant certain_from;
+    instant grants_known_from;
 };
 
 } // namespace camphorpoint::internal
--- a/src/Scheduling/scheduler_action.hpp
+++ b/src/Scheduling/scheduler_action.hpp
@@ -15,7 +15,7 @@
 /// Answer an ask: it may run.
 struct reply_grant {
     node_id to;
-    grant_given message;
+    grant_issued message;
 };
 
 /// Answer an ask: it may not run here, and did not.
@@ -25,18 +25,18 @@
 };
 
 /// Ask the weight store's owner for a load, or repeat the ask.
-struct want_load {
-    load_ask message;
+struct send_load_request {
+    load_request message;
 };
 
 /// Take the ask back.
-struct cancel_want {
+struct send_load_cancelled {
     load_cancelled message;
 };
 
 /// Tell the weight store's owner that a permission is used up.
-struct report_load {
-    load_ended message;
+struct send_load_result {
+    load_result message;
 };
 
 /// How long a request waited before its grant, split by cause.
@@ -51,15 +51,16 @@
 };
 
 /// Why an adapter was ordered in or out, for counters.
-struct observed_order {
+struct observed_command {
     engine_order_kind kind = engine_order_kind::load;
     /// True for a load ahead of demand.
-    bool speculative = false;
+    bool prefetch = false;
 };
 
 /// What a replica_scheduler asks for.
 using scheduler_action = std::variant<
-    reply_grant, reply_refusal, engine_order, want_load, cancel_want,
-    report_load, observed_wait, observed_order, log_event>;
+    reply_grant, reply_refusal, engine_order, send_load_request,
+    send_load_cancelled, send_load_result, observed_wait, observed_command,
+    log_event>;
 
 } // namespace camphorpoint
--- a/src/Scheduling/scheduler_settings.hpp
+++ b/src/Scheduling/scheduler_settings.hpp
@@ -28,9 +28,9 @@
     std::chrono::milliseconds heartbeat_timeout{5'000};
     /// Requests that wait this long for a load take a slot from an adapter
     /// that is in use.
-    std::chrono::milliseconds blocked_bound{500};
+    std::chrono::milliseconds blocked_wait_limit{500};
     /// How often a want is told to the weight store's owner again.
-    std::chrono::milliseconds want_refresh{500};
+    std::chrono::milliseconds load_request_interval{500};
     /// A load's answer is waited for this long.
     std::chrono::milliseconds load_timeout{15'000};
     /// An eviction may travel this long, and no longer.
@@ -45,7 +45,7 @@
     std::uint32_t answer_tokens = 100;
     std::chrono::milliseconds load_time{400};
     /// Adapters that are loaded ahead of demand, such as after a cold start.
-    bool warm_ahead = true;
+    bool prefetch_adapters = true;
     /// Whether grants for resident adapters go on while authority has lapsed
     /// but no newer claim is known, as in an outage of the log. Orders never
     /// do. See docs/design/load-scheduling.md for what that asks of engines.
@@ -55,13 +55,13 @@
     std::chrono::milliseconds redirect_wait{1'500};
     /// An adapter that fills this share of the batch by itself is worth a copy
     /// elsewhere: its asks are refused as soon as the batch is nearly full.
-    double copy_share = 0.06;
+    double replication_batch_fraction = 0.06;
     /// How full the batch is then.
-    double nearly_full = 0.9;
+    double nearly_full_fraction = 0.9;
     /// How many asks of one request may be refused so.
     std::uint32_t redirect_attempts = 2;
     /// Orders are numbered from here; keeps a node's replicas apart.
-    std::uint64_t first_order = 1;
+    std::uint64_t first_command = 1;
     /// Seed of the jitter of backoffs.
     std::uint64_t seed = 1;
 };
--- a/src/Scheduling/slot_manager.hpp
+++ b/src/Scheduling/slot_manager.hpp
@@ -30,7 +30,7 @@
     void
     on_report(replica_state& state, engine_report const& report, instant now);
     /// @returns false when a newer owner's fencing number was seen
-    bool on_order_ended(
+    bool on_command_result(
         replica_state& state, engine_order const& order, order_result how,
         instant now);
     void on_load_allowed(
@@ -72,15 +72,15 @@
     void
     ask_store(replica_state& state, adapter_ref const& adapter, instant now);
     void tell_store(
-        replica_state& state, adapter_ref const& adapter, load_want& want,
-        instant now);
+        replica_state& state, adapter_ref const& adapter,
+        pending_load_request& want, instant now);
     void refresh_wants(replica_state& state, instant now);
     bool still_wanted(
         replica_state const& state, adapter_ref const& adapter,
         instant now) const;
     void drop_want(
         replica_state& state, adapter_ref const& adapter,
-        load_want const& want);
+        pending_load_request const& want);
     void give_back(
         replica_state& state, adapter_ref const& adapter,
         std::uint64_t permission);
@@ -93,7 +93,7 @@
     bool evictable(
         replica_state const& state, adapter_ref const& adapter,
         slot const& each, instant now) const;
-    double worth(
+    double retention_value(
         replica_state const& state, adapter_ref const& adapter,
         slot const& each, instant now) const;
     bool guarded(adapter_ref const& adapter, instant now) const;
@@ -107,8 +107,8 @@
     // Orders: slot_manager_orders.hpp.
     void use_permissions(replica_state& state, instant now);
     void order_load(
-        replica_state& state, adapter_ref const& adapter, load_want const& want,
-        instant now);
+        replica_state& state, adapter_ref const& adapter,
+        pending_load_request const& want, instant now);
     void send_order(
         replica_state& state, engine_order_kind kind,
         adapter_ref const& adapter, slot& target, duration timeout,
@@ -132,7 +132,7 @@
         bool started, bool ok, instant now);
 
     slot_table slots_;
-    want_book wants_;
+    load_request_table wants_;
     /// Loads ahead of demand, with the time up to which they are worth it.
     warm_map warming_;
     /// Older version to newer one, while both may be resident.
--- a/src/Scheduling/slot_manager_evictions.hpp
+++ b/src/Scheduling/slot_manager_evictions.hpp
@@ -22,7 +22,7 @@
     // A report from before the last grant ended, or from before the former
     // owner's last grant could be sent, says nothing: the adapter would be
     // evicted under a request that the report did not see yet.
-    instant const certain = std::max(since, state.certain_from);
+    instant const certain = std::max(since, state.grants_known_from);
     return slots_.reported_idle(adapter, certain) ||
            now >= certain + state.settings.longest_request;
 }
@@ -48,19 +48,19 @@
 }
 
 template <eviction_policy Eviction>
-double slot_manager<Eviction>::worth(
+double slot_manager<Eviction>::retention_value(
     replica_state const& state, adapter_ref const& adapter, slot const& each,
     instant now) const {
-    adapter_record const& record = state.memory.of(adapter);
+    adapter_record const& record = state.history.of(adapter);
     auto const next = successors_.find(adapter);
     eviction_candidate const candidate{
         .adapter = adapter,
         .requests_per_second = record.asks.per_second(now),
-        .last_ask = record.last_ask,
-        .earlier_ask = record.earlier_ask,
+        .last_request = record.last_request,
+        .previous_request = record.previous_request,
         .loaded = each.since,
         .superseded = next != successors_.end() && grantable(next->second)};
-    return eviction_.worth(candidate, now);
+    return eviction_.retention_value(candidate, now);
 }
 
 template <eviction_policy Eviction>
@@ -72,7 +72,7 @@
         if (!evictable(state, adapter, each, now)) {
             continue;
         }
-        double const own = worth(state, adapter, each, now);
+        double const own = retention_value(state, adapter, each, now);
         if (!least || own < least_worth) {
             least = adapter;
             least_worth = own;
@@ -90,7 +90,8 @@
     send_order(
         state, engine_order_kind::evict, adapter, target,
         state.settings.evict_timeout, now);
-    state.actions.emplace_back(observed_order{engine_order_kind::evict, false});
+    state.actions.emplace_back(
+        observed_command{engine_order_kind::evict, false});
 }
 
 template <eviction_policy Eviction>
@@ -107,7 +108,7 @@
         if (!possible) {
             continue;
         }
-        double const own = worth(state, adapter, each, now);
+        double const own = retention_value(state, adapter, each, now);
         if (!least || own < least_worth) {
             least = adapter;
             least_worth = own;
@@ -129,7 +130,7 @@
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::evict_stopped(replica_state& state, instant now) {
-    if (!state.may_order(now)) {
+    if (!state.may_command(now)) {
         return;
     }
     std::vector<adapter_ref> ready;
@@ -161,7 +162,7 @@
     auto const others = std::ranges::any_of(
         state.queue.all_blocked(),
         [&](blocked_group const& each) { return !slots_.find(each.adapter); });
-    if (others && state.may_order(now)) {
+    if (others && state.may_command(now)) {
         return;
     }
     for (adapter_ref const& adapter : stopped) {
@@ -174,7 +175,7 @@
     auto const permitted = static_cast<std::size_t>(std::ranges::count_if(
         wants_, [](auto const& each) { return each.second.permission != 0; }));
     std::size_t coming = free_slots(state) + slots_.count(slot_phase::evicting);
-    while (coming < permitted && state.may_order(now)) {
+    while (coming < permitted && state.may_command(now)) {
         auto const least = victim(state, now);
         if (!least) {
             return;
--- a/src/Scheduling/slot_manager_orders.hpp
+++ b/src/Scheduling/slot_manager_orders.hpp
@@ -14,7 +14,7 @@
 void slot_manager<Eviction>::send_order(
     replica_state& state, engine_order_kind kind, adapter_ref const& adapter,
     slot& target, duration timeout, instant now) {
-    target.order = state.settings.first_order + orders_++;
+    target.order = state.settings.first_command + orders_++;
     target.ordered_at = now;
     target.order_not_after = std::min(state.not_after, now + timeout);
     state.actions.emplace_back(engine_order{
@@ -24,19 +24,19 @@
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::order_load(
-    replica_state& state, adapter_ref const& adapter, load_want const& want,
-    instant now) {
+    replica_state& state, adapter_ref const& adapter,
+    pending_load_request const& want, instant now) {
     slot& target = slots_.insert(
         adapter, {.phase = slot_phase::loading,
                   .since = now,
                   .idle_since = now,
                   .permission = want.permission,
-                  .speculative = want.speculative});
+                  .prefetch = want.prefetch});
     send_order(
         state, engine_order_kind::load, adapter, target,
         state.settings.load_timeout, now);
     state.actions.emplace_back(
-        observed_order{engine_order_kind::load, want.speculative});
+        observed_command{engine_order_kind::load, want.prefetch});
 }
 
 template <eviction_policy Eviction>
@@ -44,7 +44,7 @@
     replica_state& state, instant now) {
     for (auto each = wants_.begin(); each != wants_.end();) {
         bool const usable = each->second.permission != 0 &&
-                            free_slots(state) > 0 && state.may_order(now) &&
+                            free_slots(state) > 0 && state.may_command(now) &&
                             !slots_.find(each->first);
         if (!usable) {
             ++each;
@@ -56,7 +56,7 @@
 }
 
 template <eviction_policy Eviction>
-bool slot_manager<Eviction>::on_order_ended(
+bool slot_manager<Eviction>::on_command_result(
     replica_state& state, engine_order const& order, order_result how,
     instant now) {
     slot* target = slots_.find(order.adapter);
@@ -104,7 +104,7 @@
     if (how == order_result::refused_busy) {
         // The engine has fewer free slots than this owner believes; its next
         // report corrects that.
-        state.memory.pause(adapter, now + state.settings.first_backoff);
+        state.history.pause(adapter, now + state.settings.first_backoff);
     } else if (how != order_result::refused_fencing) {
         load_failed(state, adapter, now);
     }
@@ -129,8 +129,8 @@
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::load_failed(
     replica_state& state, adapter_ref const& adapter, instant now) {
-    std::uint32_t const failures = state.memory.note_failure(adapter, now);
-    bool const hopeless = state.memory.given_up(adapter, now);
+    std::uint32_t const failures = state.history.note_failure(adapter, now);
+    bool const hopeless = state.history.load_abandoned(adapter, now);
     state.actions.emplace_back(log_event{
         hopeless ? event_code::load_given_up : event_code::load_retrying,
         log_level::warning,
@@ -170,7 +170,7 @@
     slots_.insert(
         adapter,
         {.phase = slot_phase::resident, .since = now, .idle_since = now});
-    state.memory.note_loaded(adapter);
+    state.history.note_loaded(adapter);
     warming_.erase(adapter);
     state.queue.open(adapter, now);
 }
@@ -199,7 +199,7 @@
             drop_want(state, change.adapter, want->second);
             wants_.erase(want);
         }
-        state.memory.note_loaded(change.adapter);
+        state.history.note_loaded(change.adapter);
         warming_.erase(change.adapter);
         state.queue.open(change.adapter, now);
         break;
@@ -242,7 +242,7 @@
     }
     auto const took = std::chrono::duration_cast<std::chrono::milliseconds>(
         now - each.ordered_at);
-    state.actions.emplace_back(report_load{
+    state.actions.emplace_back(send_load_result{
         {state.settings.replica, adapter, each.permission, started, ok, took}});
 }
 
--- a/src/Scheduling/slot_manager_wants.hpp
+++ b/src/Scheduling/slot_manager_wants.hpp
@@ -34,7 +34,7 @@
                             static_cast<std::size_t>(idle);
     // Loads ahead of demand give way to those that somebody waits for.
     auto const waited_for = std::ranges::count_if(
-        wants_, [](auto const& each) { return !each.second.speculative; });
+        wants_, [](auto const& each) { return !each.second.prefetch; });
     return all - std::min(all, static_cast<std::size_t>(waited_for));
 }
 
@@ -42,14 +42,14 @@
 bool slot_manager<Eviction>::may_want(
     replica_state const& state, adapter_ref const& adapter, instant now) const {
     return state.owned && !slots_.find(adapter) && !wants_.contains(adapter) &&
-           state.memory.may_load(adapter, now);
+           state.history.may_load(adapter, now);
 }
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::on_blocked(
     replica_state& state, adapter_ref const& adapter, instant now) {
     auto const known = wants_.find(adapter);
-    bool const upgraded = known != wants_.end() && known->second.speculative &&
+    bool const upgraded = known != wants_.end() && known->second.prefetch &&
                           known->second.permission == 0;
     if (upgraded) {
         tell_store(state, adapter, known->second, now);
@@ -63,30 +63,30 @@
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::ask_store(
     replica_state& state, adapter_ref const& adapter, instant now) {
-    load_want& want = wants_[adapter];
+    pending_load_request& want = wants_[adapter];
     want.asked = now;
     tell_store(state, adapter, want, now);
 }
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::tell_store(
-    replica_state& state, adapter_ref const& adapter, load_want& want,
-    instant now) {
+    replica_state& state, adapter_ref const& adapter,
+    pending_load_request& want, instant now) {
     using std::chrono::milliseconds;
     want.told = now;
-    load_ask ask;
+    load_request ask;
     ask.replica = state.settings.replica;
     ask.adapter = adapter;
     ask.how_urgent = urgency::background;
-    ask.expected_demand = state.memory.rate(adapter, now);
+    ask.expected_demand = state.history.rate(adapter, now);
     if (auto const group = state.queue.blocked(adapter)) {
         ask.how_urgent = group->how_urgent;
         ask.waiting = group->waiting;
         ask.oldest_wait =
             std::chrono::duration_cast<milliseconds>(now - group->oldest);
     }
-    want.speculative = ask.speculative();
-    state.actions.emplace_back(want_load{ask});
+    want.prefetch = ask.is_prefetch();
+    state.actions.emplace_back(send_load_request{ask});
 }
 
 template <eviction_policy Eviction>
@@ -101,22 +101,24 @@
 void slot_manager<Eviction>::give_back(
     replica_state& state, adapter_ref const& adapter,
     std::uint64_t permission) {
-    load_ended message;
+    load_result message;
     message.replica = state.settings.replica;
     message.adapter = adapter;
     message.permission = permission;
     message.started = false;
-    state.actions.emplace_back(report_load{message});
+    state.actions.emplace_back(send_load_result{message});
 }
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::drop_want(
-    replica_state& state, adapter_ref const& adapter, load_want const& want) {
+    replica_state& state, adapter_ref const& adapter,
+    pending_load_request const& want) {
     if (want.permission != 0) {
         give_back(state, adapter, want.permission);
         return;
     }
-    state.actions.emplace_back(cancel_want{{state.settings.replica, adapter}});
+    state.actions.emplace_back(
+        send_load_cancelled{{state.settings.replica, adapter}});
 }
 
 template <eviction_policy Eviction>
@@ -129,7 +131,8 @@
             each = wants_.erase(each);
             continue;
         }
-        bool const due = now - want.told >= state.settings.want_refresh;
+        bool const due =
+            now - want.told >= state.settings.load_request_interval;
         if (want.permission == 0 && due) {
             tell_store(state, adapter, want, now);
         }
@@ -175,9 +178,9 @@
             oldest = std::min(oldest, each.oldest);
         }
     }
-    bool const too_long = now - oldest >= state.settings.blocked_bound;
+    bool const too_long = now - oldest >= state.settings.blocked_wait_limit;
     bool const under_way = slots_.count(slot_phase::stopping) > 0;
-    if (too_long && !under_way && state.may_order(now)) {
+    if (too_long && !under_way && state.may_command(now)) {
         stop_one_by_force(state, now);
     }
 }
@@ -194,8 +197,8 @@
         // in less demand, never one that is worth more.
         bool const free = free_slots(state) > wants_.size();
         auto const least = free ? std::nullopt : victim(state, now);
-        bool const better = least && state.memory.rate(*least, now) <
-                                         state.memory.rate(adapter, now);
+        bool const better = least && state.history.rate(*least, now) <
+                                         state.history.rate(adapter, now);
         if (free || (better && room(state, now) > 0)) {
             ask_store(state, adapter, now);
         }
@@ -253,8 +256,8 @@
     }
     successors_.insert_or_assign(from, to);
     guarded_until_.insert_or_assign(from, now + rollout_time);
-    state.memory.note_rate(to, state.memory.rate(from, now), now);
-    if (state.settings.warm_ahead && !slots_.find(to)) {
+    state.history.note_rate(to, state.history.rate(from, now), now);
+    if (state.settings.prefetch_adapters && !slots_.find(to)) {
         warming_.insert_or_assign(to, now + rollout_time);
     }
     plan(state, now);
@@ -266,8 +269,8 @@
     for (auto const& [adapter, each] : slots_.all()) {
         report_to_store(state, adapter, each, true, false, now);
         state.queue.close(adapter, now);
-        bool const wanted =
-            each.phase == slot_phase::resident && state.settings.warm_ahead;
+        bool const wanted = each.phase == slot_phase::resident &&
+                            state.settings.prefetch_adapters;
         if (wanted) {
             warming_.insert_or_assign(adapter, now + refill_time);
         }
--- a/src/Scheduling/slot_table.hpp
+++ b/src/Scheduling/slot_table.hpp
@@ -37,7 +37,7 @@
     std::optional<instant> lost_at{};
     /// The weight store's permission of the load.
     std::uint64_t permission = 0;
-    bool speculative = false;
+    bool prefetch = false;
 };
 
 /// What a report settled about an adapter.
--- a/src/Scheduling/waiting_queue.hpp
+++ b/src/Scheduling/waiting_queue.hpp
@@ -17,7 +17,7 @@
 /// A request that waits for a grant.
 struct waiting_request {
     node_id from;
-    grant_ask ask;
+    grant_request ask;
     instant arrived;
     instant deadline;
     /// Past this time the deadline can't be met any more.
--- a/src/Scheduling/want_book.hpp
+++ b/src/Scheduling/want_book.hpp
@@ -10,7 +10,7 @@
 namespace camphorpoint::internal {
 
 /// A load that was asked for at the weight store's owner.
-struct load_want {
+struct pending_load_request {
     instant asked;
     /// When it was last told to the store's owner.
     instant told;
@@ -18,10 +18,10 @@
     std::uint64_t permission = 0;
     instant valid_until;
     /// True when nobody waited at the time of the ask.
-    bool speculative = false;
+    bool prefetch = false;
 };
 
 /// The loads that one replica wants and has not ordered yet.
-using want_book = std::map<adapter_ref, load_want>;
+using load_request_table = std::map<adapter_ref, pending_load_request>;
 
 } // namespace camphorpoint::internal
--- a/src/Serving/grant_router.cpp
+++ b/src/Serving/grant_router.cpp
@@ -14,11 +14,11 @@
 }
 
 void grant_router::on_message(
-    node_id const& from, grant_ask const& ask, instant now) {
+    node_id const& from, grant_request const& ask, instant now) {
     resource_id const resource = replica_resource(ask.replica);
     scheduler* const owned = find(ask.replica);
     if (owned != nullptr && services_.owning.grant_authority(resource, now)) {
-        owned->on_ask(from, ask, now);
+        owned->on_grant_request(from, ask, now);
         return;
     }
     grant_refused refused;
@@ -30,16 +30,16 @@
 }
 
 void grant_router::on_message(
-    node_id const& from, grant_withdrawn const& message, instant now) {
+    node_id const& from, grant_cancelled const& message, instant now) {
     if (scheduler* const owned = find(message.replica)) {
-        owned->on_withdrawn(from, message, now);
+        owned->on_grant_cancelled(from, message, now);
     }
 }
 
 void grant_router::on_message(
     node_id const& from, grant_released const& message, instant now) {
     if (scheduler* const owned = find(message.replica)) {
-        owned->on_released(from, message, now);
+        owned->on_grant_released(from, message, now);
     }
 }
 
@@ -78,7 +78,7 @@
     engine_order const original = found->second;
     orders_.erase(found);
     if (scheduler* const owned = find(original.replica)) {
-        owned->on_order_ended(original, end.how, now);
+        owned->on_command_result(original, end.how, now);
     }
 }
 
@@ -229,11 +229,13 @@
         outbox_.send(no->to, no->message);
     } else if (auto const* const wanted = std::get_if<engine_order>(&action)) {
         order(replica, *wanted, now);
-    } else if (auto const* const want = std::get_if<want_load>(&action)) {
+    } else if (
+        auto const* const want = std::get_if<send_load_request>(&action)) {
         loads_.tell_store(want->message, now);
-    } else if (auto const* const gone = std::get_if<cancel_want>(&action)) {
+    } else if (
+        auto const* const gone = std::get_if<send_load_cancelled>(&action)) {
         loads_.tell_store(gone->message, now);
-    } else if (auto const* const end = std::get_if<report_load>(&action)) {
+    } else if (auto const* const end = std::get_if<send_load_result>(&action)) {
         loads_.tell_store(end->message, now);
     } else if (auto const* const wait = std::get_if<observed_wait>(&action)) {
         outbox_.act(
@@ -252,12 +254,12 @@
         outbox_.send(reply.to, reply.message);
         return;
     }
-    grant_withdrawn unused;
+    grant_cancelled unused;
     unused.request = reply.message.request;
     unused.attempt = reply.message.attempt;
     unused.replica = replica;
     if (scheduler* const owned = find(replica)) {
-        owned->on_withdrawn(reply.to, unused, now);
+        owned->on_grant_cancelled(reply.to, unused, now);
     }
     grant_refused refused;
     refused.request = reply.message.request;
@@ -281,7 +283,7 @@
             : services_.owning.load_authority(resource, checks, now);
     if (!leave || leave->fencing != wanted.fencing) {
         if (scheduler* const owned = find(replica)) {
-            owned->on_order_ended(wanted, order_result::not_sent, now);
+            owned->on_command_result(wanted, order_result::not_sent, now);
         }
         return;
     }
--- a/src/Serving/grant_router.hpp
+++ b/src/Serving/grant_router.hpp
@@ -28,9 +28,9 @@
         , outbox_(outbox)
         , loads_(loads) {}
 
-    void on_message(node_id const& from, grant_ask const& ask, instant now);
+    void on_message(node_id const& from, grant_request const& ask, instant now);
     void on_message(
-        node_id const& from, grant_withdrawn const& message, instant now);
+        node_id const& from, grant_cancelled const& message, instant now);
     void
     on_message(node_id const& from, grant_released const& message, instant now);
     void
--- a/src/Serving/load_router.cpp
+++ b/src/Serving/load_router.cpp
@@ -5,12 +5,12 @@
 void load_router::give(
     store_budget& to, node_id const& from, load_message const& message,
     instant now) {
-    if (auto const* const ask = std::get_if<load_ask>(&message)) {
-        to.on_ask(from, *ask, now);
-    } else if (auto const* const end = std::get_if<load_ended>(&message)) {
-        to.on_ended(from, *end, now);
+    if (auto const* const ask = std::get_if<load_request>(&message)) {
+        to.on_load_request(from, *ask, now);
+    } else if (auto const* const end = std::get_if<load_result>(&message)) {
+        to.on_load_result(from, *end, now);
     } else {
-        to.on_cancelled(from, std::get<load_cancelled>(message), now);
+        to.on_load_cancelled(from, std::get<load_cancelled>(message), now);
     }
 }
 
@@ -23,7 +23,7 @@
         std::visit(
             [&](auto const& each) { outbox_.send(owner, each); }, message);
     }
-    bool const ask = std::holds_alternative<load_ask>(message);
+    bool const ask = std::holds_alternative<load_request>(message);
     if (owner.empty() || !ask) {
         give(services_.own_share, outbox_.self(), message, now);
     }
@@ -48,7 +48,7 @@
         return;
     }
     nodes_ = nodes;
-    services_.own_share = store_budget(fallback_share(nodes, limits_));
+    services_.own_share = store_budget(fallback_limits(nodes, limits_));
 }
 
 bool load_router::pump(store_budget& from) {
--- a/src/Serving/load_router.hpp
+++ b/src/Serving/load_router.hpp
@@ -9,7 +9,7 @@
 namespace camphorpoint {
 
 /// What a replica's owner tells the weight store's owner.
-using load_message = std::variant<load_ask, load_cancelled, load_ended>;
+using load_message = std::variant<load_request, load_cancelled, load_result>;
 
 /// Carries wants and permissions to load between replicas' owners and the
 /// weight store's owner, which may both be this node.
--- a/src/Serving/node_core_settle.cpp
+++ b/src/Serving/node_core_settle.cpp
@@ -16,7 +16,7 @@
 
 void node_core::on_peer(node_id const& from, peer_message const& message) {
     auto const carry = [&]<class Message>(Message const& each) {
-        if constexpr (std::is_same_v<Message, grant_given>) {
+        if constexpr (std::is_same_v<Message, grant_issued>) {
             requests_.on_grant(from, each, clock_.now);
         } else if constexpr (std::is_same_v<Message, grant_refused>) {
             requests_.on_refusal(from, each, clock_.now);
@@ -30,7 +30,7 @@
             config_.on_peer(from, each, clock_.now);
             grants_.refresh_versions(clock_.now);
         } else if constexpr (is_one_of<
-                                 Message, load_ask, load_ended,
+                                 Message, load_request, load_result,
                                  load_cancelled>) {
             loads_.on_message(from, each, clock_.now);
         } else if constexpr (is_one_of<
@@ -46,10 +46,10 @@
             grants_.on_message(from, each, clock_.now);
         }
     };
-    if (auto const* const ask = std::get_if<grant_ask>(&message)) {
+    if (auto const* const ask = std::get_if<grant_request>(&message)) {
         config_.needs(ask->configuration, from, clock_.now);
     }
-    if (auto const* const yes = std::get_if<grant_given>(&message)) {
+    if (auto const* const yes = std::get_if<grant_issued>(&message)) {
         if (auto const* const request = requests_.find(yes->request)) {
             services_.choice.on_feedback(
                 yes->replica, request->what.adapter, yes->feedback, clock_.now);
--- a/src/Serving/node_services.cpp
+++ b/src/Serving/node_services.cpp
@@ -40,7 +40,7 @@
     , choice(placing_here(settings))
     , retries(settings.retries)
     , store(settings.loading)
-    , own_share(fallback_share(1, settings.loading)) {}
+    , own_share(fallback_limits(1, settings.loading)) {}
 
 bool node_services::reachable(node_id const& node) const {
     auto const state = members.state_of(node);
--- a/src/Serving/peer_message.hpp
+++ b/src/Serving/peer_message.hpp
@@ -14,11 +14,11 @@
 /// All that nodes say to each other over TCP. Each module defines its messages
 /// in its own folder; order matters on the wire.
 using peer_message = std::variant<
-    grant_ask, grant_given, grant_refused, grant_withdrawn, grant_released,
+    grant_request, grant_issued, grant_refused, grant_cancelled, grant_released,
     grant_heartbeat, handover_offer, handover_accepted, holder_stopped,
     config_ask, config_records, config_state, key_ask, key_reply, key_finished,
-    key_noted, key_heartbeat, key_handover, load_ask, load_allowed, load_denied,
-    load_ended, load_cancelled, replica_crash_message, request_success_message,
-    quarantine_message, quarantine_sync_request>;
+    key_noted, key_heartbeat, key_handover, load_request, load_allowed,
+    load_denied, load_result, load_cancelled, replica_crash_message,
+    request_success_message, quarantine_message, quarantine_sync_request>;
 
 } // namespace camphorpoint
--- a/src/Serving/request_environment.hpp
+++ b/src/Serving/request_environment.hpp
@@ -45,7 +45,8 @@
 };
 
 /// What an entry node tells a replica's owner.
-using owner_message = std::variant<grant_ask, grant_withdrawn, grant_released>;
+using owner_message =
+    std::variant<grant_request, grant_cancelled, grant_released>;
 
 /// What a request's life needs of the rest of the node. node_core gives it the
 /// real services, a test gives it a script. None of these may call the tracker
--- a/src/Serving/request_tracker.hpp
+++ b/src/Serving/request_tracker.hpp
@@ -51,7 +51,7 @@
     void on_key_settled(key_settled const& settled, instant now);
     /// An owner's word.
     /// @param from the node that sent it
-    void on_grant(node_id const& from, grant_given const& given, instant now);
+    void on_grant(node_id const& from, grant_issued const& given, instant now);
     void
     on_refusal(node_id const& from, grant_refused const& refused, instant now);
     /// The limits of a plain service let a request go.
--- a/src/Serving/request_tracker_routing.hpp
+++ b/src/Serving/request_tracker_routing.hpp
@@ -128,7 +128,7 @@
 template <request_environment Environment>
 bool request_tracker<Environment>::ask(live_request& request, instant now) {
     request.asked_at = now;
-    grant_ask ask;
+    grant_request ask;
     ask.request = request.asked.id;
     ask.attempt = request.attempt;
     ask.replica = request.endpoint;
@@ -184,7 +184,7 @@
 
 template <request_environment Environment>
 void request_tracker<Environment>::on_grant(
-    node_id const& /*from*/, grant_given const& given, instant now) {
+    node_id const& /*from*/, grant_issued const& given, instant now) {
     live_request* const request =
         waiting_for(given.request, given.attempt, given.replica);
     if (request == nullptr) {
@@ -198,7 +198,7 @@
             count(count_reason::kind::dropped, reason::late_answer);
             environment_.tell_owner(
                 given.replica,
-                grant_withdrawn{given.request, given.attempt, given.replica},
+                grant_cancelled{given.request, given.attempt, given.replica},
                 now);
         }
         return;
@@ -304,7 +304,7 @@
 template <request_environment Environment>
 void request_tracker<Environment>::withdraw_ask(
     live_request& request, instant now) {
-    grant_withdrawn taken_back;
+    grant_cancelled taken_back;
     taken_back.request = request.asked.id;
     taken_back.attempt = request.attempt;
     taken_back.replica = request.endpoint;
--- a/test/fuzz/findings_test.cpp
+++ b/test/fuzz/findings_test.cpp
@@ -12,28 +12,29 @@
 // sent; a report taken at that very moment passed for a proof from after it,
 // and the same eviction was ordered again at once, without end.
 TEST_CASE("an eviction that was not sent is not ordered again at once") {
-    replica_story story;
+    scheduler_fixture story;
     // Until then an earlier owner's grants may still run.
-    story.pass(seconds(600));
+    story.advance(seconds(600));
     adapter_ref const audit = adapter("audit");
     adapter_ref const labels = adapter("labels");
     story.report({audit, labels});
-    story.pass(milliseconds(20));
-    story.ask("r", adapter("bids"));
+    story.advance(milliseconds(20));
+    story.request_grant("r", adapter("bids"));
     story.report({audit, labels});
-    story.allow(adapter("bids"));
+    story.permit_load(adapter("bids"));
     // One order for each of the two adapters, and no more.
     constexpr std::size_t adapters = 2;
     for (std::size_t count = 1; count <= adapters; ++count) {
-        REQUIRE(story.orders(engine_order_kind::evict).size() == count);
-        story.end_order(story.last<engine_order>(), order_result::not_sent);
+        REQUIRE(story.commands(engine_order_kind::evict).size() == count);
+        story.complete_command(
+            story.last<engine_order>(), order_result::not_sent);
     }
-    CHECK(story.orders(engine_order_kind::evict).size() == adapters);
+    CHECK(story.commands(engine_order_kind::evict).size() == adapters);
 
     SUBCASE("but again once a later report confirms that nothing runs") {
-        story.pass(milliseconds(20));
+        story.advance(milliseconds(20));
         story.report({audit, labels});
-        CHECK(story.orders(engine_order_kind::evict).size() == adapters + 1);
+        CHECK(story.commands(engine_order_kind::evict).size() == adapters + 1);
     }
 }
 
--- a/test/loading_budget_test.cpp
+++ b/test/loading_budget_test.cpp
@@ -12,9 +12,9 @@
 using std::chrono::seconds;
 
 /// A weight store's budget, its loads played by the test.
-class budget_story {
+class budget_fixture {
 public:
-    explicit budget_story(store_limits const& limits = {})
+    explicit budget_fixture(store_limits const& limits = {})
         : budget_(limits) {
         budget_.on_authority(log_offset{1}, now_ + seconds(600), now_);
         pass(seconds(2));
@@ -33,23 +33,23 @@
     void
     ask(std::string const& adapter, std::uint32_t waiting = 1,
         urgency how_urgent = urgency::normal, milliseconds oldest = {}) {
-        load_ask message;
+        load_request message;
         message.replica = endpoint_id("r1");
         message.adapter = {adapter_id(adapter), 1};
         message.waiting = waiting;
         message.how_urgent = how_urgent;
         message.oldest_wait = oldest;
         message.expected_demand = 1;
-        budget_.on_ask(node_id("n1"), message, now_);
+        budget_.on_load_request(node_id("n1"), message, now_);
         collect();
     }
     void
     end(std::size_t index, bool ok, milliseconds took = milliseconds(400),
         bool started = true) {
         load_allowed const& given = allowed_.at(index);
-        load_ended const message{
+        load_result const message{
             given.replica, given.adapter, given.permission, started, ok, took};
-        budget_.on_ended(node_id("n1"), message, now_);
+        budget_.on_load_result(node_id("n1"), message, now_);
         collect();
     }
     /// @returns the adapters whose loads were allowed, in order
@@ -85,144 +85,144 @@
 } // namespace
 
 TEST_CASE("a weight store's owner deals out loads") {
-    budget_story story;
-    story.ask("a");
-    story.ask("b");
-    CHECK(story.allowed() == names{"a", "b"});
+    budget_fixture fixture;
+    fixture.ask("a");
+    fixture.ask("b");
+    CHECK(fixture.allowed() == names{"a", "b"});
 
     SUBCASE("no more at once than the store serves at full speed") {
-        story.ask("c");
-        CHECK(story.allowed().size() == 2);
-        story.end(0, true);
-        CHECK(story.allowed() == names{"a", "b", "c"});
+        fixture.ask("c");
+        CHECK(fixture.allowed().size() == 2);
+        fixture.end(0, true);
+        CHECK(fixture.allowed() == names{"a", "b", "c"});
     }
 
     SUBCASE("no more in a second than the store allows") {
         for (std::size_t count = 0; count < 9; ++count) {
-            story.ask("x" + std::to_string(count));
-            story.end(count, true);
-            if (story.allowed().size() == 5) {
+            fixture.ask("x" + std::to_string(count));
+            fixture.end(count, true);
+            if (fixture.allowed().size() == 5) {
                 break;
             }
         }
-        story.end(3, true);
-        story.end(4, true);
-        story.ask("more");
-        CHECK(story.allowed().size() == 5);
-        story.pass(milliseconds(980));
-        CHECK(story.allowed().size() == 5);
-        story.pass(milliseconds(20));
-        CHECK(story.allowed().back() == "more");
+        fixture.end(3, true);
+        fixture.end(4, true);
+        fixture.ask("more");
+        CHECK(fixture.allowed().size() == 5);
+        fixture.pass(milliseconds(980));
+        CHECK(fixture.allowed().size() == 5);
+        fixture.pass(milliseconds(20));
+        CHECK(fixture.allowed().back() == "more");
     }
 
     SUBCASE("the most waiting goes first") {
-        story.ask("few", 2);
-        story.ask("many", 5);
-        story.end(0, true);
-        CHECK(story.allowed().back() == "many");
+        fixture.ask("few", 2);
+        fixture.ask("many", 5);
+        fixture.end(0, true);
+        CHECK(fixture.allowed().back() == "many");
     }
 
     SUBCASE("urgent work counts for more") {
-        story.ask("many", 3);
-        story.ask("urgent", 1, urgency::immediate);
-        story.end(0, true);
-        CHECK(story.allowed().back() == "urgent");
+        fixture.ask("many", 3);
+        fixture.ask("urgent", 1, urgency::immediate);
+        fixture.end(0, true);
+        CHECK(fixture.allowed().back() == "urgent");
     }
 
     SUBCASE("a long wait counts for more than many") {
-        story.ask("old", 1, urgency::normal, milliseconds(4'000));
-        story.ask("many", 3);
-        story.end(0, true);
-        CHECK(story.allowed().back() == "old");
+        fixture.ask("old", 1, urgency::normal, milliseconds(4'000));
+        fixture.ask("many", 3);
+        fixture.end(0, true);
+        CHECK(fixture.allowed().back() == "old");
     }
 
     SUBCASE("nothing ahead of demand while others load") {
-        story.ask("ahead", 0);
-        story.end(0, true);
-        CHECK(story.allowed().size() == 2);
-        story.end(1, true);
-        story.pass(milliseconds(1'000));
-        CHECK(story.allowed().back() == "ahead");
+        fixture.ask("ahead", 0);
+        fixture.end(0, true);
+        CHECK(fixture.allowed().size() == 2);
+        fixture.end(1, true);
+        fixture.pass(milliseconds(1'000));
+        CHECK(fixture.allowed().back() == "ahead");
     }
 
     // A replica's owner asks again while the permission is on its way to it.
     SUBCASE("an ask that crosses its permission earns no second load") {
-        story.end(1, true);
-        story.ask("a", 3);
-        CHECK(story.allowed() == names{"a", "b"});
-        story.end(0, true);
-        CHECK(story.allowed() == names{"a", "b"});
+        fixture.end(1, true);
+        fixture.ask("a", 3);
+        CHECK(fixture.allowed() == names{"a", "b"});
+        fixture.end(0, true);
+        CHECK(fixture.allowed() == names{"a", "b"});
     }
 
     SUBCASE("a permission that was given back doesn't use up the rate") {
-        story.end(0, false, milliseconds(0), false);
-        story.end(1, false, milliseconds(0), false);
+        fixture.end(0, false, milliseconds(0), false);
+        fixture.end(1, false, milliseconds(0), false);
         for (std::size_t count = 0; count < 5; ++count) {
-            story.ask("x" + std::to_string(count));
-            story.end(2 + count, true);
+            fixture.ask("x" + std::to_string(count));
+            fixture.end(2 + count, true);
         }
-        CHECK(story.allowed().size() == 7);
+        CHECK(fixture.allowed().size() == 7);
     }
 }
 
 // The store is never asked for anything again, or loads that nobody carries
 // out use it up: the replica's owner died with its permission.
 TEST_CASE("what falls silent is forgotten") {
-    budget_story story;
-    story.ask("a");
-    story.ask("b");
-    story.ask("silent");
-    story.pass(seconds(3));
-    CHECK(story.budget().waiting() == 0);
-    story.pass(seconds(18));
-    CHECK(story.budget().running() == 0);
+    budget_fixture fixture;
+    fixture.ask("a");
+    fixture.ask("b");
+    fixture.ask("silent");
+    fixture.pass(seconds(3));
+    CHECK(fixture.budget().waiting() == 0);
+    fixture.pass(seconds(18));
+    CHECK(fixture.budget().running() == 0);
 }
 
 // For minutes after the store comes back it is swamped by everyone's retries,
 // or, while it is down, engines hold slots for loads that can't end.
 TEST_CASE("a store that is down is tried with one load at a time") {
-    budget_story story;
-    story.ask("a");
-    story.ask("b");
-    story.end(0, false);
-    story.ask("a");
-    story.end(1, false);
-    story.ask("c");
-    CHECK_FALSE(story.budget().down());
-    story.end(2, false);
-    CHECK(story.budget().down());
-    story.end(3, false);
+    budget_fixture fixture;
+    fixture.ask("a");
+    fixture.ask("b");
+    fixture.end(0, false);
+    fixture.ask("a");
+    fixture.end(1, false);
+    fixture.ask("c");
+    CHECK_FALSE(fixture.budget().down());
+    fixture.end(2, false);
+    CHECK(fixture.budget().down());
+    fixture.end(3, false);
 
     SUBCASE("nothing is allowed during the pause, and askers are told") {
-        std::size_t const before = story.allowed().size();
-        story.ask("d");
-        CHECK(story.denied().back().retry_after > milliseconds(0));
-        story.pass(milliseconds(980));
-        CHECK(story.allowed().size() == before);
-        story.pass(milliseconds(20));
-        CHECK(story.allowed().size() == before + 1);
+        std::size_t const before = fixture.allowed().size();
+        fixture.ask("d");
+        CHECK(fixture.denied().back().retry_after > milliseconds(0));
+        fixture.pass(milliseconds(980));
+        CHECK(fixture.allowed().size() == before);
+        fixture.pass(milliseconds(20));
+        CHECK(fixture.allowed().size() == before + 1);
 
         SUBCASE("a load that works ends it") {
-            story.end(before, true);
-            CHECK_FALSE(story.budget().down());
+            fixture.end(before, true);
+            CHECK_FALSE(fixture.budget().down());
         }
 
         SUBCASE("one that fails doubles it") {
-            story.end(before, false);
-            story.ask("e");
-            CHECK(story.denied().back().retry_after == milliseconds(2'000));
+            fixture.end(before, false);
+            fixture.ask("e");
+            CHECK(fixture.denied().back().retry_after == milliseconds(2'000));
         }
     }
 }
 
 // One broken adapter stops all loads: its failures are taken for the store's.
 TEST_CASE("one adapter's failures don't mean that the store is down") {
-    budget_story story;
+    budget_fixture fixture;
     for (std::size_t count = 0; count < 5; ++count) {
-        story.ask("broken");
-        story.end(count, false);
+        fixture.ask("broken");
+        fixture.end(count, false);
     }
-    CHECK_FALSE(story.budget().down());
+    CHECK_FALSE(fixture.budget().down());
 }
 
 // Two owners of one store: the old one was paused and wakes up, or its claim
@@ -231,10 +231,10 @@
     store_limits const limits;
     store_budget budget(limits);
     instant const now = instant{} + std::chrono::hours(1);
-    load_ask ask;
+    load_request ask;
     ask.adapter = {adapter_id("a"), 1};
     ask.waiting = 1;
-    budget.on_ask(node_id("n1"), ask, now);
+    budget.on_load_request(node_id("n1"), ask, now);
     CHECK(budget.running() == 0);
 
     SUBCASE("a new owner leaves out the second that the old one dealt out") {
@@ -255,17 +255,17 @@
 
 TEST_CASE("without an owner the nodes share the rate") {
     store_limits const whole;
-    store_limits const share = fallback_share(9, whole);
+    store_limits const share = fallback_limits(9, whole);
     CHECK(share.loads_per_second * 9 == doctest::Approx(5));
     CHECK(share.concurrency == 1);
-    budget_story story(share);
-    story.ask("a");
-    story.end(0, true);
-    story.ask("b");
-    story.pass(milliseconds(1'780));
-    CHECK(story.allowed() == names{"a"});
-    story.pass(milliseconds(20));
-    CHECK(story.allowed() == names{"a", "b"});
+    budget_fixture fixture(share);
+    fixture.ask("a");
+    fixture.end(0, true);
+    fixture.ask("b");
+    fixture.pass(milliseconds(1'780));
+    CHECK(fixture.allowed() == names{"a"});
+    fixture.pass(milliseconds(20));
+    CHECK(fixture.allowed() == names{"a", "b"});
 }
 
 } // namespace camphorpoint::test
--- a/test/scheduling_fixture.hpp
+++ b/test/scheduling_fixture.hpp
@@ -18,16 +18,17 @@
 }
 
 /// One replica's scheduler, its engine played by the test, in virtual time.
-class replica_story {
+class scheduler_fixture {
 public:
-    explicit replica_story(scheduler_settings const& settings = plain())
+    explicit scheduler_fixture(
+        scheduler_settings const& settings = default_settings())
         : settings_(settings)
         , scheduler_(settings) {
-        take_over(1);
+        take_ownership(1);
     }
 
     /// Two slots and two sequences; reports and heartbeats as the test says.
-    static scheduler_settings plain() {
+    static scheduler_settings default_settings() {
         scheduler_settings settings;
         settings.replica = endpoint_id("r1");
         settings.adapter_slots = 2;
@@ -39,7 +40,7 @@
     instant now() const { return now_; }
 
     /// Lets time pass in ticks.
-    void pass(milliseconds span) {
+    void advance(milliseconds span) {
         constexpr milliseconds step{20};
         for (milliseconds passed{}; passed < span; passed += step) {
             now_ += step;
@@ -47,34 +48,35 @@
             collect();
         }
     }
-    void take_over(std::uint64_t fencing, milliseconds lasts = seconds(3600)) {
+    void
+    take_ownership(std::uint64_t fencing, milliseconds lasts = seconds(3600)) {
         scheduler_.on_authority(log_offset{fencing}, now_ + lasts, now_);
         collect();
     }
-    void
-    ask(std::string const& request, adapter_ref const& which,
+    void request_grant(
+        std::string const& request, adapter_ref const& which,
         urgency how_urgent = urgency::normal,
         milliseconds time_left = seconds(30), std::string const& node = "n1",
         std::uint32_t attempt = 0) {
-        grant_ask message;
+        grant_request message;
         message.request = request_id(request);
         message.attempt = attempt;
         message.replica = settings_.replica;
         message.adapter = which;
         message.how_urgent = how_urgent;
         message.time_left = time_left;
-        scheduler_.on_ask(node_id(node), message, now_);
+        scheduler_.on_grant_request(node_id(node), message, now_);
         collect();
     }
     void release(std::string const& request, std::string const& node = "n1") {
         grant_released const message{
             request_id(request), 0, settings_.replica, 0, 50, true};
-        scheduler_.on_released(node_id(node), message, now_);
+        scheduler_.on_grant_released(node_id(node), message, now_);
         collect();
     }
-    void withdraw(std::string const& request) {
+    void cancel_request(std::string const& request) {
         constexpr std::uint32_t any_attempt = 9;
-        scheduler_.on_withdrawn(
+        scheduler_.on_grant_cancelled(
             node_id("n1"),
             {request_id(request), any_attempt, settings_.replica}, now_);
         collect();
@@ -85,8 +87,8 @@
         scheduler_.on_heartbeat(node_id(node), grants, now_);
         collect();
     }
-    grant_in_use
-    use(std::string const& request, adapter_ref const& which, bool sent) const {
+    grant_in_use grant_entry(
+        std::string const& request, adapter_ref const& which, bool sent) const {
         return {request_id(request), 0, settings_.replica, which, sent};
     }
     void report(
@@ -103,21 +105,21 @@
         scheduler_.on_report(message, now_);
         collect();
     }
-    void end_order(engine_order const& order, order_result how) {
-        scheduler_.on_order_ended(order, how, now_);
+    void complete_command(engine_order const& order, order_result how) {
+        scheduler_.on_command_result(order, how, now_);
         collect();
     }
-    void allow(adapter_ref const& which, std::uint64_t permission = 1) {
+    void permit_load(adapter_ref const& which, std::uint64_t permission = 1) {
         scheduler_.on_load_allowed(
             {settings_.replica, which, permission, milliseconds(500)}, now_);
         collect();
     }
     /// Loads an adapter as if all goes well.
     void load(adapter_ref const& which) {
-        allow(which);
+        permit_load(which);
         engine_order const order = last<engine_order>();
         REQUIRE(order.kind == engine_order_kind::load);
-        end_order(order, order_result::done);
+        complete_command(order, order_result::done);
     }
 
     /// @returns all actions of a kind since the last forget()
@@ -154,12 +156,12 @@
         }
         return reason::none;
     }
-    std::vector<engine_order> orders(engine_order_kind kind) const {
+    std::vector<engine_order> commands(engine_order_kind kind) const {
         std::vector<engine_order> result = all<engine_order>();
         std::erase_if(result, [&](auto const& e) { return e.kind != kind; });
         return result;
     }
-    void forget() { actions_.clear(); }
+    void clear_actions() { actions_.clear(); }
 
 private:
     void collect() {
--- a/test/scheduling_queue_test.cpp
+++ b/test/scheduling_queue_test.cpp
@@ -13,47 +13,47 @@
 } // namespace
 
 TEST_CASE("an owner queues and grants") {
-    replica_story story;
-    story.report({audit});
+    scheduler_fixture fixture;
+    fixture.report({audit});
 
     SUBCASE("as many run as the engine batches") {
-        story.ask("a", audit);
-        story.ask("b", audit);
-        story.ask("c", audit);
-        CHECK(story.granted() == names{"a", "b"});
+        fixture.request_grant("a", audit);
+        fixture.request_grant("b", audit);
+        fixture.request_grant("c", audit);
+        CHECK(fixture.granted() == names{"a", "b"});
 
         SUBCASE("the next one runs when one has ended") {
-            story.pass(milliseconds(100));
-            story.release("a");
-            CHECK(story.granted() == names{"a", "b", "c"});
-            observed_wait const wait = story.last<observed_wait>();
+            fixture.advance(milliseconds(100));
+            fixture.release("a");
+            CHECK(fixture.granted() == names{"a", "b", "c"});
+            observed_wait const wait = fixture.last<observed_wait>();
             CHECK(wait.queueing == milliseconds(100));
             CHECK(wait.load_stall == milliseconds(0));
         }
 
         SUBCASE("the earlier deadline goes first within a class") {
-            story.ask("d", audit, urgency::normal, seconds(20));
-            story.release("a");
-            CHECK(story.granted().back() == "d");
+            fixture.request_grant("d", audit, urgency::normal, seconds(20));
+            fixture.release("a");
+            CHECK(fixture.granted().back() == "d");
         }
 
         SUBCASE("the more urgent class goes first") {
-            story.ask("d", audit, urgency::background, seconds(9));
-            story.ask("e", audit, urgency::immediate, seconds(60));
-            story.release("a");
-            CHECK(story.granted().back() == "e");
+            fixture.request_grant("d", audit, urgency::background, seconds(9));
+            fixture.request_grant("e", audit, urgency::immediate, seconds(60));
+            fixture.release("a");
+            CHECK(fixture.granted().back() == "e");
         }
     }
 
     SUBCASE("a request passes those that wait for a load") {
-        story.ask("cold", labels);
-        story.ask("warm", audit);
-        CHECK(story.granted() == names{"warm"});
-        CHECK(story.last<want_load>().message.adapter == labels);
-        story.pass(milliseconds(300));
-        story.load(labels);
-        CHECK(story.granted() == names{"warm", "cold"});
-        CHECK(story.last<observed_wait>().load_stall == milliseconds(300));
+        fixture.request_grant("cold", labels);
+        fixture.request_grant("warm", audit);
+        CHECK(fixture.granted() == names{"warm"});
+        CHECK(fixture.last<send_load_request>().message.adapter == labels);
+        fixture.advance(milliseconds(300));
+        fixture.load(labels);
+        CHECK(fixture.granted() == names{"warm", "cold"});
+        CHECK(fixture.last<observed_wait>().load_stall == milliseconds(300));
     }
 }
 
@@ -61,18 +61,18 @@
 // caller gives up, though the engine serves many requests meanwhile. The cause
 // is an order by urgency alone: there is always something more urgent.
 TEST_CASE("the lowest class is not starved for good") {
-    replica_story story;
-    story.report({audit});
-    story.ask("x", audit);
-    story.ask("y", audit);
-    story.ask("lowest", audit, urgency::background, seconds(600));
+    scheduler_fixture fixture;
+    fixture.report({audit});
+    fixture.request_grant("x", audit);
+    fixture.request_grant("y", audit);
+    fixture.request_grant("lowest", audit, urgency::background, seconds(600));
     std::string running = "x";
     bool served = false;
     for (int count = 0; count < 40 && !served; ++count) {
         std::string const next = "urgent" + std::to_string(count);
-        story.ask(next, audit, urgency::immediate, seconds(600));
-        story.release(running);
-        running = story.granted().back();
+        fixture.request_grant(next, audit, urgency::immediate, seconds(600));
+        fixture.release(running);
+        running = fixture.granted().back();
         served = running == "lowest";
     }
     CHECK(served);
@@ -90,7 +90,7 @@
     CHECK(policy.next_class(state, now) == urgency::normal);
 
     SUBCASE("while some is about") {
-        state.classes[0].last_ask = now - seconds(4);
+        state.classes[0].last_request = now - seconds(4);
         CHECK_FALSE(policy.next_class(state, now));
         state.classes[1].ready = 1;
         CHECK(policy.next_class(state, now) == urgency::high);
@@ -100,7 +100,7 @@
     }
 
     SUBCASE("but not for ever") {
-        state.classes[0].last_ask = now - seconds(5);
+        state.classes[0].last_request = now - seconds(5);
         CHECK(policy.next_class(state, now) == urgency::normal);
     }
 }
@@ -109,43 +109,43 @@
 // a queue that could never have served it in time. Its next try then comes too
 // late as well. The owner knows how long a request takes, and says so at once.
 TEST_CASE("overload is refused at once") {
-    replica_story story;
-    story.report({audit});
-    story.ask("a", audit);
-    story.ask("b", audit);
+    scheduler_fixture fixture;
+    fixture.report({audit});
+    fixture.request_grant("a", audit);
+    fixture.request_grant("b", audit);
     for (int count = 0; count < 8; ++count) {
-        story.ask(
+        fixture.request_grant(
             "q" + std::to_string(count), audit, urgency::high, seconds(30),
             "n1", last_try);
     }
 
     SUBCASE("what can't make its deadline is not queued") {
-        story.ask(
+        fixture.request_grant(
             "hopeless", audit, urgency::normal, seconds(4), "n1", last_try);
-        CHECK(story.refused("hopeless") == reason::deadline_unreachable);
-        auto const after = story.last<reply_refusal>().message.retry_after;
+        CHECK(fixture.refused("hopeless") == reason::deadline_unreachable);
+        auto const after = fixture.last<reply_refusal>().message.retry_after;
         CHECK(after > milliseconds(0));
-        CHECK(story.refused("q7") == reason::none);
+        CHECK(fixture.refused("q7") == reason::none);
     }
 
     SUBCASE("what is late in the queue is refused before its deadline") {
-        story.ask(
+        fixture.request_grant(
             "waits", audit, urgency::background, seconds(15), "n1", last_try);
-        CHECK(story.refused("waits") == reason::none);
-        story.pass(seconds(14));
-        CHECK(story.refused("waits") == reason::deadline_unreachable);
+        CHECK(fixture.refused("waits") == reason::none);
+        fixture.advance(seconds(14));
+        CHECK(fixture.refused("waits") == reason::deadline_unreachable);
     }
 
     SUBCASE("a full queue refuses, in its own class only") {
-        scheduler_settings small = replica_story::plain();
+        scheduler_settings small = scheduler_fixture::default_settings();
         small.queue_limit = 1;
-        replica_story other(small);
+        scheduler_fixture other(small);
         other.report({audit});
-        other.ask("a", audit);
-        other.ask("b", audit);
-        other.ask("c", audit);
-        other.ask("d", audit);
-        other.ask("e", audit, urgency::high);
+        other.request_grant("a", audit);
+        other.request_grant("b", audit);
+        other.request_grant("c", audit);
+        other.request_grant("d", audit);
+        other.request_grant("e", audit, urgency::high);
         CHECK(other.refused("d") == reason::queue_full);
         CHECK(other.refused("e") == reason::none);
     }
@@ -155,76 +155,79 @@
 // nodes know queues only from replies to their own requests, which are old by
 // the time of the next one.
 TEST_CASE("an owner with a long queue sends the first asks elsewhere") {
-    replica_story story;
-    story.report({audit, labels});
-    story.ask("a", audit);
-    story.ask("b", audit);
+    scheduler_fixture fixture;
+    fixture.report({audit, labels});
+    fixture.request_grant("a", audit);
+    fixture.request_grant("b", audit);
 
     SUBCASE("a short queue is waited for") {
-        story.ask("l", labels);
-        CHECK(story.refused("l") == reason::none);
+        fixture.request_grant("l", labels);
+        CHECK(fixture.refused("l") == reason::none);
 
         SUBCASE("a long one isn't") {
-            story.ask("m", labels);
-            CHECK(story.refused("m") == reason::queue_full);
-            auto const after = story.last<reply_refusal>().message.retry_after;
+            fixture.request_grant("m", labels);
+            CHECK(fixture.refused("m") == reason::queue_full);
+            auto const after =
+                fixture.last<reply_refusal>().message.retry_after;
             CHECK(after == milliseconds(0));
         }
 
         SUBCASE("unless the request was sent on twice already") {
-            story.ask(
+            fixture.request_grant(
                 "m", labels, urgency::normal, seconds(30), "n1", last_try);
-            CHECK(story.refused("m") == reason::none);
+            CHECK(fixture.refused("m") == reason::none);
         }
     }
 
     SUBCASE("an adapter in steady demand is sent to its copies sooner") {
         for (int count = 0; count < 4; ++count) {
             std::string const name = "x" + std::to_string(count);
-            story.ask(name, audit, urgency::normal, seconds(30), "n1", 3);
-            story.withdraw(name);
+            fixture.request_grant(
+                name, audit, urgency::normal, seconds(30), "n1", 3);
+            fixture.cancel_request(name);
         }
-        story.ask("c", audit);
-        CHECK(story.refused("c") == reason::queue_full);
-        story.ask("l", labels);
-        CHECK(story.refused("l") == reason::none);
+        fixture.request_grant("c", audit);
+        CHECK(fixture.refused("c") == reason::queue_full);
+        fixture.request_grant("l", labels);
+        CHECK(fixture.refused("l") == reason::none);
     }
 }
 
 // A caller's answer comes twice, and a booking is made twice. An ask was sent
 // again after a lost connection, and the owner took it for a second request.
 TEST_CASE("a repeated ask earns no second grant") {
-    replica_story story;
-    story.report({audit});
-    story.ask("a", audit);
+    scheduler_fixture fixture;
+    fixture.report({audit});
+    fixture.request_grant("a", audit);
 
     SUBCASE("one that was granted is answered with the same grant") {
-        story.pass(milliseconds(200));
-        story.ask("a", audit);
-        auto const grants = story.all<reply_grant>();
+        fixture.advance(milliseconds(200));
+        fixture.request_grant("a", audit);
+        auto const grants = fixture.all<reply_grant>();
         REQUIRE(grants.size() == 2);
         CHECK(grants[0].message.grant == grants[1].message.grant);
         CHECK(grants[1].message.send_within == milliseconds(800));
-        CHECK(story.scheduler().feedback(audit, story.now()).running == 1);
+        CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 1);
     }
 
     SUBCASE("past the grant's time nothing is answered") {
-        story.pass(milliseconds(1'000));
-        story.ask("a", audit);
-        CHECK(story.all<reply_grant>().size() == 1);
+        fixture.advance(milliseconds(1'000));
+        fixture.request_grant("a", audit);
+        CHECK(fixture.all<reply_grant>().size() == 1);
     }
 
     SUBCASE("one that waits goes on waiting, once") {
-        story.ask("b", audit);
-        story.ask("c", audit);
-        story.ask("c", audit);
-        CHECK(story.scheduler().feedback(audit, story.now()).queued == 1);
+        fixture.request_grant("b", audit);
+        fixture.request_grant("c", audit);
+        fixture.request_grant("c", audit);
+        CHECK(fixture.scheduler().feedback(audit, fixture.now()).queued == 1);
     }
 
     SUBCASE("a further attempt replaces the earlier one") {
-        story.ask("a", audit, urgency::normal, seconds(30), "n1", 1);
-        CHECK(story.last<reply_grant>().message.attempt == 1);
-        CHECK(story.scheduler().feedback(audit, story.now()).running == 1);
+        fixture.request_grant(
+            "a", audit, urgency::normal, seconds(30), "n1", 1);
+        CHECK(fixture.last<reply_grant>().message.attempt == 1);
+        CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 1);
     }
 }
 
@@ -232,19 +235,19 @@
 // An entry node took its ask back just when the grant was on its way, and the
 // owner still counts the grant.
 TEST_CASE("a withdrawal that crosses the grant frees its place") {
-    replica_story story;
-    story.report({audit});
-    story.ask("a", audit);
-    story.ask("b", audit);
-    story.ask("c", audit);
-    story.withdraw("a");
-    CHECK(story.granted() == names{"a", "b", "c"});
+    scheduler_fixture fixture;
+    fixture.report({audit});
+    fixture.request_grant("a", audit);
+    fixture.request_grant("b", audit);
+    fixture.request_grant("c", audit);
+    fixture.cancel_request("a");
+    CHECK(fixture.granted() == names{"a", "b", "c"});
 
     SUBCASE("one that still waits is just gone") {
-        story.ask("d", audit);
-        story.withdraw("d");
-        story.release("b");
-        CHECK(story.granted() == names{"a", "b", "c"});
+        fixture.request_grant("d", audit);
+        fixture.cancel_request("d");
+        fixture.release("b");
+        CHECK(fixture.granted() == names{"a", "b", "c"});
     }
 }
 
--- a/test/serving_codec_test.cpp
+++ b/test/serving_codec_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 peer_message example_ask() {
-    grant_ask ask;
+    grant_request ask;
     ask.request = request_id("r-1");
     ask.attempt = 2;
     ask.replica = endpoint_id("engine-1");
@@ -40,8 +40,8 @@
         auto const back = decode_peer_message(ask);
         REQUIRE(back.has_value());
         CHECK(encode_peer_message(*back) == ask);
-        REQUIRE(std::holds_alternative<grant_ask>(*back));
-        CHECK(std::get<grant_ask>(*back).how_urgent == urgency::high);
+        REQUIRE(std::holds_alternative<grant_request>(*back));
+        CHECK(std::get<grant_request>(*back).how_urgent == urgency::high);
         CHECK(decode_peer_message(beat).has_value());
     }
 
--- a/test/serving_tracker_test.cpp
+++ b/test/serving_tracker_test.cpp
@@ -30,7 +30,7 @@
     }
     void pass(int time) { tracker.on_tick(now += milliseconds(time)); }
     void grant(char const* replica = "e1", std::uint32_t attempt = 1) {
-        grant_given given;
+        grant_issued given;
         given.request = id;
         given.attempt = attempt;
         given.replica = endpoint_id(replica);
@@ -74,7 +74,7 @@
     one.post();
 
     SUBCASE("the owner is asked, and nothing is sent before its grant") {
-        CHECK(one.around.told_of<grant_ask>() == 1);
+        CHECK(one.around.told_of<grant_request>() == 1);
         CHECK(one.starts() == 0);
         one.grant();
         auto const start = one.around.all<start_attempt>().at(0);
@@ -107,10 +107,10 @@
         one.pass(1'000);
         CHECK(one.last().how == outcome::not_run);
         CHECK(one.last().retry_after.count() > 0);
-        std::size_t const before = one.around.told_of<grant_withdrawn>();
+        std::size_t const before = one.around.told_of<grant_cancelled>();
         one.grant();
         CHECK(one.starts() == 0);
-        CHECK(one.around.told_of<grant_withdrawn>() == before + 1);
+        CHECK(one.around.told_of<grant_cancelled>() == before + 1);
     }
 
     SUBCASE("the grant comes first: the timeout says unknown, and cancels") {
@@ -125,7 +125,7 @@
 
     SUBCASE("time in the owner's queue does not count against a grant") {
         one.pass(900);
-        grant_given given;
+        grant_issued given;
         given.request = one.id;
         given.attempt = 1;
         given.replica = endpoint_id("e1");
@@ -140,7 +140,7 @@
         one.grant();
         one.grant();
         CHECK(one.starts() == 1);
-        CHECK(one.around.told_of<grant_withdrawn>() == 0);
+        CHECK(one.around.told_of<grant_cancelled>() == 0);
     }
 
     SUBCASE(
@@ -148,8 +148,8 @@
         one.pass(500);
         one.grant();
         CHECK(one.starts() == 0);
-        CHECK(one.around.told_of<grant_withdrawn>() == 1);
-        CHECK(one.around.told_of<grant_ask>() == 2);
+        CHECK(one.around.told_of<grant_cancelled>() == 1);
+        CHECK(one.around.told_of<grant_request>() == 2);
     }
 }
 
@@ -228,7 +228,7 @@
         }
         CHECK(one.last().how == outcome::unknown);
         CHECK(one.last().why == reason::endpoint_unreachable);
-        CHECK(one.around.told_of<grant_ask>() == 1);
+        CHECK(one.around.told_of<grant_request>() == 1);
     }
 }
 
@@ -240,7 +240,7 @@
         one.end(attempt_end::refused_not_loaded);
         CHECK(one.open());
         CHECK(one.around.told_of<grant_released>() == 1);
-        CHECK(one.around.told_of<grant_ask>() == 2);
+        CHECK(one.around.told_of<grant_request>() == 2);
     }
     SUBCASE(
         "an answer of another version is not handed on; it runs elsewhere") {
@@ -281,7 +281,7 @@
     SUBCASE("a waiting request goes to the next replica") {
         one.post();
         one.tracker.on_owner_lost(endpoint_id("e1"), one.now);
-        CHECK(one.around.told_of<grant_ask>() == 2);
+        CHECK(one.around.told_of<grant_request>() == 2);
         one.grant("e2", 2);
         CHECK(one.starts() == 1);
     }
@@ -307,7 +307,7 @@
     SUBCASE("while it queues: the ask is taken back, nothing ran") {
         one.post();
         one.tracker.on_caller_gone(one.id, one.now);
-        CHECK(one.around.told_of<grant_withdrawn>() == 1);
+        CHECK(one.around.told_of<grant_cancelled>() == 1);
         CHECK(one.last().how == outcome::not_run);
     }
     SUBCASE("before its first token: the run is cancelled on the engine") {
@@ -365,7 +365,7 @@
         one.end(end);
         one.pass(500);
         CHECK(one.starts() == 1);
-        CHECK(one.around.told_of<grant_ask>() == 1);
+        CHECK(one.around.told_of<grant_request>() == 1);
         CHECK(one.around.keys_ended == std::vector{how});
     }
     SUBCASE("with a key, between two runs: no other begins") {
