--- a/src/Delivery/second_send_budget.cpp
+++ b/src/Delivery/second_send_budget.cpp
@@ -39,7 +39,7 @@
     double sent = 0;
     for (step const& each : past.steps) {
         requests += each.requests;
-        sent += each.second_sends;
+        sent += each.resends;
     }
     double const share = limits_.slack / std::max(1U, nodes);
     double const most = used_part * (limits_.ratio * requests + share);
@@ -51,7 +51,7 @@
     if (!available(service, nodes, now)) {
         return false;
     }
-    current(services_[service], now).second_sends += 1;
+    current(services_[service], now).resends += 1;
     return true;
 }
 
--- a/src/Delivery/second_send_budget.hpp
+++ b/src/Delivery/second_send_budget.hpp
@@ -46,7 +46,7 @@
     struct step {
         std::int64_t number = 0;
         double requests = 0;
-        double second_sends = 0;
+        double resends = 0;
     };
     struct history {
         std::deque<step> steps;
--- a/src/Fleet/fleet.cpp
+++ b/src/Fleet/fleet.cpp
@@ -137,14 +137,14 @@
     return gone;
 }
 
-std::vector<endpoint_id> fleet::expire_missing(bool store_calm, instant now) {
+std::vector<endpoint_id> fleet::expire_missing(bool store_stable, instant now) {
     std::vector<endpoint_id> gone;
     std::vector<endpoint_id> forgotten;
     for (auto& [id, each] : all_) {
         if (each.missing_since == instant::max()) {
             continue;
         }
-        if (!each.missing && store_calm) {
+        if (!each.missing && store_stable) {
             each.missing = true;
             gone.push_back(id);
         }
--- a/src/Fleet/fleet.hpp
+++ b/src/Fleet/fleet.hpp
@@ -125,7 +125,7 @@
     /// Guards against a replica that leaves just after the return and gets
     /// requests until it is gone, as if its entry might still come back.
     /// @returns those that are to be treated as gone from now on
-    std::vector<endpoint_id> expire_missing(bool store_calm, instant now);
+    std::vector<endpoint_id> expire_missing(bool store_stable, instant now);
 
     /// Newer word than the list's: the adapter lies there, ready.
     void mark_resident(
--- a/src/Gateway/declaration_follower.cpp
+++ b/src/Gateway/declaration_follower.cpp
@@ -49,18 +49,18 @@
 } // namespace
 
 declaration_follower::declaration_follower(
-    gateway_beliefs& beliefs, platform::store_client& store,
-    store_monitor& watch, std::function<void()> changed)
-    : beliefs_(&beliefs)
+    gateway_state& state, platform::store_client& store, store_monitor& watch,
+    std::function<void()> changed)
+    : state_(&state)
     , store_(&store)
     , monitor_(&watch)
     , changed_(std::move(changed))
-    , plan_(times_of(beliefs.settings), drawn(beliefs.random))
-    , pause_timer_(beliefs.io) {}
+    , plan_(times_of(state.settings), drawn(state.random))
+    , pause_timer_(state.io) {}
 
 void declaration_follower::start() {
     asio::co_spawn(
-        beliefs_->io, [this] { return follow(); }, asio::detached);
+        state_->io, [this] { return follow(); }, asio::detached);
 }
 
 void declaration_follower::stop() {
@@ -103,8 +103,7 @@
     if (*running_ && !looking_ && plan_.is_behind()) {
         looking_ = true;
         asio::co_spawn(
-            beliefs_->io, [this] { return end_useless_wait(); },
-            asio::detached);
+            state_->io, [this] { return end_useless_wait(); }, asio::detached);
     }
 }
 
@@ -116,7 +115,7 @@
 asio::awaitable<void> declaration_follower::end_useless_wait() {
     auto const alive = running_;
     instant const since = boot_clock::now();
-    asio::steady_timer timer(beliefs_->io, news_on_its_way);
+    asio::steady_timer timer(state_->io, news_on_its_way);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     if (!*alive) {
         co_return;
@@ -131,7 +130,7 @@
 
 milliseconds declaration_follower::longest_wait() const {
     return std::clamp(
-        beliefs_->nodes() * wait_of_each_node, shortest_wait, most_wait);
+        state_->nodes() * wait_of_each_node, shortest_wait, most_wait);
 }
 
 asio::awaitable<platform::store_result<platform::keyed_batch>>
@@ -162,13 +161,13 @@
     waiting_ = false;
     reading_now_ = false;
     log_store_read(
-        *beliefs_, platform::store_topic::declarations,
+        *state_, platform::store_topic::declarations,
         asked.full ? "whole" : "on", asked.from.offset, began, reading_, batch);
     if (batch) {
         monitor_->note_answer();
         take_all(batch.value(), asked);
         plan_.poll_succeeded(asked, batch.value().next, boot_clock::now());
-        beliefs_->declared_position = plan_.position();
+        state_->declared_position = plan_.position();
         if (asked.full) {
             monitor_->note_snapshot(
                 platform::store_topic::declarations, batch.value().next.epoch);
@@ -188,7 +187,7 @@
     auto const alive = running_;
     while (*alive) {
         declaration_poll const asked =
-            plan_.next_poll(boot_clock::now(), beliefs_->nodes());
+            plan_.next_poll(boot_clock::now(), state_->nodes());
         bool const due =
             asked.delay == milliseconds::zero() || co_await pause(asked.delay);
         if (*alive && due) {
@@ -221,33 +220,32 @@
             break;
         }
     }
-    plan_.set_known_total(beliefs_->declared_total());
+    plan_.set_known_total(state_->declared_total());
 }
 
 bool declaration_follower::take_configuration(std::string const& text) {
     findings problems;
     auto read = platform::read_configuration(text, problems);
     if (!read) {
-        beliefs_->note(
+        state_->log_event(
             log_line(event_code::configuration_rejected, log_level::error)
                 .with("findings", problems.report()));
         return false;
     }
     // Reads may be seconds old: versions only rise within one run.
-    if (beliefs_->configured &&
-        read->version <= beliefs_->configuration.version) {
+    if (state_->configured && read->version <= state_->configuration.version) {
         return true;
     }
-    beliefs_->configuration = std::move(*read);
-    beliefs_->routes = route_table(beliefs_->configuration);
-    beliefs_->configured = true;
+    state_->configuration = std::move(*read);
+    state_->routes = route_table(state_->configuration);
+    state_->configured = true;
     plan_.mark_configured();
-    beliefs_->start.mark_configured(boot_clock::now());
-    beliefs_->held_known.on_serving_started(boot_clock::now());
-    beliefs_->note(log_line(event_code::configuration_in_force)
-                       .with("version", beliefs_->configuration.version)
-                       .with("routes", beliefs_->configuration.routes.size())
-                       .with("bytes", text.size()));
+    state_->start.mark_configured(boot_clock::now());
+    state_->quarantine_sync_state.on_serving_started(boot_clock::now());
+    state_->log_event(log_line(event_code::configuration_in_force)
+                          .with("version", state_->configuration.version)
+                          .with("routes", state_->configuration.routes.size())
+                          .with("bytes", text.size()));
     changed_();
     return true;
 }
@@ -255,13 +253,13 @@
 void declaration_follower::take_version(
     std::string const& text, duration grace) {
     auto const read = platform::read_version(text);
-    if (!read || !beliefs_->versions.declare(*read, boot_clock::now(), grace)) {
+    if (!read || !state_->versions.declare(*read, boot_clock::now(), grace)) {
         return;
     }
-    beliefs_->note(log_line(event_code::version_known)
-                       .with("adapter", read->id.str())
-                       .with("version", read->version)
-                       .with("binds_in_ms", grace));
+    state_->log_event(log_line(event_code::version_known)
+                          .with("adapter", read->id.str())
+                          .with("version", read->version)
+                          .with("binds_in_ms", grace));
     changed_();
 }
 
--- a/src/Gateway/declaration_follower.hpp
+++ b/src/Gateway/declaration_follower.hpp
@@ -25,7 +25,7 @@
     /// @param watch   told whether the store answers; must outlive the follower
     /// @param changed called when routes or versions have changed
     declaration_follower(
-        gateway_beliefs& beliefs, platform::store_client& store,
+        gateway_state& state, platform::store_client& store,
         store_monitor& watch, std::function<void()> changed);
 
     /// Begins to follow.
@@ -54,7 +54,7 @@
     bool take_configuration(std::string const& text);
     void take_version(std::string const& text, duration grace);
 
-    gateway_beliefs* beliefs_;
+    gateway_state* state_;
     platform::store_client* store_;
     store_monitor* monitor_;
     std::function<void()> changed_;
--- a/src/Gateway/gateway.cpp
+++ b/src/Gateway/gateway.cpp
@@ -53,13 +53,13 @@
 
 gateway::gateway(asio::io_context& io, gateway_settings settings)
     : io_(&io)
-    , beliefs_(io, std::move(settings), STDOUT_FILENO)
+    , state_(io, std::move(settings), STDOUT_FILENO)
     , store_(
-          io.get_executor(), beliefs_.settings.store_address,
-          beliefs_.settings.store_timeout)
-    , controller_(beliefs_, store_)
+          io.get_executor(), state_.settings.store_address,
+          state_.settings.store_timeout)
+    , controller_(state_, store_)
     , messenger_(
-          beliefs_,
+          state_,
           {[this](peer_load_request const& asked) {
                return controller_.handle_load_request(asked);
            },
@@ -77,16 +77,16 @@
                monitor_.observe_epoch(epoch, epoch_from_peer);
            }})
     , monitor_(
-          beliefs_, [this] { declarations_.on_store_recovered(); },
+          state_, [this] { declarations_.on_store_recovered(); },
           [this](store_epoch epoch, instant read_at) {
               registry_follower_.on_store_rollback(epoch, read_at);
               declarations_.on_store_rollback(epoch, read_at);
-              keeper_.new_era();
+              quarantine_persistence_.on_store_rollback();
           })
-    , declarations_(beliefs_, store_, monitor_, [this] { changed(); })
-    , keeper_(beliefs_, store_, messenger_)
+    , declarations_(state_, store_, monitor_, [this] { changed(); })
+    , quarantine_persistence_(state_, store_, messenger_)
     , registry_follower_(
-          beliefs_, store_, monitor_, messenger_, [this] { changed(); })
+          state_, store_, monitor_, messenger_, [this] { changed(); })
     , callers_(
           io.get_executor(), first_limits(),
           [this](http_exchange& exchange) { return answer(exchange); })
@@ -107,7 +107,7 @@
 }
 
 void gateway::add_services() {
-    gateway_settings const& settings = beliefs_.settings;
+    gateway_settings const& settings = state_.settings;
     peers_service_ = {
         [this, &settings] {
             return started(messenger_.start(), settings.peer_address);
@@ -126,7 +126,7 @@
         },
         [this] {
             running_ = false;
-            keeper_.stop();
+            quarantine_persistence_.stop();
             declarations_.stop();
             registry_follower_.stop();
         }};
@@ -146,9 +146,9 @@
         }};
     callers_service_ = {
         [this, &settings] {
-            beliefs_.note(log_line(event_code::gateway_started)
-                              .with("node", settings.name.str())
-                              .with("domain", settings.domain.str()));
+            state_.log_event(log_line(event_code::gateway_started)
+                                 .with("node", settings.name.str())
+                                 .with("domain", settings.domain.str()));
             return started(
                 callers_.listen(settings.caller_address),
                 settings.caller_address);
@@ -165,15 +165,15 @@
 }
 
 bool gateway::ready() {
-    return beliefs_.may_serve(boot_clock::now()) && !beliefs_.stopping &&
-           !beliefs_.replicas.all().empty();
+    return state_.may_serve(boot_clock::now()) && !state_.stopping &&
+           !state_.replicas.all().empty();
 }
 
 void gateway::changed() {
     controller_.wake_workers();
-    if (beliefs_.configuration.version != limits_version_) {
-        limits_version_ = beliefs_.configuration.version;
-        callers_.set_limits(limits_of(beliefs_.configuration.limits));
+    if (state_.configuration.version != limits_version_) {
+        limits_version_ = state_.configuration.version;
+        callers_.set_limits(limits_of(state_.configuration.limits));
     }
     tell_ready();
 }
@@ -182,37 +182,37 @@
     if (!told_ready_ && ready()) {
         told_ready_ = true;
         // Less than was told: what others know was not to be had in time.
-        beliefs_.note(log_line(event_code::gateway_ready)
-                          .with("version", limits_version_)
-                          .with("declared", beliefs_.declared_total())
-                          .with("told", beliefs_.start.reported_total()));
+        state_.log_event(log_line(event_code::gateway_ready)
+                             .with("version", limits_version_)
+                             .with("declared", state_.declared_total())
+                             .with("told", state_.start.reported_total()));
     }
 }
 
 asio::awaitable<void> gateway::tick() {
     while (running_) {
-        keeper_.look();
+        quarantine_persistence_.poll();
         tell_ready();
-        beliefs_.log.flush(boot_clock::now());
+        state_.log.flush(boot_clock::now());
         asio::steady_timer timer(*io_, tick_time);
         co_await timer.async_wait(use_result);
     }
 }
 
 void gateway::reload(gateway_settings const& settings) {
-    beliefs_.settings.second_sends = settings.second_sends;
-    beliefs_.settings.stop_limit = settings.stop_limit;
-    beliefs_.second_sends.set_limits(settings.second_sends);
-    beliefs_.note(log_line(event_code::settings_reloaded));
+    state_.settings.resends = settings.resends;
+    state_.settings.stop_limit = settings.stop_limit;
+    state_.resends.set_limits(settings.resends);
+    state_.log_event(log_line(event_code::settings_reloaded));
 }
 
 void gateway::drain(std::function<void()> stopped) {
-    if (beliefs_.stopping) {
+    if (state_.stopping) {
         return;
     }
-    beliefs_.stopping = true;
-    beliefs_.note(log_line(event_code::gateway_stopping)
-                      .with("running", beliefs_.live_requests));
+    state_.stopping = true;
+    state_.log_event(log_line(event_code::gateway_stopping)
+                         .with("running", state_.live_requests));
     controller_.stop();
     callers_.announce_end();
     asio::co_spawn(
@@ -223,21 +223,21 @@
 
 asio::awaitable<void> gateway::drain_all(std::function<void()> stopped) {
     instant const began = boot_clock::now();
-    instant const limit = began + beliefs_.settings.stop_limit - ending_time;
-    asio::steady_timer timer(*io_, beliefs_.settings.stop_accepts);
+    instant const limit = began + state_.settings.stop_limit - ending_time;
+    asio::steady_timer timer(*io_, state_.settings.stop_accepts);
     co_await timer.async_wait(use_result);
     // Who comes now must see at once that nobody serves here: a request that
     // is read late in the stop would be cut off by its end.
     callers_.stop_accepting();
     callers_.finish_connections();
-    while (beliefs_.live_requests > 0 && boot_clock::now() < limit) {
+    while (state_.live_requests > 0 && boot_clock::now() < limit) {
         timer.expires_after(milliseconds(50));
         co_await timer.async_wait(use_result);
     }
-    beliefs_.note(log_line(event_code::gateway_stopped)
-                      .with("running", beliefs_.live_requests)
-                      .with("took_ms", boot_clock::now() - began));
-    beliefs_.log.flush(boot_clock::now());
+    state_.log_event(log_line(event_code::gateway_stopped)
+                         .with("running", state_.live_requests)
+                         .with("took_ms", boot_clock::now() - began));
+    state_.log.flush(boot_clock::now());
     kernel_.stop();
     stopped();
 }
--- a/src/Gateway/gateway.hpp
+++ b/src/Gateway/gateway.hpp
@@ -42,19 +42,19 @@
     bool ready();
     /// @returns the version of the configuration in force, 0 for none
     std::uint64_t configuration_version() const noexcept {
-        return beliefs_.configuration.version;
+        return state_.configuration.version;
     }
     /// @returns the newest version that is known of an adapter, 0 for none
     std::uint32_t newest_version(adapter_id const& adapter) const {
-        return beliefs_.versions.newest(adapter).value_or(0);
+        return state_.versions.newest(adapter).value_or(0);
     }
     /// @returns true when the replica is in the list
-    bool knows(endpoint_id const& id) const {
-        return beliefs_.replicas.find(id) != nullptr;
+    bool knows_replica(endpoint_id const& id) const {
+        return state_.replicas.find(id) != nullptr;
     }
     /// @returns true when new requests may go to the replica
-    bool uses(endpoint_id const& id) const {
-        replica const* const found = beliefs_.replicas.find(id);
+    bool routes_to(endpoint_id const& id) const {
+        replica const* const found = state_.replicas.find(id);
         return found != nullptr && found->accepts_requests();
     }
     /// Takes up new settings, as far as they can change while it runs.
@@ -72,13 +72,13 @@
     void tell_ready();
 
     boost::asio::io_context* io_;
-    gateway_beliefs beliefs_;
+    gateway_state state_;
     platform::store_client store_;
     replica_controller controller_;
     peer_messenger messenger_;
     store_monitor monitor_;
     declaration_follower declarations_;
-    quarantine_keeper keeper_;
+    quarantine_persistence quarantine_persistence_;
     registry_follower registry_follower_;
     http_server callers_;
     http_server readiness_;
--- a/src/Gateway/gateway_answers.cpp
+++ b/src/Gateway/gateway_answers.cpp
@@ -33,7 +33,7 @@
 
 asio::awaitable<void> gateway::answer(http_exchange& exchange) {
     answering_guard const counted(answering_);
-    request_flow flow(beliefs_, messenger_, exchange);
+    request_handler flow(state_, messenger_, exchange);
     co_await flow.run();
 }
 
@@ -45,22 +45,23 @@
 }
 
 http_response gateway::metrics_answer() {
-    beliefs_.metrics.set("requests", beliefs_.live_requests);
-    beliefs_.metrics.set(
-        "waiting_for_loads", static_cast<double>(beliefs_.waiters.size()));
-    beliefs_.metrics.set(
+    state_.metrics.set_gauge("requests", state_.live_requests);
+    state_.metrics.set_gauge(
+        "waiting_for_loads", static_cast<double>(state_.waiters.size()));
+    state_.metrics.set_gauge(
         "partitions",
-        static_cast<double>(beliefs_.leases.held_partitions().size()));
-    beliefs_.metrics.set(
+        static_cast<double>(state_.leases.held_partitions().size()));
+    state_.metrics.set_gauge(
         "contents_held",
         static_cast<double>(
-            beliefs_.quarantine.quarantined_count(boot_clock::now())));
-    beliefs_.metrics.set("store_era", static_cast<double>(beliefs_.epoch));
-    beliefs_.metrics.set("nodes", beliefs_.nodes());
-    beliefs_.metrics.set("store_calls", static_cast<double>(store_.calls()));
+            state_.quarantine.quarantined_count(boot_clock::now())));
+    state_.metrics.set_gauge("store_era", static_cast<double>(state_.epoch));
+    state_.metrics.set_gauge("nodes", state_.nodes());
+    state_.metrics.set_gauge(
+        "store_calls", static_cast<double>(store_.calls()));
     http_response answer;
     answer.fields.add("Content-Type", "text/plain");
-    answer.body = beliefs_.metrics.text();
+    answer.body = state_.metrics.to_text();
     return answer;
 }
 
--- a/src/Gateway/gateway_beliefs.cpp
+++ b/src/Gateway/gateway_beliefs.cpp
@@ -19,20 +19,20 @@
 
 } // namespace
 
-gateway_beliefs::gateway_beliefs(
+gateway_state::gateway_state(
     boost::asio::io_context& loop, gateway_settings given, int log_handle)
     : io(loop)
     , settings(std::move(given))
-    , own_name(fmt::format(
+    , own_address(fmt::format(
           "{}:{}", settings.peer_address.host, settings.peer_address.port))
     , log(log_handle)
     , random(std::random_device()())
     , waiters(loop.get_executor())
-    , second_sends(settings.second_sends)
+    , resends(settings.resends)
     , replica_connections(connection_limits)
     , leases(settings.leases) {}
 
-unsigned gateway_beliefs::nodes() const {
+unsigned gateway_state::nodes() const {
     // Those that were heard lately; the others have stopped.
     instant const now = boot_clock::now();
     auto const heard = std::ranges::count_if(peers, [&](auto const& each) {
@@ -44,7 +44,7 @@
 // Guards against nodes that divide by whom they hear: with a domain cut off, or
 // all nodes just begun, each hears too few, and together they send more often
 // than is allowed. A partition is held by one node at a time.
-unsigned gateway_beliefs::slack_sharers(instant now) const {
+unsigned gateway_state::slack_divisor(instant now) const {
     constexpr unsigned none = 1'000'000;
     std::size_t const held =
         leases.valid(now) ? leases.held_partitions().size() : 0;
@@ -54,16 +54,18 @@
     return static_cast<unsigned>((partition_count + held - 1) / held);
 }
 
-instant gateway_beliefs::store_calm_from() const {
-    return store_back + store_settles;
+instant gateway_state::store_stable_from() const {
+    return store_reachable_since + store_settles;
 }
 
-bool gateway_beliefs::list_refills(instant now) const {
-    return store_lost_since == instant::max() && now < store_calm_from();
+bool gateway_state::registry_refilling(instant now) const {
+    return store_unreachable_since == instant::max() &&
+           now < store_stable_from();
 }
 
-bool gateway_beliefs::store_calm(instant now) const {
-    return store_lost_since == instant::max() && now >= store_calm_from();
+bool gateway_state::store_stable(instant now) const {
+    return store_unreachable_since == instant::max() &&
+           now >= store_stable_from();
 }
 
 } // namespace camphorpoint
--- a/src/Gateway/gateway_beliefs.hpp
+++ b/src/Gateway/gateway_beliefs.hpp
@@ -30,8 +30,8 @@
 
 /// Everything that a gateway node knows; its services share it. One loop owns
 /// it, so there are no locks.
-struct gateway_beliefs {
-    gateway_beliefs(
+struct gateway_state {
+    gateway_state(
         boost::asio::io_context& loop, gateway_settings given, int log_handle);
 
     /// @returns how much of what the operator declares is known: the sum of
@@ -49,20 +49,20 @@
     /// @returns among how many nodes the slack of second sends is divided, by
     ///          this node's part of the partitions; a number beyond any slack
     ///          when it holds none
-    unsigned slack_sharers(instant now) const;
+    unsigned slack_divisor(instant now) const;
     /// @returns true when the store has answered lately and without a break
-    bool store_calm(instant now) const;
+    bool store_stable(instant now) const;
     /// @returns when entries that lapsed with the store's last outage are back
-    instant store_calm_from() const;
+    instant store_stable_from() const;
     /// @returns true while entries of replicas that lapsed in the store's
     ///          outage may be about to come back
-    bool list_refills(instant now) const;
+    bool registry_refilling(instant now) const;
     /// Writes a line.
-    void note(log_line const& line) { log.write(line, boot_clock::now()); }
+    void log_event(log_line const& line) { log.write(line, boot_clock::now()); }
 
     boost::asio::io_context& io;
     gateway_settings settings;
-    std::string own_name;
+    std::string own_address;
     decision_log log;
     gateway_metrics metrics;
 
@@ -80,17 +80,17 @@
     std::mt19937_64 random;
     replica_selector choice{replicas};
     waiter_list waiters;
-    resend_budget second_sends;
+    resend_budget resends;
     request_quarantine quarantine;
-    quarantine_sync held_known;
+    quarantine_sync quarantine_sync_state;
     http_pool replica_connections;
     partition_leases leases;
     /// Peer addresses of nodes heard of, with the time of the last word.
     std::map<std::string, instant> peers;
     /// Since when calls to the store fail; max while they don't.
-    instant store_lost_since = instant::max();
+    instant store_unreachable_since = instant::max();
     /// When the store came back last.
-    instant store_back;
+    instant store_reachable_since;
     /// The latest era of the store that this node has met.
     store_epoch epoch{};
     unsigned live_requests = 0;
--- a/src/Gateway/gateway_metrics.cpp
+++ b/src/Gateway/gateway_metrics.cpp
@@ -32,7 +32,7 @@
             .Name("camphorpoint_gateway_requests_total")
             .Help("Requests by how they ended")
             .Register(registry);
-    prometheus::Family<prometheus::Counter>& second_sends =
+    prometheus::Family<prometheus::Counter>& resends =
         BuildCounter()
             .Name("camphorpoint_gateway_second_sends_total")
             .Help("Sends beyond a request's first, by reason")
@@ -72,19 +72,19 @@
 
 gateway_metrics::~gateway_metrics() = default;
 
-void gateway_metrics::count_end(std::string_view reason) {
+void gateway_metrics::count_request(std::string_view reason) {
     state_->ends.Add({{"reason", std::string(reason)}}).Increment();
 }
 
-void gateway_metrics::count_second_send(std::string_view reason) {
-    state_->second_sends.Add({{"reason", std::string(reason)}}).Increment();
+void gateway_metrics::count_resend(std::string_view reason) {
+    state_->resends.Add({{"reason", std::string(reason)}}).Increment();
 }
 
-void gateway_metrics::count_order(std::string_view answer) {
+void gateway_metrics::count_command(std::string_view answer) {
     state_->orders.Add({{"answer", std::string(answer)}}).Increment();
 }
 
-void gateway_metrics::count_store_gone_back() {
+void gateway_metrics::count_store_rollback() {
     state_->gone_back.Increment();
 }
 
@@ -96,11 +96,11 @@
     state_->first_byte.Observe(seconds(time));
 }
 
-void gateway_metrics::set(std::string_view gauge, double value) {
+void gateway_metrics::set_gauge(std::string_view gauge, double value) {
     state_->gauges.Add({{"of", std::string(gauge)}}).Set(value);
 }
 
-std::string gateway_metrics::text() const {
+std::string gateway_metrics::to_text() const {
     return prometheus::TextSerializer().Serialize(state_->registry.Collect());
 }
 
--- a/src/Gateway/gateway_metrics.hpp
+++ b/src/Gateway/gateway_metrics.hpp
@@ -19,21 +19,21 @@
     gateway_metrics& operator=(gateway_metrics const&) = delete;
 
     /// Counts a final answer under its reason.
-    void count_end(std::string_view reason);
+    void count_request(std::string_view reason);
     /// Counts a further send under its reason.
-    void count_second_send(std::string_view reason);
+    void count_resend(std::string_view reason);
     /// Counts an order by what the replica said.
     /// The store has come back from an older copy.
-    void count_store_gone_back();
-    void count_order(std::string_view answer);
+    void count_store_rollback();
+    void count_command(std::string_view answer);
     /// Records the wait for an adapter's load.
     void observe_load_wait(duration time);
     /// Records the time from a request's arrival to its answer's beginning.
     void observe_first_byte(duration time);
     /// Sets a gauge.
-    void set(std::string_view gauge, double value);
+    void set_gauge(std::string_view gauge, double value);
     /// @returns all of it in the text format of Prometheus
-    std::string text() const;
+    std::string to_text() const;
 
 private:
     class state;
--- a/src/Gateway/gateway_settings.cpp
+++ b/src/Gateway/gateway_settings.cpp
@@ -55,10 +55,11 @@
     read_address(section, "address", into.store_address);
     into.store_timeout = section.time(
         "timeout", into.store_timeout, milliseconds(10), longest_time);
-    into.list_pause = section.time(
-                          "leaving_serves", readings * into.list_pause,
-                          milliseconds(30), longest_time) /
-                      readings;
+    into.registry_poll_interval =
+        section.time(
+            "leaving_serves", readings * into.registry_poll_interval,
+            milliseconds(30), longest_time) /
+        readings;
     section.refuse_unknown_keys();
 }
 
@@ -105,7 +106,7 @@
     toml_section root(file, "", *parsed, problems);
     read_node(root.table("gateway"), result);
     read_store(root.table("store"), result);
-    read_second_sends(root.table("second_sends"), result.second_sends);
+    read_second_sends(root.table("second_sends"), result.resends);
     read_leases(root.table("leases"), result.leases);
     root.refuse_unknown_keys();
     return result;
--- a/src/Gateway/gateway_settings.hpp
+++ b/src/Gateway/gateway_settings.hpp
@@ -25,7 +25,7 @@
     /// Bounds each call to the store beside its own waiting.
     std::chrono::milliseconds store_timeout{800};
     /// How often the list of replicas is read at the most.
-    std::chrono::milliseconds list_pause{670};
+    std::chrono::milliseconds registry_poll_interval{670};
 
     /// A planned stop is cut off after this.
     std::chrono::milliseconds stop_limit{8'000};
@@ -33,7 +33,7 @@
     /// for about two seconds, since the platform asks once a second whether a
     /// node is ready and wants two misses.
     std::chrono::milliseconds stop_accepts{2'600};
-    resend_limits second_sends;
+    resend_limits resends;
     lease_times leases;
 };
 
--- a/src/Gateway/list_follower.cpp
+++ b/src/Gateway/list_follower.cpp
@@ -90,15 +90,15 @@
 } // namespace
 
 registry_follower::registry_follower(
-    gateway_beliefs& beliefs, platform::store_client& store,
-    store_monitor& watch, peer_messenger& words, std::function<void()> changed)
-    : beliefs_(&beliefs)
+    gateway_state& state, platform::store_client& store, store_monitor& watch,
+    peer_messenger& words, std::function<void()> changed)
+    : state_(&state)
     , store_(&store)
     , monitor_(&watch)
     , messenger_(&words)
     , changed_(std::move(changed))
-    , turns_(beliefs.settings.list_pause)
-    , list_timer_(beliefs.io) {}
+    , turns_(state.settings.registry_poll_interval)
+    , list_timer_(state.io) {}
 
 void registry_follower::stop() {
     *running_ = false;
@@ -107,24 +107,24 @@
 
 void registry_follower::start() {
     asio::co_spawn(
-        beliefs_->io, [this] { return follow(); }, asio::detached);
+        state_->io, [this] { return follow(); }, asio::detached);
 }
 
 asio::awaitable<void> registry_follower::pause(milliseconds time) {
-    asio::steady_timer timer(beliefs_->io, time);
+    asio::steady_timer timer(state_->io, time);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
 void registry_follower::note_gone(endpoint_id const& id) {
-    beliefs_->note(
+    state_->log_event(
         log_line(event_code::replica_gone).with("replica", id.str()));
     changed_();
 }
 
 void registry_follower::take_end(endpoint_id const& id) {
     instant const now = boot_clock::now();
-    bool const keep = !beliefs_->store_calm(now);
-    if (beliefs_->replicas.mark_unlisted(id, keep, now) ==
+    bool const keep = !state_->store_stable(now);
+    if (state_->replicas.mark_unlisted(id, keep, now) ==
         fleet_change::removed) {
         note_gone(id);
     }
@@ -132,19 +132,19 @@
 
 bool registry_follower::apply(replica_record const& record) {
     fleet_change const change =
-        beliefs_->replicas.apply(record, boot_clock::now());
+        state_->replicas.apply(record, boot_clock::now());
     if (change == fleet_change::none) {
         return false;
     }
     bool const seen = change == fleet_change::joined;
     if (seen) {
         // Those that wait for any replica of a service.
-        beliefs_->waiters.notify(adapter_id());
+        state_->waiters.notify(adapter_id());
         for (adapter_ref const& each : record.adapters) {
-            beliefs_->waiters.notify(each.id);
+            state_->waiters.notify(each.id);
         }
     }
-    beliefs_->note(
+    state_->log_event(
         log_line(seen ? event_code::replica_seen : event_code::replica_leaving)
             .with("replica", record.id.str())
             .with("service", record.service.str())
@@ -162,7 +162,7 @@
     auto const read = platform::read_replica(record.key, *record.value);
     if (!read) {
         // Whoever wrote it: what it names can't be used, as if it had ended.
-        beliefs_->note(
+        state_->log_event(
             log_line(event_code::configuration_rejected, log_level::error)
                 .with("replica", record.key)
                 .with("findings", "no entry of a replica"));
@@ -171,7 +171,7 @@
     }
     bool const news = apply(*read);
     for (adapter_ref const& each : read->adapters) {
-        beliefs_->waiters.notify(each.id);
+        state_->waiters.notify(each.id);
     }
     return {true, news};
 }
@@ -190,7 +190,7 @@
     if (word == registry_update_fit::applies) {
         for (peer_registry_entry const& each : reading.changes) {
             if (each.listed) {
-                apply(record_of(each, beliefs_->replicas));
+                apply(record_of(each, state_->replicas));
             } else {
                 take_end(endpoint_id(each.id));
             }
@@ -211,8 +211,8 @@
         taken const came = take_replica(each);
         if (came.news) {
             endpoint_id const id(each.key);
-            peer_registry_entry change = change_of(
-                id, came.entry ? beliefs_->replicas.find(id) : nullptr);
+            peer_registry_entry change =
+                change_of(id, came.entry ? state_->replicas.find(id) : nullptr);
             change.place = each.place;
             reading.changes.push_back(std::move(change));
         }
@@ -228,9 +228,9 @@
         }
     }
     instant const now = boot_clock::now();
-    bool const keep = !beliefs_->store_calm(now);
+    bool const keep = !state_->store_stable(now);
     for (endpoint_id const& id :
-         beliefs_->replicas.mark_unlisted_except(listed, keep, now)) {
+         state_->replicas.mark_unlisted_except(listed, keep, now)) {
         note_gone(id);
     }
 }
@@ -238,7 +238,7 @@
 asio::awaitable<platform::store_result<platform::keyed_batch>>
 registry_follower::ask(bool whole, store_position from) {
     platform::reading_times times;
-    times.silence = beliefs_->settings.store_timeout;
+    times.silence = state_->settings.store_timeout;
     if (whole) {
         co_return co_await store_->newest(topic, times, reading_);
     }
@@ -253,7 +253,7 @@
     reading_ = platform::store_reading();
     auto const batch = co_await ask(whole, from);
     log_store_read(
-        *beliefs_, topic, whole ? "whole" : "on", from.offset, began, reading_,
+        *state_, topic, whole ? "whole" : "on", from.offset, began, reading_,
         batch);
     if (!batch && reading_.cancelled()) {
         co_return true;
@@ -304,25 +304,25 @@
     auto const alive = running_;
     instant read_whole = boot_clock::now();
     std::uniform_real_distribution<double> part(0, 1);
-    double draw = part(beliefs_->random);
+    double draw = part(state_->random);
     while (*alive) {
         instant const now = boot_clock::now();
-        for (endpoint_id const& id : beliefs_->replicas.expire_missing(
-                 beliefs_->store_calm(now), now)) {
+        for (endpoint_id const& id :
+             state_->replicas.expire_missing(state_->store_stable(now), now)) {
             note_gone(id);
         }
         // A node that takes the store for lost sees its return by itself only.
-        bool const lost = beliefs_->store_lost_since != instant::max();
+        bool const lost = state_->store_unreachable_since != instant::max();
         if (now >= read_whole + whole_list_again) {
             turns_.require_full_poll();
             read_whole = now;
         }
         if (lost || now >= turns_.next_poll_time(draw)) {
             co_await read();
-            draw = part(beliefs_->random);
+            draw = part(state_->random);
             continue;
         }
-        instant const calm = beliefs_->store_calm_from();
+        instant const calm = state_->store_stable_from();
         instant const due = turns_.next_poll_time(draw);
         instant const wake = now < calm ? std::min(due, calm) : due;
         list_timer_.expires_after(time_until(wake));
--- a/src/Gateway/list_follower.hpp
+++ b/src/Gateway/list_follower.hpp
@@ -26,7 +26,7 @@
     /// follower
     /// @param changed called when replicas have changed
     registry_follower(
-        gateway_beliefs& beliefs, platform::store_client& store,
+        gateway_state& state, platform::store_client& store,
         store_monitor& watch, peer_messenger& words,
         std::function<void()> changed);
 
@@ -60,7 +60,7 @@
     void take_whole(platform::keyed_batch const& batch);
     void note_gone(endpoint_id const& id);
 
-    gateway_beliefs* beliefs_;
+    gateway_state* state_;
     platform::store_client* store_;
     store_monitor* monitor_;
     peer_messenger* messenger_;
--- a/src/Gateway/peer_words.cpp
+++ b/src/Gateway/peer_words.cpp
@@ -56,19 +56,19 @@
     return fleet::id_hash(replica) % partition_count;
 }
 
-peer_messenger::peer_messenger(gateway_beliefs& beliefs, receiver to)
-    : beliefs_(&beliefs)
+peer_messenger::peer_messenger(gateway_state& state, receiver to)
+    : state_(&state)
     , to_(std::move(to))
-    , link_(beliefs.io.get_executor(), [this](std::string const& bytes) {
+    , link_(state.io.get_executor(), [this](std::string const& bytes) {
         receive(bytes);
     }) {}
 
 std::string peer_messenger::start() {
-    std::string problem = link_.listen(beliefs_->settings.peer_address);
+    std::string problem = link_.listen(state_->settings.peer_address);
     if (problem.empty()) {
         running_ = true;
         asio::co_spawn(
-            beliefs_->io, [this] { return tell_counts(); }, asio::detached);
+            state_->io, [this] { return tell_counts(); }, asio::detached);
     }
     return problem;
 }
@@ -82,26 +82,26 @@
     if (message.empty()) {
         return;
     }
-    message.from = beliefs_->own_name;
+    message.from = state_->own_address;
     link_.send(parse_address(peer), encode(message));
 }
 
 void peer_messenger::send_all(peer_datagram const& message) {
-    for (auto const& [peer, heard] : beliefs_->peers) {
+    for (auto const& [peer, heard] : state_->peers) {
         send(peer, message);
     }
 }
 
 void peer_messenger::set_lease_holder(
     std::size_t partition, std::string member) {
-    if (member != beliefs_->own_name) {
-        beliefs_->peers.try_emplace(member, boot_clock::now());
+    if (member != state_->own_address) {
+        state_->peers.try_emplace(member, boot_clock::now());
     }
     owners_[partition] = std::move(member);
 }
 
 bool peer_messenger::lacks_reachable_lease_holder(instant now) const {
-    return std::ranges::any_of(beliefs_->replicas.all(), [&](auto const& each) {
+    return std::ranges::any_of(state_->replicas.all(), [&](auto const& each) {
         if (!each.second.accepts_requests() ||
             each.second.record.models.empty()) {
             return false;
@@ -110,10 +110,10 @@
         if (owner == owners_.end()) {
             return true;
         }
-        auto const heard = beliefs_->peers.find(owner->second);
-        bool const silent = heard == beliefs_->peers.end() ||
-                            now >= heard->second + owner_silent;
-        return owner->second != beliefs_->own_name && silent;
+        auto const heard = state_->peers.find(owner->second);
+        bool const silent =
+            heard == state_->peers.end() || now >= heard->second + owner_silent;
+        return owner->second != state_->own_address && silent;
     });
 }
 
@@ -140,18 +140,18 @@
     if (owner == owners_.end()) {
         return;
     }
-    if (owner->second == beliefs_->own_name) {
-        take_want(asked, beliefs_->own_name);
+    if (owner->second == state_->own_address) {
+        take_want(asked, state_->own_address);
         return;
     }
     // Guards against requests that wait for a load that nobody orders: a node
     // that was stopped or killed during the store's outage has no successor
     // until the outage ends. They go to the next home instead, whose holder is
     // there.
-    auto const heard = beliefs_->peers.find(owner->second);
+    auto const heard = state_->peers.find(owner->second);
     duration const two_tellings =
-        2 * telling_pause * pauses_between(beliefs_->nodes());
-    if (heard != beliefs_->peers.end() &&
+        2 * telling_pause * pauses_between(state_->nodes());
+    if (heard != state_->peers.end() &&
         now >= heard->second + std::max(holder_silent, two_tellings)) {
         take_denial(
             {asked.replica, asked.adapter, clamped_milliseconds(holder_silent)},
@@ -242,8 +242,8 @@
         fleet::id_hash(key.replica), key.adapter.str(), count.running,
         count.prompt_tokens};
     count.prompt_tokens = 0;
-    if (owner->second == beliefs_->own_name) {
-        take_use(told, beliefs_->own_name, boot_clock::now());
+    if (owner->second == state_->own_address) {
+        take_use(told, state_->own_address, boot_clock::now());
         return;
     }
     peer_datagram message;
@@ -261,8 +261,8 @@
         }
         peer_adapter_usage told{
             fleet::id_hash(key.replica), key.adapter.str(), count.running, 0};
-        if (owner->second == beliefs_->own_name) {
-            take_use(told, beliefs_->own_name, now);
+        if (owner->second == state_->own_address) {
+            take_use(told, state_->own_address, now);
         } else {
             to[owner->second].push_back(std::move(told));
         }
@@ -278,7 +278,7 @@
 
 bool peer_messenger::orders_for(endpoint_id const& at) const {
     auto const owner = owners_.find(partition_of(at));
-    return owner != owners_.end() && owner->second == beliefs_->own_name;
+    return owner != owners_.end() && owner->second == state_->own_address;
 }
 
 replica_usage
@@ -292,7 +292,7 @@
 peer_messenger::total_of(std::uint64_t replica, instant now) const {
     constexpr double most = std::numeric_limits<std::uint16_t>::max();
     camphorpoint::replica const* const at =
-        beliefs_->replicas.find_by_hash(replica);
+        state_->replicas.find_by_hash(replica);
     if (at == nullptr || !orders_for(at->record.id)) {
         return std::nullopt;
     }
@@ -311,8 +311,7 @@
     ledger_.update(
         from, use.replica, adapter_id(use.adapter), use.running,
         use.prompt_tokens, now);
-    beliefs_->replicas.update_usage(
-        use.replica, counted(use.replica, now), now);
+    state_->replicas.update_usage(use.replica, counted(use.replica, now), now);
     // What counts for the slot is whether any node has runs there.
     peer_adapter_usage of_all = use;
     of_all.running =
@@ -326,7 +325,7 @@
     for (replica const* const each : of) {
         auto const owner = owners_.find(partition_of(each->record.id));
         bool const known =
-            owner != owners_.end() && owner->second != beliefs_->own_name;
+            owner != owners_.end() && owner->second != state_->own_address;
         if (known && now >= each->usage_received_at + fresh_word) {
             peer_datagram message;
             message.asks.push_back(
@@ -356,7 +355,7 @@
 }
 
 void peer_messenger::forget_peers(instant now) {
-    std::erase_if(beliefs_->peers, [&](auto const& each) {
+    std::erase_if(state_->peers, [&](auto const& each) {
         return now >= each.second + peer_lasts;
     });
 }
@@ -364,18 +363,18 @@
 peer_datagram peer_messenger::declared() const {
     peer_datagram message;
     message.present = true;
-    message.declared_position = beliefs_->declared_position;
-    message.declared_total = beliefs_->declared_total();
+    message.declared_position = state_->declared_position;
+    message.declared_total = state_->declared_total();
     message.knows_quarantines =
-        beliefs_->held_known.complete(boot_clock::now());
+        state_->quarantine_sync_state.complete(boot_clock::now());
     return message;
 }
 
 void peer_messenger::query_declared() {
-    if (!beliefs_->start.done()) {
+    if (!state_->start.done()) {
         peer_datagram message = declared();
         message.queries_declared = true;
-        for (std::string const& each : beliefs_->start.peers_to_ask()) {
+        for (std::string const& each : state_->start.peers_to_ask()) {
             send(each, message);
         }
     }
@@ -386,18 +385,18 @@
         return now >= each.second + want_pause;
     });
     peer_datagram message = declared();
-    for (auto const& [id, each] : beliefs_->replicas.all()) {
+    for (auto const& [id, each] : state_->replicas.all()) {
         if (!each.accepts_requests() || message.loads.size() >= most_counts) {
             continue;
         }
         std::uint64_t const name = fleet::id_hash(id);
         if (auto const total = total_of(name, now)) {
             message.loads.push_back(*total);
-            beliefs_->replicas.update_usage(name, counted(name, now), now);
+            state_->replicas.update_usage(name, counted(name, now), now);
         }
     }
-    for (std::size_t const each : beliefs_->leases.held_partitions()) {
-        auto const token = beliefs_->leases.token(each, now);
+    for (std::size_t const each : state_->leases.held_partitions()) {
+        auto const token = state_->leases.token(each, now);
         if (token && message.claims.size() < most_claims) {
             message.claims.push_back(
                 {static_cast<std::uint32_t>(each), *token});
@@ -410,7 +409,7 @@
     unsigned tick = 0;
     while (running_) {
         instant const now = boot_clock::now();
-        if (tick % pauses_between(beliefs_->nodes()) == 0) {
+        if (tick % pauses_between(state_->nodes()) == 0) {
             tell_totals(now);
             repeat_quarantines(now);
         }
@@ -419,11 +418,11 @@
             repeat_ends(now);
             repeat_uses();
             ledger_.drop_timed_out_nodes(now);
-            beliefs_->replicas.expire_usage(now);
+            state_->replicas.expire_usage(now);
         }
         ++tick;
         forget_peers(now);
-        asio::steady_timer timer(beliefs_->io, telling_pause);
+        asio::steady_timer timer(state_->io, telling_pause);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
 }
--- a/src/Gateway/peer_words.hpp
+++ b/src/Gateway/peer_words.hpp
@@ -46,7 +46,7 @@
     };
 
     /// @param beliefs where word from others goes; must outlive this
-    peer_messenger(gateway_beliefs& beliefs, receiver to);
+    peer_messenger(gateway_state& state, receiver to);
 
     /// Binds and begins to tell counts.
     /// @returns the reason when the address can't be had, empty on success
@@ -175,7 +175,7 @@
         instant until;
     };
 
-    gateway_beliefs* beliefs_;
+    gateway_state* state_;
     receiver to_;
     probe_link link_;
     std::map<std::size_t, std::string> owners_;
--- a/src/Gateway/peer_words_gate.cpp
+++ b/src/Gateway/peer_words_gate.cpp
@@ -25,8 +25,8 @@
 
 bool peer_messenger::requires_admission(
     request_fingerprint content, instant now) const {
-    return !beliefs_->held_known.complete(now) ||
-           beliefs_->quarantine.suspected(content);
+    return !state_->quarantine_sync_state.complete(now) ||
+           state_->quarantine.suspected(content);
 }
 
 // The first of the nodes that count the content's ends, as they hear of these
@@ -41,14 +41,14 @@
         if (owner == owners_.end()) {
             continue;
         }
-        auto const heard = beliefs_->peers.find(owner->second);
+        auto const heard = state_->peers.find(owner->second);
         bool const there =
-            heard != beliefs_->peers.end() && now < heard->second + gate_silent;
-        if (there || owner->second == beliefs_->own_name) {
+            heard != state_->peers.end() && now < heard->second + gate_silent;
+        if (there || owner->second == state_->own_address) {
             return owner->second;
         }
     }
-    return beliefs_->own_name;
+    return state_->own_address;
 }
 
 void peer_messenger::send_gate(std::string const& to, peer_gate_message word) {
@@ -59,7 +59,7 @@
 
 bool peer_messenger::begins_here(
     request_fingerprint content, std::uint64_t run, instant now) {
-    return !beliefs_->quarantine.quarantined_for(content, now) &&
+    return !state_->quarantine.quarantined_for(content, now) &&
            gate_.try_admit(content, run, now);
 }
 
@@ -70,10 +70,10 @@
     for (int tries = 0; tries < gate_asks; ++tries) {
         instant const now = boot_clock::now();
         std::string const at = gate_of(content, now);
-        if (at == beliefs_->own_name) {
+        if (at == state_->own_address) {
             co_return begins_here(content, run, now);
         }
-        asio::steady_timer timer(beliefs_->io, gate_answers);
+        asio::steady_timer timer(state_->io, gate_answers);
         gate_questions_[run] = {&timer, std::nullopt};
         send_gate(at, ask);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
@@ -89,7 +89,7 @@
 void peer_messenger::report_progress(request_fingerprint content) {
     instant const now = boot_clock::now();
     std::string const at = gate_of(content, now);
-    if (at == beliefs_->own_name) {
+    if (at == state_->own_address) {
         gate_.mark_safe(content, now);
         return;
     }
@@ -101,7 +101,7 @@
 void peer_messenger::report_attempt_ended(
     request_fingerprint content, std::uint64_t run) {
     std::string const at = gate_of(content, boot_clock::now());
-    if (at == beliefs_->own_name) {
+    if (at == state_->own_address) {
         gate_.release(content, run);
         return;
     }
--- a/src/Gateway/peer_words_quarantine.cpp
+++ b/src/Gateway/peer_words_quarantine.cpp
@@ -74,14 +74,14 @@
 }
 
 void peer_messenger::clear(request_fingerprint content) {
-    auto const word = beliefs_->quarantine.record_success(content);
+    auto const word = state_->quarantine.record_success(content);
     if (!word) {
         return;
     }
-    beliefs_->note(log_line(event_code::content_cleared)
-                       .with("content", to_string(content))
-                       .with("turn", word->revision)
-                       .with("by", beliefs_->own_name));
+    state_->log_event(log_line(event_code::content_cleared)
+                          .with("content", to_string(content))
+                          .with("turn", word->revision)
+                          .with("by", state_->own_address));
     broadcast_quarantine(*word);
 }
 
@@ -100,11 +100,11 @@
     request_fingerprint const content{end.content};
     gate_.revoke(content);
     if (auto const word =
-            beliefs_->quarantine.record_crash(content, end.replica, now)) {
-        beliefs_->note(log_line(event_code::content_held, log_level::warning)
-                           .with("content", to_string(content))
-                           .with("turn", word->revision)
-                           .with("by", beliefs_->own_name));
+            state_->quarantine.record_crash(content, end.replica, now)) {
+        state_->log_event(log_line(event_code::content_held, log_level::warning)
+                              .with("content", to_string(content))
+                              .with("turn", word->revision)
+                              .with("by", state_->own_address));
         broadcast_quarantine(*word);
     }
 }
@@ -117,7 +117,7 @@
         std::size_t const partition =
             combine_hashes(content, each) % partition_count;
         auto const owner = owners_.find(partition);
-        if (owner != owners_.end() && owner->second != beliefs_->own_name) {
+        if (owner != owners_.end() && owner->second != state_->own_address) {
             members.insert(owner->second);
         }
     }
@@ -151,10 +151,10 @@
 
 // A node that has begun anew, or was cut off, hears them again from everybody.
 void peer_messenger::repeat_quarantines(instant now) {
-    beliefs_->quarantine.remove_expired(now);
+    state_->quarantine.remove_expired(now);
     peer_datagram message;
     for (quarantine_update const& each :
-         beliefs_->quarantine.next_batch(most_quarantines, now)) {
+         state_->quarantine.next_batch(most_quarantines, now)) {
         message.quarantines.push_back(wire_of(each));
     }
     send_all(message);
@@ -165,15 +165,15 @@
     quarantine_update const word{
         request_fingerprint{told.content}, told.turn,
         std::chrono::milliseconds(told.left_ms)};
-    if (!beliefs_->quarantine.apply(word, now)) {
+    if (!state_->quarantine.apply(word, now)) {
         return;
     }
     event_code const what = word.quarantined() ? event_code::content_held
                                                : event_code::content_cleared;
-    beliefs_->note(log_line(what, log_level::warning)
-                       .with("content", to_string(word.fingerprint))
-                       .with("turn", word.revision)
-                       .with("by", from));
+    state_->log_event(log_line(what, log_level::warning)
+                          .with("content", to_string(word.fingerprint))
+                          .with("turn", word.revision)
+                          .with("by", from));
 }
 
 } // namespace camphorpoint
--- a/src/Gateway/peer_words_taking.cpp
+++ b/src/Gateway/peer_words_taking.cpp
@@ -26,7 +26,7 @@
     // Guards against hundreds of requests for an adapter that has just become
     // busy which all wait for one replica: those beyond its places are turned
     // away at once and have it loaded elsewhere at the same time.
-    replica const* const at = beliefs_->replicas.find_by_hash(want.replica);
+    replica const* const at = state_->replicas.find_by_hash(want.replica);
     if (at == nullptr || !want.first_request) {
         return true;
     }
@@ -47,7 +47,7 @@
     }
     peer_load_rejection const denial{
         want.replica, want.adapter, clamped_milliseconds(*wait)};
-    if (from == beliefs_->own_name) {
+    if (from == state_->own_address) {
         take_denial(denial, now);
         return;
     }
@@ -58,30 +58,30 @@
 
 void peer_messenger::take_denial(
     peer_load_rejection const& denial, instant now) {
-    if (replica* const at = beliefs_->replicas.find_by_hash(denial.replica)) {
+    if (replica* const at = state_->replicas.find_by_hash(denial.replica)) {
         adapter_id const adapter(denial.adapter);
         at->denials[adapter] = {
             now + denial_lasts, now + milliseconds(denial.wait_ms)};
-        beliefs_->waiters.notify(adapter);
+        state_->waiters.notify(adapter);
     }
 }
 
 void peer_messenger::receive(std::string const& bytes) {
     auto const message = decode_peer_datagram(bytes);
-    if (message && message->from != beliefs_->own_name) {
+    if (message && message->from != state_->own_address) {
         take(*message);
     }
 }
 
 void peer_messenger::take(peer_datagram const& message) {
     instant const now = boot_clock::now();
-    beliefs_->peers[message.from] = now;
+    state_->peers[message.from] = now;
     // First, so that places of it are met by who knows it.
-    if (message.declared_position.epoch > beliefs_->epoch) {
+    if (message.declared_position.epoch > state_->epoch) {
         to_.epoch(message.declared_position.epoch);
     }
     if (message.present) {
-        beliefs_->start.handle_peer_total(message.from, message.declared_total);
+        state_->start.handle_peer_total(message.from, message.declared_total);
     }
     if (message.queries_declared) {
         send(message.from, declared());
@@ -90,11 +90,11 @@
         replica_usage const total{
             each.running, static_cast<double>(each.backlog_tokens),
             each.free_slots};
-        beliefs_->replicas.update_usage(each.replica, total, now);
+        state_->replicas.update_usage(each.replica, total, now);
     }
     for (peer_replica_usage_query const& each : message.asks) {
         if (message.answers) {
-            beliefs_->waiters.notify(adapter_id(each.adapter));
+            state_->waiters.notify(adapter_id(each.adapter));
         } else {
             take_ask(each, message.from, now);
         }
@@ -104,24 +104,24 @@
             continue;
         }
         owners_[each.partition] = message.from;
-        beliefs_->leases.on_higher_token(each.partition, each.token);
+        state_->leases.on_higher_token(each.partition, each.token);
     }
     for (peer_residency const& each : message.words) {
-        replica const* const at = beliefs_->replicas.find_by_hash(each.replica);
+        replica const* const at = state_->replicas.find_by_hash(each.replica);
         adapter_id const adapter(each.adapter);
         if (at == nullptr) {
             continue;
         }
         if (each.held) {
-            beliefs_->replicas.mark_resident(
+            state_->replicas.mark_resident(
                 at->record.id, {adapter, each.version}, now);
-            beliefs_->waiters.notify(adapter);
+            state_->waiters.notify(adapter);
         } else {
-            beliefs_->replicas.mark_unloading(at->record.id, adapter, now);
+            state_->replicas.mark_unloading(at->record.id, adapter, now);
         }
     }
     for (peer_suspicion const& each : message.suspicions) {
-        if (replica* const at = beliefs_->replicas.find_by_hash(each.replica)) {
+        if (replica* const at = state_->replicas.find_by_hash(each.replica)) {
             at->health.adopt_suspicion(now + milliseconds(each.milliseconds));
         }
     }
@@ -141,7 +141,7 @@
         take_gate(each, message.from, now);
     }
     if (message.knows_quarantines) {
-        beliefs_->held_known.on_message_from_synced_node(now);
+        state_->quarantine_sync_state.on_message_from_synced_node(now);
     }
     for (peer_quarantine const& each : message.quarantines) {
         take_quarantine(each, message.from, now);
@@ -152,8 +152,8 @@
     for (peer_registry_update const& each : message.readings) {
         to_.reading(each);
     }
-    if (is_ahead(message.declared_position, beliefs_->declared_position) ||
-        message.declared_total > beliefs_->declared_total()) {
+    if (is_ahead(message.declared_position, state_->declared_position) ||
+        message.declared_total > state_->declared_total()) {
         to_.declarations(message.declared_position, message.declared_total);
     }
 }
--- a/src/Gateway/quarantine_keeper.cpp
+++ b/src/Gateway/quarantine_keeper.cpp
@@ -32,15 +32,15 @@
 
 } // namespace
 
-quarantine_keeper::quarantine_keeper(
-    gateway_beliefs& beliefs, platform::store_client& store,
-    peer_messenger& words)
-    : beliefs_(&beliefs)
+quarantine_persistence::quarantine_persistence(
+    gateway_state& state, platform::store_client& store, peer_messenger& words)
+    : state_(&state)
     , store_(&store)
     , messenger_(&words) {}
 
-std::vector<quarantine_update> quarantine_keeper::unkept(instant now) const {
-    auto words = beliefs_->quarantine.all_updates(now);
+std::vector<quarantine_update>
+quarantine_persistence::unkept(instant now) const {
+    auto words = state_->quarantine.all_updates(now);
     std::erase_if(words, [&](quarantine_update const& each) {
         auto const found = kept_.find(each.fingerprint);
         return found != kept_.end() && found->second >= each.revision;
@@ -48,16 +48,16 @@
     return words;
 }
 
-void quarantine_keeper::new_era() {
+void quarantine_persistence::on_store_rollback() {
     read_ = false;
     kept_.clear();
 }
 
-void quarantine_keeper::look() {
+void quarantine_persistence::poll() {
     instant const now = boot_clock::now();
-    if (!beliefs_->leases.holds(keeper_partition)) {
+    if (!state_->leases.holds(keeper_partition)) {
         // Another node may write meanwhile.
-        new_era();
+        on_store_rollback();
         return;
     }
     bool const nothing = read_ && unkept(now).empty();
@@ -66,10 +66,10 @@
     }
     working_ = true;
     asio::co_spawn(
-        beliefs_->io, [this] { return work(); }, asio::detached);
+        state_->io, [this] { return work(); }, asio::detached);
 }
 
-asio::awaitable<void> quarantine_keeper::work() {
+asio::awaitable<void> quarantine_persistence::work() {
     auto const alive = running_;
     bool done = read_ || co_await read();
     auto const words = unkept(boot_clock::now());
@@ -79,17 +79,17 @@
     working_ = false;
 }
 
-asio::awaitable<bool> quarantine_keeper::read() {
+asio::awaitable<bool> quarantine_persistence::read() {
     auto const alive = running_;
     instant const began = boot_clock::now();
     // Another one by the end: the store has gone back meanwhile.
-    store_epoch const epoch = beliefs_->epoch;
+    store_epoch const epoch = state_->epoch;
     platform::store_reading seen;
     platform::reading_times times;
-    times.silence = beliefs_->settings.store_timeout;
+    times.silence = state_->settings.store_timeout;
     auto const batch = co_await store_->newest(topic, times, seen);
     instant const now = boot_clock::now();
-    log_store_read(*beliefs_, topic, "whole", 0, began, seen, batch);
+    log_store_read(*state_, topic, "whole", 0, began, seen, batch);
     bool const absent =
         !batch && batch.error() == platform::store_failure::absent;
     if (!batch && !absent) {
@@ -97,7 +97,7 @@
         co_return false;
     }
     failures_ = 0;
-    if (epoch != beliefs_->epoch) {
+    if (epoch != state_->epoch) {
         co_return false;
     }
     read_ = true;
@@ -112,8 +112,8 @@
             continue;
         }
         kept_[word->fingerprint] = word->revision;
-        if (beliefs_->quarantine.apply(*word, now)) {
-            beliefs_->note(
+        if (state_->quarantine.apply(*word, now)) {
+            state_->log_event(
                 log_line(event_code::content_held, log_level::warning)
                     .with("content", to_string(word->fingerprint))
                     .with("turn", word->revision)
@@ -124,9 +124,9 @@
     co_return true;
 }
 
-asio::awaitable<bool> quarantine_keeper::write(quarantine_update word) {
+asio::awaitable<bool> quarantine_persistence::write(quarantine_update word) {
     auto const alive = running_;
-    store_epoch const epoch = beliefs_->epoch;
+    store_epoch const epoch = state_->epoch;
     std::string key = key_of(word.fingerprint);
     std::string text = platform::write_quarantine(word, wall_now());
     auto const written =
@@ -137,24 +137,25 @@
         co_return false;
     }
     failures_ = 0;
-    if (epoch != beliefs_->epoch) {
+    if (epoch != state_->epoch) {
         co_return false;
     }
     kept_[word.fingerprint] = word.revision;
-    beliefs_->note(log_line(event_code::content_kept)
-                       .with("content", to_string(word.fingerprint))
-                       .with("turn", word.revision));
+    state_->log_event(log_line(event_code::content_kept)
+                          .with("content", to_string(word.fingerprint))
+                          .with("turn", word.revision));
     co_return true;
 }
 
-void quarantine_keeper::note_failure(platform::store_failure why, instant now) {
+void quarantine_persistence::note_failure(
+    platform::store_failure why, instant now) {
     milliseconds const pause =
         first_pause * (1U << std::min(failures_, most_doublings));
     ++failures_;
     not_before_ = now + pause;
-    beliefs_->note(log_line(event_code::content_kept, log_level::warning)
-                       .with("failed", to_string(why))
-                       .with("again_ms", pause));
+    state_->log_event(log_line(event_code::content_kept, log_level::warning)
+                          .with("failed", to_string(why))
+                          .with("again_ms", pause));
 }
 
 } // namespace camphorpoint
--- a/src/Gateway/quarantine_keeper.hpp
+++ b/src/Gateway/quarantine_keeper.hpp
@@ -18,21 +18,21 @@
 /// have all begun anew, and let the same request end three more replicas. One
 /// node at a time reads and writes for all, by a partition that it holds, so
 /// that the calls do not grow with the nodes; two that do so harm nothing.
-class quarantine_keeper {
+class quarantine_persistence {
 public:
     /// @param beliefs must outlive this
     /// @param store   must outlive this
     /// @param words   tells the others what was kept; must outlive this
-    quarantine_keeper(
-        gateway_beliefs& beliefs, platform::store_client& store,
+    quarantine_persistence(
+        gateway_state& state, platform::store_client& store,
         peer_messenger& words);
 
     /// Looks whether something is to be read or written; called again and
     /// again.
-    void look();
+    void poll();
     /// The store has come back from an older copy: all is read and written
     /// anew.
-    void new_era();
+    void on_store_rollback();
     /// Nothing is begun from here on.
     void stop() { *running_ = false; }
 
@@ -43,7 +43,7 @@
     void note_failure(platform::store_failure why, instant now);
     std::vector<quarantine_update> unkept(instant now) const;
 
-    gateway_beliefs* beliefs_;
+    gateway_state* state_;
     platform::store_client* store_;
     peer_messenger* messenger_;
     /// Turns as they stand in the store.
--- a/src/Gateway/request_flow.cpp
+++ b/src/Gateway/request_flow.cpp
@@ -27,28 +27,28 @@
 
 } // namespace
 
-request_flow::request_flow(
-    gateway_beliefs& beliefs, peer_messenger& words, http_exchange& exchange)
-    : beliefs_(&beliefs)
+request_handler::request_handler(
+    gateway_state& state, peer_messenger& words, http_exchange& exchange)
+    : state_(&state)
     , messenger_(&words)
     , exchange_(&exchange)
     , arrived_(boot_clock::now())
     , deadline_(arrived_)
     , demand_(platform::read_demand(exchange.request()))
     , leaving_(std::make_shared<leaving>()) {
-    ++beliefs_->live_requests;
+    ++state_->live_requests;
 }
 
-request_flow::~request_flow() {
-    --beliefs_->live_requests;
+request_handler::~request_handler() {
+    --state_->live_requests;
     // The caller's leaving may still call back.
     leaving_->call = nullptr;
     leaving_->waiters = nullptr;
 }
 
-bool request_flow::admit() {
+bool request_handler::admit() {
     http_request const& request = exchange_->request();
-    service_route const* const found = beliefs_->routes.find(
+    service_route const* const found = state_->routes.find(
         request.fields.get("Host"), path_of(request.target));
     if (found == nullptr) {
         return false;
@@ -63,23 +63,23 @@
     need_.service = pick_service(*route_, hash_text(demand_.id.str()));
     need_.adapter = demand_.adapter;
     need_.model = demand_.model;
-    need_.random_sample = beliefs_->random();
+    need_.random_sample = state_->random();
     content_ = fingerprint_request(
         request.method, request.fields.get("Host"), request.target,
         request.body);
     if (!need_.adapter.empty()) {
-        beliefs_->demand.add(need_.adapter, demand_.prompt_tokens, arrived_);
+        state_->demand.add(need_.adapter, demand_.prompt_tokens, arrived_);
     }
-    beliefs_->second_sends.on_request(need_.service, arrived_);
+    state_->resends.on_request(need_.service, arrived_);
     return true;
 }
 
-asio::awaitable<void> request_flow::run() {
+asio::awaitable<void> request_handler::run() {
     auto const caller = leaving_;
-    if (!beliefs_->may_serve(arrived_)) {
+    if (!state_->may_serve(arrived_)) {
         status_ = status_unavailable;
         co_await finish(
-            beliefs_->configured ? "declarations-behind" : "no-configuration");
+            state_->configured ? "declarations-behind" : "no-configuration");
         co_return;
     }
     if (!admit()) {
@@ -87,13 +87,13 @@
         co_await finish("no-route");
         co_return;
     }
-    beliefs_->note(log_line(event_code::request_routed)
-                       .with("id", demand_.id.str())
-                       .with("route", route_->name)
-                       .with("service", need_.service.str())
-                       .with("content", to_string(content_))
-                       .with("version", beliefs_->configuration.version));
-    leaving_->waiters = &beliefs_->waiters;
+    state_->log_event(log_line(event_code::request_routed)
+                          .with("id", demand_.id.str())
+                          .with("route", route_->name)
+                          .with("service", need_.service.str())
+                          .with("content", to_string(content_))
+                          .with("version", state_->configuration.version));
+    leaving_->waiters = &state_->waiters;
     leaving_->adapter = need_.adapter;
     exchange_->on_caller_gone([state = caller] {
         state->gone = true;
@@ -109,16 +109,15 @@
 
 // Guards against one request that ends replica after replica; see
 // request_quarantine. It is refused before it takes a place or a load.
-bool request_flow::refuse_held() {
-    held_for_ =
-        beliefs_->quarantine.quarantined_for(content_, boot_clock::now());
+bool request_handler::refuse_held() {
+    held_for_ = state_->quarantine.quarantined_for(content_, boot_clock::now());
     if (held_for_) {
         reason_ = "content-held";
     }
     return held_for_.has_value();
 }
 
-asio::awaitable<void> request_flow::answer_all() {
+asio::awaitable<void> request_handler::answer_all() {
     auto const caller = leaving_;
     while (!caller->gone) {
         if (refuse_held()) {
@@ -135,7 +134,7 @@
         if (!co_await pass_gate(id)) {
             continue;
         }
-        attempt_end const end = co_await attempt(*beliefs_->replicas.find(id));
+        attempt_end const end = co_await attempt(*state_->replicas.find(id));
         note_evidence(id, end);
         note_attempt(id, end);
         bool const others_count = note_content(id, end);
@@ -160,13 +159,13 @@
 }
 
 platform::send_terms
-request_flow::terms_of(replica const& at, instant now) const {
+request_handler::terms_of(replica const& at, instant now) const {
     platform::send_terms terms;
     terms.replica = at.record.id;
     terms.remaining = std::chrono::duration_cast<milliseconds>(deadline_ - now);
     terms.priority = route_->priority;
     std::uint32_t const least =
-        beliefs_->versions.min_version(need_.adapter, now);
+        state_->versions.min_version(need_.adapter, now);
     if (least > 0) {
         // A replica refuses any other version than the one that is named, also
         // a newer one: the version that it should hold.
@@ -174,15 +173,15 @@
         bool const known =
             held != at.adapters.end() && held->second.version >= least;
         terms.version = known ? held->second.version
-                              : beliefs_->versions.newest(need_.adapter);
+                              : state_->versions.newest(need_.adapter);
     }
     terms.after_event = position_.last();
     return terms;
 }
 
-call_times request_flow::times_of_send(instant now) const {
+call_times request_handler::times_of_send(instant now) const {
     call_times times;
-    times.send_before = deadline_ - least_run;
+    times.send_before = deadline_ - min_attempt_time;
     times.close_at = deadline_ + milliseconds(100);
     times.each_step =
         std::chrono::duration_cast<milliseconds>(deadline_ - now) +
@@ -196,27 +195,28 @@
     return times;
 }
 
-asio::awaitable<request_flow::attempt_end> request_flow::attempt(replica& at) {
+asio::awaitable<request_handler::attempt_end>
+request_handler::attempt(replica& at) {
     instant const now = boot_clock::now();
     endpoint_id const id = at.record.id;
     ip_address to = at.record.address;
     http_request request =
         platform::make_send(exchange_->request(), terms_of(at, now));
     auto const call = std::make_shared<http_call>(
-        beliefs_->io.get_executor(), &beliefs_->replica_connections);
+        state_->io.get_executor(), &state_->replica_connections);
     leaving_->call = call;
     ledger_.begin();
     ++tries_;
-    beliefs_->note(log_line(event_code::request_sent)
-                       .with("id", demand_.id.str())
-                       .with("replica", id.str())
-                       .with("adapter", need_.adapter.str())
-                       .with("backlog", static_cast<int>(at.backlog(now)))
-                       .with("load", static_cast<int>(100 * at.load()))
-                       .with("prompt", demand_.prompt_tokens)
-                       .with("try", tries_)
-                       .with("waited_ms", now - arrived_));
-    beliefs_->replicas.request_started(id, demand_.prompt_tokens, now);
+    state_->log_event(log_line(event_code::request_sent)
+                          .with("id", demand_.id.str())
+                          .with("replica", id.str())
+                          .with("adapter", need_.adapter.str())
+                          .with("backlog", static_cast<int>(at.backlog(now)))
+                          .with("load", static_cast<int>(100 * at.load()))
+                          .with("prompt", demand_.prompt_tokens)
+                          .with("try", tries_)
+                          .with("waited_ms", now - arrived_));
+    state_->replicas.request_started(id, demand_.prompt_tokens, now);
     messenger_->begin_use(id, need_.adapter, demand_.prompt_tokens);
     trace_ = run_trace{position_.last().value_or(0)};
     call_times times = times_of_send(now);
@@ -235,7 +235,7 @@
     }
     trace_.broke_off = call->broke_off();
     leaving_->call = nullptr;
-    beliefs_->replicas.request_finished(id);
+    state_->replicas.request_finished(id);
     messenger_->end_use(id, need_.adapter);
     bool const late = boot_clock::now() >= deadline_;
     if (late && end != attempt_end::finished && end != attempt_end::refused) {
@@ -244,7 +244,7 @@
     co_return end;
 }
 
-bool request_flow::may_go_on(attempt_end end) {
+bool request_handler::may_go_on(attempt_end end) {
     instant const now = boot_clock::now();
     if (begun_ && !position_.may_resume()) {
         reason_ = "broken-off";
@@ -276,8 +276,8 @@
         break;
     }
     // Told before the search for a replica, whose place would not be used.
-    if (!beliefs_->second_sends.available(
-            need_.service, beliefs_->slack_sharers(now), now)) {
+    if (!state_->resends.available(
+            need_.service, state_->slack_divisor(now), now)) {
         reason_ += "-no-budget";
         return false;
     }
@@ -286,18 +286,18 @@
 
 // Drawn right before the send: a request that finds no replica sends nothing,
 // and an attempt that reached none leaves its draw to the next.
-bool request_flow::draw_second_send() {
+bool request_handler::draw_second_send() {
     if (second_sends_ >= ledger_.sends()) {
         return true;
     }
     instant const now = boot_clock::now();
-    if (!beliefs_->second_sends.try_consume(
-            need_.service, beliefs_->slack_sharers(now), now)) {
+    if (!state_->resends.try_consume(
+            need_.service, state_->slack_divisor(now), now)) {
         reason_ += "-no-budget";
         return false;
     }
     ++second_sends_;
-    beliefs_->metrics.count_second_send(reason_);
+    state_->metrics.count_resend(reason_);
     return true;
 }
 
--- a/src/Gateway/request_flow.hpp
+++ b/src/Gateway/request_flow.hpp
@@ -24,20 +24,19 @@
 namespace camphorpoint {
 
 /// Least time that a replica needs for anything.
-inline constexpr std::chrono::milliseconds least_run{20};
+inline constexpr std::chrono::milliseconds min_attempt_time{20};
 
 /// One request's way from its caller to a replica and back.
-class request_flow {
+class request_handler {
 public:
     /// @param beliefs  what the node knows; must outlive the flow
     /// @param words    for wants of adapters; must outlive the flow
     /// @param exchange the caller's request; must outlive the flow
-    request_flow(
-        gateway_beliefs& beliefs, peer_messenger& words,
-        http_exchange& exchange);
-    ~request_flow();
-    request_flow(request_flow const&) = delete;
-    request_flow& operator=(request_flow const&) = delete;
+    request_handler(
+        gateway_state& state, peer_messenger& words, http_exchange& exchange);
+    ~request_handler();
+    request_handler(request_handler const&) = delete;
+    request_handler& operator=(request_handler const&) = delete;
 
     /// Answers the request.
     boost::asio::awaitable<void> run();
@@ -122,7 +121,7 @@
     call_times times_of_send(instant now) const;
     platform::send_terms terms_of(replica const& at, instant now) const;
 
-    gateway_beliefs* beliefs_;
+    gateway_state* state_;
     peer_messenger* messenger_;
     http_exchange* exchange_;
     instant arrived_;
--- a/src/Gateway/request_flow_choice.cpp
+++ b/src/Gateway/request_flow_choice.cpp
@@ -60,13 +60,14 @@
 
 // Guards against refusals while a service's replicas are there and write their
 // entries again, which lapsed in the store's outage.
-bool request_flow::awaits_entries(instant now) const {
-    return !beliefs_->choice.any_accepts_requests(need_.service) &&
-           beliefs_->list_refills(now) && now < arrived_ + route_->objective;
+bool request_handler::awaits_entries(instant now) const {
+    return !state_->choice.any_accepts_requests(need_.service) &&
+           state_->registry_refilling(now) &&
+           now < arrived_ + route_->objective;
 }
 
-std::optional<replica*> request_flow::plain_replica(instant now) {
-    replica* const best = beliefs_->choice.best(need_, now);
+std::optional<replica*> request_handler::plain_replica(instant now) {
+    replica* const best = state_->choice.best(need_, now);
     if (best == nullptr && awaits_entries(now)) {
         return std::nullopt;
     }
@@ -78,14 +79,14 @@
     return best;
 }
 
-void request_flow::ask_for_copy(replica* home, bool urgent) {
+void request_handler::ask_for_copy(replica* home, bool urgent) {
     if (home == nullptr) {
         return;
     }
     bool const first_request = asked_ != home->record.id;
     asked_ = home->record.id;
     std::uint32_t const version =
-        beliefs_->versions.newest(need_.adapter).value_or(0);
+        state_->versions.newest(need_.adapter).value_or(0);
     load_priority const kind =
         urgent ? load_priority::demand : load_priority::prefetch;
     homes_asked_ += urgent && first_request ? 1 : 0;
@@ -94,56 +95,55 @@
         patience(boot_clock::now()));
 }
 
-duration request_flow::patience(instant now) const {
+duration request_handler::patience(instant now) const {
     instant const in_time = search_began_ + part_of_objective(load_share);
-    return std::min(in_time, deadline_ - least_run) - now;
+    return std::min(in_time, deadline_ - min_attempt_time) - now;
 }
 
-duration request_flow::part_of_objective(double part) const {
+duration request_handler::part_of_objective(double part) const {
     std::chrono::duration<double> const objective = route_->objective;
     return std::chrono::duration_cast<duration>(objective * part);
 }
 
-void request_flow::want_copies(replica const& best, instant now) {
+void request_handler::want_copies(replica const& best, instant now) {
     std::size_t const replicas =
-        beliefs_->replicas.of_service(need_.service).size();
-    std::size_t const here = beliefs_->choice.resident_count(need_, now);
+        state_->replicas.of_service(need_.service).size();
+    std::size_t const here = state_->choice.resident_count(need_, now);
     std::size_t const wanted =
-        beliefs_->demand.target_replica_count(need_.adapter, replicas, now);
+        state_->demand.target_replica_count(need_.adapter, replicas, now);
     // A copy spreads nothing while the holders are no fuller than the others.
     // Each node guesses the demand from its own few requests, and the highest
     // of many guesses would make copies everywhere.
-    double const mean = beliefs_->choice.mean_utilization(need_.service, now);
+    double const mean = state_->choice.mean_utilization(need_.service, now);
     bool const fuller =
         replica_selector::utilization(best, now) > mean + noticed_crowding;
     // Where prompts queue at all holders one more pays whatever the share: it
     // may be another adapter there that fills them.
     bool const queues =
         replica_selector::utilization(best, now) >= queue_crowding &&
-        beliefs_->demand.warrants_replication(need_.adapter, replicas, now);
+        state_->demand.warrants_replication(need_.adapter, replicas, now);
     if (fuller && here > 0 && (here < wanted || queues)) {
         // While its holders have room the copy waits for loads that somebody
         // waits for.
         bool const urgent =
             replica_selector::utilization(best, now) >= copy_crowding;
-        ask_for_copy(
-            beliefs_->choice.next_preferred_replica(need_, now), urgent);
+        ask_for_copy(state_->choice.next_preferred_replica(need_, now), urgent);
     }
 }
 
-replica* request_flow::home_for(instant now) {
+replica* request_handler::home_for(instant now) {
     // A home that was asked stays the one while it can: the load may be under
     // way, and another would be a second one for nothing.
-    replica* const asked = beliefs_->replicas.find(asked_);
+    replica* const asked = state_->replicas.find(asked_);
     // One that has filled up meanwhile would be a reason to refuse.
     if (asked != nullptr && asked->accepts_requests() &&
         asked->denial(need_.adapter, now) == nullptr &&
         asked->load() < full_load && !asked->health.suspected(now)) {
         return asked;
     }
-    replica* const next = beliefs_->choice.next_preferred_replica(need_, now);
+    replica* const next = state_->choice.next_preferred_replica(need_, now);
     replica const* const soonest =
-        beliefs_->choice.soonest_ready_replica(need_, now);
+        state_->choice.soonest_ready_replica(need_, now);
     bool const all_asked = next == nullptr || homes_asked_ >= most_homes;
     if (soonest != nullptr && all_asked) {
         soonest_ = soonest->denial(need_.adapter, now)->ready_at - now;
@@ -152,26 +152,26 @@
     return next;
 }
 
-bool request_flow::should_hold(replica const& at, instant now) const {
+bool request_handler::should_hold(replica const& at, instant now) const {
     double const waiting = at.backlog(now);
     return waiting > least_backlog &&
            waiting + demand_.prompt_tokens > most_together &&
            now < arrived_ + part_of_objective(longest_hold);
 }
 
-std::optional<replica*> request_flow::adapter_replica(instant now) {
+std::optional<replica*> request_handler::adapter_replica(instant now) {
     holding_ = false;
     std::uint32_t const newest =
-        beliefs_->versions.newest(need_.adapter).value_or(0);
+        state_->versions.newest(need_.adapter).value_or(0);
     need_.min_version = newest;
-    replica* best = beliefs_->choice.best(need_, now);
+    replica* best = state_->choice.best(need_, now);
     std::uint32_t const least =
-        beliefs_->versions.min_version(need_.adapter, now);
+        state_->versions.min_version(need_.adapter, now);
     if (best == nullptr && least < newest) {
         // The old version serves until the new one lies somewhere.
-        ask_for_copy(beliefs_->choice.next_preferred_replica(need_, now), true);
+        ask_for_copy(state_->choice.next_preferred_replica(need_, now), true);
         need_.min_version = least;
-        best = beliefs_->choice.best(need_, now);
+        best = state_->choice.best(need_, now);
     }
     bool const sound = best != nullptr && !best->health.suspected(now);
     if (sound && best->usage_known(now) && best->load() < easy_load) {
@@ -199,7 +199,7 @@
     // its load is older. When all are busy a further load would make everybody
     // late, and places come free elsewhere no sooner.
     bool const service_busy =
-        beliefs_->choice.mean_utilization(need_.service, now) >= busy_service;
+        state_->choice.mean_utilization(need_.service, now) >= busy_service;
     if (home != nullptr && (home->load() < full_load || !service_busy)) {
         ask_for_copy(home, true);
         return std::nullopt;
@@ -213,7 +213,7 @@
         return std::nullopt;
     }
     if (none && now < arrived_ + route_->objective &&
-        beliefs_->choice.any_accepts_requests(need_.service)) {
+        state_->choice.any_accepts_requests(need_.service)) {
         // All that lies anywhere is in use right now; some of it ends soon.
         return std::nullopt;
     }
@@ -225,29 +225,29 @@
 // home itself, or takes its holder for absent, the denial is there before the
 // request waits, and nobody tells it again. A refusal took 300 ms for each
 // home.
-bool request_flow::denied_already(instant now) const {
-    replica const* const home = beliefs_->replicas.find(asked_);
+bool request_handler::denied_already(instant now) const {
+    replica const* const home = state_->replicas.find(asked_);
     return home != nullptr && home->denial(need_.adapter, now) != nullptr;
 }
 
-asio::awaitable<void> request_flow::freshen_loads() {
+asio::awaitable<void> request_handler::freshen_loads() {
     auto const caller = leaving_;
     instant const began = boot_clock::now();
     instant const until = began + ask_time;
     auto const asked = messenger_->query_replica_usage(
-        beliefs_->choice.compared_replicas(need_, began), need_.adapter, began);
+        state_->choice.compared_replicas(need_, began), need_.adapter, began);
     auto const unanswered = [&](endpoint_id const& id) {
-        replica const* const at = beliefs_->replicas.find(id);
+        replica const* const at = state_->replicas.find(id);
         return at != nullptr && at->usage_received_at < began;
     };
     while (std::ranges::any_of(asked, unanswered) && !caller->gone &&
            boot_clock::now() < until) {
         adapter_id adapter = need_.adapter;
-        co_await beliefs_->waiters.wait(std::move(adapter), until);
+        co_await state_->waiters.wait(std::move(adapter), until);
     }
 }
 
-asio::awaitable<replica*> request_flow::find_replica() {
+asio::awaitable<replica*> request_handler::find_replica() {
     auto const caller = leaving_;
     co_await freshen_loads();
     instant const began = boot_clock::now();
@@ -256,12 +256,13 @@
     soonest_.reset();
     asked_ = endpoint_id();
     instant const give_up = std::min(
-        deadline_ - least_run, began + part_of_objective(give_up_objectives));
+        deadline_ - min_attempt_time,
+        began + part_of_objective(give_up_objectives));
     bool waited = false;
     bool freshened = false;
     while (!caller->gone) {
         instant const now = boot_clock::now();
-        if (now >= deadline_ - least_run) {
+        if (now >= deadline_ - min_attempt_time) {
             reason_ = "too-late";
             co_return nullptr;
         }
@@ -273,7 +274,7 @@
         }
         if (found && (!waited || *found == nullptr || freshened)) {
             if (waited) {
-                beliefs_->metrics.observe_load_wait(now - began);
+                state_->metrics.observe_load_wait(now - began);
             }
             co_return *found;
         }
@@ -289,15 +290,15 @@
             co_return nullptr;
         }
         if (!waited && !holding_) {
-            beliefs_->note(log_line(event_code::request_waits)
-                               .with("id", demand_.id.str())
-                               .with("adapter", need_.adapter.str())
-                               .with("at", asked_.str()));
+            state_->log_event(log_line(event_code::request_waits)
+                                  .with("id", demand_.id.str())
+                                  .with("adapter", need_.adapter.str())
+                                  .with("at", asked_.str()));
         }
         waited = waited || !holding_;
         adapter_id adapter = need_.adapter;
         instant const look = holding_ ? now + hold_look : now + want_again;
-        co_await beliefs_->waiters.wait(
+        co_await state_->waiters.wait(
             std::move(adapter), std::min(give_up, look));
     }
     reason_ = "caller-gone";
--- a/src/Gateway/request_flow_ending.cpp
+++ b/src/Gateway/request_flow_ending.cpp
@@ -41,8 +41,8 @@
 
 } // namespace
 
-void request_flow::note_evidence(endpoint_id const& at, attempt_end end) {
-    replica* const target = beliefs_->replicas.find(at);
+void request_handler::note_evidence(endpoint_id const& at, attempt_end end) {
+    replica* const target = state_->replicas.find(at);
     if (target == nullptr || leaving_->gone) {
         return;
     }
@@ -57,7 +57,7 @@
     }
     if (target->health.add_outcome(evidence, now)) {
         duration const rest = target->health.suspected_until() - now;
-        beliefs_->note(
+        state_->log_event(
             log_line(event_code::replica_suspected, log_level::warning)
                 .with("replica", at.str())
                 .with("rest_ms", rest));
@@ -67,14 +67,14 @@
 
 // Guards against a request that has ended its third replica and is sent on to
 // the next one while the nodes that count it are about to say so.
-asio::awaitable<void> request_flow::hear_counts() {
-    asio::steady_timer timer(beliefs_->io, word_of_counts);
+asio::awaitable<void> request_handler::hear_counts() {
+    asio::steady_timer timer(state_->io, word_of_counts);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
 // Guards against requests of one content that go out side by side while nobody
 // knows yet that it ends its replicas; see request_gate.
-asio::awaitable<bool> request_flow::pass_gate(endpoint_id at) {
+asio::awaitable<bool> request_handler::pass_gate(endpoint_id at) {
     auto const caller = leaving_;
     if (!messenger_->requires_admission(content_, boot_clock::now())) {
         co_return true;
@@ -83,12 +83,12 @@
         combine_hashes(hash_text(demand_.id.str()), tries_);
     bool const begins = co_await messenger_->request_admission(content_, run);
     if (!begins) {
-        asio::steady_timer timer(beliefs_->io, gate_pause);
+        asio::steady_timer timer(state_->io, gate_pause);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         co_return false;
     }
     gate_run_ = run;
-    replica const* const still = beliefs_->replicas.find(at);
+    replica const* const still = state_->replicas.find(at);
     bool const usable = still != nullptr && still->accepts_requests() &&
                         !caller->gone && !refuse_held();
     if (!usable) {
@@ -97,14 +97,14 @@
     co_return usable;
 }
 
-void request_flow::prove_content() {
+void request_handler::prove_content() {
     if (gate_run_) {
         gate_run_.reset();
         messenger_->report_progress(content_);
     }
 }
 
-void request_flow::leave_gate(attempt_end end) {
+void request_handler::leave_gate(attempt_end end) {
     bool const answered = end == attempt_end::failed ||
                           (end == attempt_end::finished && !leaving_->gone);
     if (answered) {
@@ -115,12 +115,12 @@
     }
 }
 
-bool request_flow::note_content(endpoint_id const& at, attempt_end end) {
+bool request_handler::note_content(endpoint_id const& at, attempt_end end) {
     // A caller that has left breaks its own run off. A replica that answers
     // what is no good goes on.
     if (end == attempt_end::broken && trace_.broke_off && !leaving_->gone) {
         return messenger_->report_crash(
-            content_, start_name(at, beliefs_->replicas));
+            content_, start_name(at, state_->replicas));
     }
     constexpr int first_redirect = 300;
     bool const whole = ended_ && ledger_.phase() == attempt_phase::completed &&
@@ -131,22 +131,22 @@
     return false;
 }
 
-void request_flow::note_attempt(endpoint_id const& at, attempt_end end) {
+void request_handler::note_attempt(endpoint_id const& at, attempt_end end) {
     constexpr std::string_view names[] = {"finished", "refused", "unreached",
                                           "failed",   "silent",  "broken",
                                           "unproven", "late"};
-    beliefs_->note(log_line(event_code::attempt_ended)
-                       .with("id", demand_.id.str())
-                       .with("replica", at.str())
-                       .with("end", names[static_cast<std::size_t>(end)])
-                       .with("may_run", static_cast<int>(ledger_.may_run()))
-                       .with("after", trace_.after)
-                       .with("events", position_.last().value_or(0))
-                       .with("body", trace_.body)
-                       .with("half_bytes", trace_.half_bytes));
+    state_->log_event(log_line(event_code::attempt_ended)
+                          .with("id", demand_.id.str())
+                          .with("replica", at.str())
+                          .with("end", names[static_cast<std::size_t>(end)])
+                          .with("may_run", static_cast<int>(ledger_.may_run()))
+                          .with("after", trace_.after)
+                          .with("events", position_.last().value_or(0))
+                          .with("body", trace_.body)
+                          .with("half_bytes", trace_.half_bytes));
 }
 
-milliseconds request_flow::come_back() const {
+milliseconds request_handler::come_back() const {
     // Long enough for a load, short enough that one more try fits.
     constexpr milliseconds one_load{400};
     if (held_for_) {
@@ -157,7 +157,7 @@
     return std::max(one_load, forecast);
 }
 
-http_response request_flow::final_answer() {
+http_response request_handler::final_answer() {
     http_request const& request = exchange_->request();
     if (status_ == status_not_found) {
         return platform::own_answer(status_, request, std::nullopt);
@@ -173,24 +173,24 @@
     return platform::own_answer(status, request, std::nullopt);
 }
 
-void request_flow::note_end(std::string_view reason) {
-    beliefs_->metrics.count_end(leaving_->gone ? "caller-gone" : reason);
+void request_handler::note_end(std::string_view reason) {
+    state_->metrics.count_request(leaving_->gone ? "caller-gone" : reason);
     duration const first =
         first_sent_ == instant{} ? duration::zero() : first_sent_ - arrived_;
-    beliefs_->note(log_line(event_code::request_ended)
-                       .with("id", demand_.id.str())
-                       .with("first_ms", first)
-                       .with("pause_ms", longest_pause_)
-                       .with("route", route_ ? route_->name : "")
-                       .with("reason", reason)
-                       .with("status", status_)
-                       .with("whole", static_cast<int>(ended_))
-                       .with("may_run", static_cast<int>(ledger_.may_run()))
-                       .with("sends", ledger_.sends())
-                       .with("took_ms", boot_clock::now() - arrived_));
+    state_->log_event(log_line(event_code::request_ended)
+                          .with("id", demand_.id.str())
+                          .with("first_ms", first)
+                          .with("pause_ms", longest_pause_)
+                          .with("route", route_ ? route_->name : "")
+                          .with("reason", reason)
+                          .with("status", status_)
+                          .with("whole", static_cast<int>(ended_))
+                          .with("may_run", static_cast<int>(ledger_.may_run()))
+                          .with("sends", ledger_.sends())
+                          .with("took_ms", boot_clock::now() - arrived_));
 }
 
-asio::awaitable<void> request_flow::finish(std::string_view why) {
+asio::awaitable<void> request_handler::finish(std::string_view why) {
     auto const caller = leaving_;
     std::string const reason(why);
     if (!ended_ && !caller->gone && !begun_) {
--- a/src/Gateway/request_flow_passing.cpp
+++ b/src/Gateway/request_flow_passing.cpp
@@ -19,15 +19,15 @@
 
 } // namespace
 
-asio::awaitable<request_flow::attempt_end>
-request_flow::read_answer(endpoint_id at, std::shared_ptr<http_call> call) {
+asio::awaitable<request_handler::attempt_end>
+request_handler::read_answer(endpoint_id at, std::shared_ptr<http_call> call) {
     auto const caller = leaving_;
     int const status = call->status();
     answer_kind const kind = platform::judge_answer(status, call->fields());
     if (kind == answer_kind::not_executed || kind == answer_kind::misdirected) {
         ledger_.on_not_executed();
         if (kind == answer_kind::misdirected && !need_.adapter.empty()) {
-            beliefs_->replicas.mark_unloading(
+            state_->replicas.mark_unloading(
                 at, need_.adapter, boot_clock::now());
         }
         // Read to its end, so that the connection can be kept.
@@ -54,7 +54,7 @@
     co_return co_await pass_whole(call, status);
 }
 
-asio::awaitable<bool> request_flow::forward(std::string_view piece) {
+asio::awaitable<bool> request_handler::forward(std::string_view piece) {
     auto const caller = leaving_;
     if (piece.empty()) {
         co_return true;
@@ -72,13 +72,13 @@
     co_return passed;
 }
 
-asio::awaitable<bool>
-request_flow::hand_on(std::shared_ptr<http_call> call, joined_events events) {
+asio::awaitable<bool> request_handler::hand_on(
+    std::shared_ptr<http_call> call, joined_events events) {
     auto const caller = leaving_;
     if (!begun_) {
         begun_ = true;
         status_ = call->status();
-        beliefs_->metrics.observe_first_byte(boot_clock::now() - arrived_);
+        state_->metrics.observe_first_byte(boot_clock::now() - arrived_);
         http_fields fields = platform::pass_fields(call->fields());
         bool const begun =
             co_await exchange_->begin_stream(status_, std::move(fields));
@@ -89,8 +89,8 @@
     co_return passed && !caller->gone;
 }
 
-asio::awaitable<request_flow::attempt_end>
-request_flow::pass_stream(std::shared_ptr<http_call> call) {
+asio::awaitable<request_handler::attempt_end>
+request_handler::pass_stream(std::shared_ptr<http_call> call) {
     auto const caller = leaving_;
     bool const resumable = route_->resumable;
     attempt_stream run;
@@ -128,7 +128,7 @@
     }
 }
 
-asio::awaitable<request_flow::attempt_end> request_flow::end_run(
+asio::awaitable<request_handler::attempt_end> request_handler::end_run(
     std::shared_ptr<http_call> call, attempt_stream const& run,
     bool read_whole) {
     auto const caller = leaving_;
@@ -162,8 +162,8 @@
     co_return attempt_end::finished;
 }
 
-asio::awaitable<request_flow::attempt_end>
-request_flow::pass_whole(std::shared_ptr<http_call> call, int status) {
+asio::awaitable<request_handler::attempt_end>
+request_handler::pass_whole(std::shared_ptr<http_call> call, int status) {
     auto const caller = leaving_;
     http_response answer;
     answer.status = status;
@@ -185,7 +185,7 @@
         co_return attempt_end::failed;
     }
     status_ = status;
-    beliefs_->metrics.observe_first_byte(boot_clock::now() - arrived_);
+    state_->metrics.observe_first_byte(boot_clock::now() - arrived_);
     ended_ = co_await exchange_->respond(std::move(answer));
     caller->gone = caller->gone || !ended_;
     co_return attempt_end::finished;
--- a/src/Gateway/slot_orderer.cpp
+++ b/src/Gateway/slot_orderer.cpp
@@ -41,15 +41,15 @@
 } // namespace
 
 replica_controller::replica_controller(
-    gateway_beliefs& beliefs, platform::store_client& store)
-    : beliefs_(&beliefs)
+    gateway_state& state, platform::store_client& store)
+    : state_(&state)
     , store_(&store)
-    , claim_timer_(beliefs.io) {}
+    , claim_timer_(state.io) {}
 
 void replica_controller::start() {
     *running_ = true;
     asio::co_spawn(
-        beliefs_->io, [this] { return renew(); }, asio::detached);
+        state_->io, [this] { return renew(); }, asio::detached);
 }
 
 void replica_controller::stop() {
@@ -57,10 +57,10 @@
         return;
     }
     *running_ = false;
-    beliefs_->leases.clear();
+    state_->leases.clear();
     wake_workers();
     asio::co_spawn(
-        beliefs_->io, [this] { return leave(); }, asio::detached);
+        state_->io, [this] { return leave(); }, asio::detached);
 }
 
 void replica_controller::wake_workers() {
@@ -70,7 +70,7 @@
     if (*running_) {
         spawn_workers();
     }
-    if (!beliefs_->leases.partitions_without_token().empty()) {
+    if (!state_->leases.partitions_without_token().empty()) {
         claim_timer_.cancel();
     }
 }
@@ -78,7 +78,7 @@
 std::optional<slot_limits>
 replica_controller::limits_of(replica const& at) const {
     service_definition const* const service =
-        beliefs_->configuration.find_service(at.record.service);
+        state_->configuration.find_service(at.record.service);
     if (service == nullptr || !service->engine) {
         return std::nullopt;
     }
@@ -89,20 +89,20 @@
 
 void replica_controller::spawn_workers() {
     instant const now = boot_clock::now();
-    for (auto const& [id, at] : beliefs_->replicas.all()) {
-        auto const token = beliefs_->leases.token(partition_of(id), now);
+    for (auto const& [id, at] : state_->replicas.all()) {
+        auto const token = state_->leases.token(partition_of(id), now);
         auto const limits = limits_of(at);
         if (!token || !limits || !at.accepts_requests() || held_.contains(id)) {
             continue;
         }
         auto const held = std::make_shared<held_replica>(
-            *limits, limiter_, beliefs_->io, *token,
-            *beliefs_->leases.exclusive_since(partition_of(id)));
+            *limits, limiter_, state_->io, *token,
+            *state_->leases.exclusive_since(partition_of(id)));
         held_[id] = held;
         limiter_->set_replicas(held_.size());
         by_short_name_[fleet::id_hash(id)] = id;
         asio::co_spawn(
-            beliefs_->io, [this, id = id, held] { return work(id, held); },
+            state_->io, [this, id = id, held] { return work(id, held); },
             asio::detached);
     }
 }
@@ -122,7 +122,7 @@
         if (*running_) {
             return std::nullopt;
         }
-        return beliefs_->settings.leases.lease;
+        return state_->settings.leases.lease;
     }
     adapter_ref const adapter{adapter_id(asked.adapter), asked.version};
     slot_tracker& account = held->second->account;
@@ -132,9 +132,8 @@
         std::vector<peer_residency> words{
             {0, asked.adapter, asked.version, true}};
         messenger_->broadcast_residency(held->first, std::move(words));
-        beliefs_->replicas.mark_resident(
-            held->first, adapter, boot_clock::now());
-        beliefs_->waiters.notify(adapter.id);
+        state_->replicas.mark_resident(held->first, adapter, boot_clock::now());
+        state_->waiters.notify(adapter.id);
         return std::nullopt;
     }
     instant const now = boot_clock::now();
@@ -148,7 +147,7 @@
                    : std::nullopt;
     bool const fresh = !account.load_requested(adapter.id);
     if (refused || fresh) {
-        beliefs_->note(
+        state_->log_event(
             log_line(
                 refused ? event_code::load_turned_away
                         : event_code::load_queued)
@@ -188,10 +187,10 @@
     std::vector<peer_residency> words;
     for (residency_change const& each : account.drain_changes()) {
         if (each.resident) {
-            beliefs_->replicas.mark_resident(id, each.adapter, now);
-            beliefs_->waiters.notify(each.adapter.id);
+            state_->replicas.mark_resident(id, each.adapter, now);
+            state_->waiters.notify(each.adapter.id);
         } else {
-            beliefs_->replicas.mark_unloading(id, each.adapter.id, now);
+            state_->replicas.mark_unloading(id, each.adapter.id, now);
         }
         words.push_back(
             {0, each.adapter.id.str(), each.adapter.version, each.resident});
@@ -210,10 +209,10 @@
 
 asio::awaitable<void>
 replica_controller::work_once(endpoint_id id, held_ptr held) {
-    replica const* const at = beliefs_->replicas.find(id);
+    replica const* const at = state_->replicas.find(id);
     instant const now = boot_clock::now();
-    auto const token = beliefs_->leases.token(partition_of(id), now);
-    auto const since = beliefs_->leases.exclusive_since(partition_of(id));
+    auto const token = state_->leases.token(partition_of(id), now);
+    auto const since = state_->leases.exclusive_since(partition_of(id));
     if (at == nullptr || !at->accepts_requests() || !token ||
         since != held->since) {
         held->ended = true;
@@ -237,7 +236,7 @@
     }
     want_newer_versions(account);
     service_definition const* const service =
-        beliefs_->configuration.find_service(at->record.service);
+        state_->configuration.find_service(at->record.service);
     if (account.has_report() && !account.has_model() &&
         !account.base_model_set() && service != nullptr && service->engine &&
         !service->engine->models.empty() && may_load_model(*service)) {
@@ -256,10 +255,10 @@
 
 asio::awaitable<void>
 replica_controller::report(endpoint_id id, held_ptr held) {
-    replica const* const at = beliefs_->replicas.find(id);
+    replica const* const at = state_->replicas.find(id);
     ip_address to = at->record.address;
     bool const first = !held->account.has_report();
-    http_call call(beliefs_->io.get_executor(), &beliefs_->replica_connections);
+    http_call call(state_->io.get_executor(), &state_->replica_connections);
     call_times times;
     times.each_step = replica_timeout;
     http_request request = platform::make_report_request(id);
@@ -273,36 +272,36 @@
         answered ? platform::read_report(got.response.body) : std::nullopt;
     if (!read) {
         held->account.on_report_failed(now);
-        asio::steady_timer timer(beliefs_->io, no_right_pause);
+        asio::steady_timer timer(state_->io, no_right_pause);
         co_await timer.async_wait(use_result);
         co_return;
     }
     held->account.apply_report(*read, now);
     if (first) {
-        beliefs_->note(log_line(event_code::replica_reported)
-                           .with("replica", id.str())
-                           .with("sequence", read->sequence)
-                           .with("adapters", read->adapters.size())
-                           .with("models", read->models.size()));
+        state_->log_event(log_line(event_code::replica_reported)
+                              .with("replica", id.str())
+                              .with("sequence", read->sequence)
+                              .with("adapters", read->adapters.size())
+                              .with("models", read->models.size()));
     }
     publish(id, held->account);
 }
 
 asio::awaitable<void> replica_controller::order(
     endpoint_id id, held_ptr held, replica_command order) {
-    replica const* const at = beliefs_->replicas.find(id);
+    replica const* const at = state_->replicas.find(id);
     ip_address to = at->record.address;
-    http_call call(beliefs_->io.get_executor(), &beliefs_->replica_connections);
+    http_call call(state_->io.get_executor(), &state_->replica_connections);
     http_request request = platform::make_order(
-        order, id, beliefs_->settings.name.str(), held->token);
+        order, id, state_->settings.name.str(), held->token);
     // Read again right before the act: the node may have been suspended.
     instant const now = boot_clock::now();
-    auto const token = beliefs_->leases.token(partition_of(id), now);
+    auto const token = state_->leases.token(partition_of(id), now);
     if (!token || *token != held->token) {
         held->account.on_result(order, command_result::not_sent, now);
         co_return;
     }
-    call_times const times = order_times(beliefs_->leases);
+    call_times const times = command_times(state_->leases);
     auto const got =
         co_await fetch(call, std::move(to), std::move(request), times);
     command_result answer = command_result::no_answer;
@@ -311,7 +310,7 @@
     } else if (got.how == call_result::not_sent) {
         answer = command_result::not_sent;
     }
-    beliefs_->metrics.count_order(to_string(answer));
+    state_->metrics.count_command(to_string(answer));
     // An order that is given again to see how far it is decides nothing.
     bool const same_again = held->account.command_pending(order.adapter.id) &&
                             answer == command_result::accepted;
@@ -319,7 +318,7 @@
         note_order(id, *held, order, answer);
     }
     if (answer == command_result::fenced) {
-        beliefs_->leases.on_higher_token(partition_of(id), held->token + 1);
+        state_->leases.on_higher_token(partition_of(id), held->token + 1);
     }
     held->account.on_result(order, answer, boot_clock::now());
     publish(id, held->account);
@@ -327,7 +326,7 @@
         note_replaced(id);
     }
     if (answer == command_result::not_sent) {
-        asio::steady_timer timer(beliefs_->io, no_right_pause);
+        asio::steady_timer timer(state_->io, no_right_pause);
         co_await timer.async_wait(use_result);
     }
 }
@@ -337,34 +336,34 @@
 // there, and the replica that has its address now turned each order away.
 void replica_controller::note_replaced(endpoint_id const& id) {
     instant const now = boot_clock::now();
-    replica const* const at = beliefs_->replicas.find(id);
+    replica const* const at = state_->replicas.find(id);
     if (at == nullptr || !at->accepts_requests()) {
         return;
     }
-    beliefs_->note(log_line(event_code::replica_gone, log_level::warning)
-                       .with("replica", id.str())
-                       .with("why", "its address is another's"));
+    state_->log_event(log_line(event_code::replica_gone, log_level::warning)
+                          .with("replica", id.str())
+                          .with("why", "its address is another's"));
     messenger_->broadcast_suspicion(*at, entry_lapses);
-    beliefs_->replicas.mark_unlisted(id, false, now);
+    state_->replicas.mark_unlisted(id, false, now);
 }
 
 void replica_controller::note_order(
     endpoint_id const& id, held_replica const& held,
     replica_command const& order, command_result answer) {
-    beliefs_->note(log_line(event_code::order_answered)
-                       .with("replica", id.str())
-                       .with("order", to_string(order.kind))
-                       .with("adapter", order.adapter.id.str())
-                       .with("expect", order.expected_count)
-                       .with("token", held.token)
-                       .with("answer", to_string(answer)));
+    state_->log_event(log_line(event_code::order_answered)
+                          .with("replica", id.str())
+                          .with("order", to_string(order.kind))
+                          .with("adapter", order.adapter.id.str())
+                          .with("expect", order.expected_count)
+                          .with("token", held.token)
+                          .with("answer", to_string(answer)));
 }
 
 void replica_controller::want_newer_versions(slot_tracker& account) {
     // What is in use is left as it is, and the account sees to that: requests
     // go to a replica that gets the new version in a slot of its own.
     instant const now = boot_clock::now();
-    for (adapter_ref const& each : beliefs_->versions.all()) {
+    for (adapter_ref const& each : state_->versions.all()) {
         bool const outdated =
             account.ready({each.id, 0}) && !account.ready(each);
         if (outdated) {
@@ -382,7 +381,7 @@
     });
     std::chrono::duration<double> const window = load_window;
     double const share =
-        static_cast<double>(beliefs_->leases.held_partitions().size()) /
+        static_cast<double>(state_->leases.held_partitions().size()) /
         static_cast<double>(partition_count);
     double const most = std::max(
         1.0, service.engine->loads_per_second * window.count() * share);
--- a/src/Gateway/slot_orderer.hpp
+++ b/src/Gateway/slot_orderer.hpp
@@ -22,7 +22,7 @@
 public:
     /// @param beliefs must outlive this
     /// @param store   must outlive this
-    replica_controller(gateway_beliefs& beliefs, platform::store_client& store);
+    replica_controller(gateway_state& state, platform::store_client& store);
 
     /// Where word to other nodes goes; set before start.
     void set_messenger(peer_messenger& words) { messenger_ = &words; }
@@ -86,7 +86,7 @@
     find_held(std::uint64_t replica) const;
     std::optional<slot_limits> limits_of(replica const& at) const;
 
-    gateway_beliefs* beliefs_;
+    gateway_state* state_;
     platform::store_client* store_;
     peer_messenger* messenger_ = nullptr;
     std::map<endpoint_id, held_ptr> held_;
--- a/src/Gateway/slot_orderer_leases.cpp
+++ b/src/Gateway/slot_orderer_leases.cpp
@@ -58,22 +58,22 @@
 
 asio::awaitable<void> replica_controller::leave() {
     auto const alive = running_;
-    std::string member = beliefs_->own_name;
+    std::string member = state_->own_address;
     std::string group = group_name;
     auto const left =
         co_await store_->leave(std::move(group), std::move(member));
     if (!left) {
         // The lease lapses by itself; others wait for it.
-        beliefs_->note(log_line(event_code::partition_lost)
-                           .with("why", to_string(left.error())));
+        state_->log_event(log_line(event_code::partition_lost)
+                              .with("why", to_string(left.error())));
     }
 }
 
 asio::awaitable<void> replica_controller::claim_used() {
     auto const alive = running_;
-    for (std::size_t const each : beliefs_->leases.partitions_without_token()) {
-        bool const used = std::ranges::any_of(
-            beliefs_->replicas.all(), [&](auto const& other) {
+    for (std::size_t const each : state_->leases.partitions_without_token()) {
+        bool const used =
+            std::ranges::any_of(state_->replicas.all(), [&](auto const& other) {
                 return partition_of(other.first) == each &&
                        limits_of(other.second);
             });
@@ -92,12 +92,12 @@
     while (*alive) {
         if (boot_clock::now() >= renew_at) {
             co_await renew_once();
-            renew_at = boot_clock::now() + beliefs_->settings.leases.renewal;
+            renew_at = boot_clock::now() + state_->settings.leases.renewal;
         }
         co_await claim_used();
         spawn_workers();
         instant const settled =
-            beliefs_->leases.next_settling_end(boot_clock::now());
+            state_->leases.next_settling_end(boot_clock::now());
         claim_timer_.expires_after(time_until(std::min(renew_at, settled)));
         co_await claim_timer_.async_wait(use_result);
     }
@@ -109,15 +109,15 @@
     for (std::size_t each = 0; each < topic_count; ++each) {
         topics.push_back(topic_name(each));
     }
-    partition_leases& leases = beliefs_->leases;
+    partition_leases& leases = state_->leases;
     std::string group = group_name;
-    std::string member = beliefs_->own_name;
+    std::string member = state_->own_address;
     // The lease counts from before the call: the store's own count begins when
     // the call arrives, which is later.
     instant const started = boot_clock::now();
     auto const grant = co_await store_->join(
         std::move(group), std::move(member), std::move(topics),
-        beliefs_->settings.leases.lease, leases.generation());
+        state_->settings.leases.lease, leases.generation());
     instant const now = boot_clock::now();
     if (!*running_) {
         co_return;
@@ -137,12 +137,12 @@
         started, grant.value().generation, partitions, now);
     auto const after = leases.held_partitions();
     if (before != after) {
-        beliefs_->note(log_line(event_code::partition_gained)
-                           .with("held", after.size())
-                           .with("before", before.size())
-                           .with("generation", grant.value().generation));
+        state_->log_event(log_line(event_code::partition_gained)
+                              .with("held", after.size())
+                              .with("before", before.size())
+                              .with("generation", grant.value().generation));
         for (std::size_t const each : after) {
-            messenger_->set_lease_holder(each, beliefs_->own_name);
+            messenger_->set_lease_holder(each, state_->own_address);
         }
     }
     // Holders tell their claims to all nodes they know. The list is for those
@@ -175,8 +175,8 @@
             others.insert(each.member);
         }
     }
-    others.erase(beliefs_->own_name);
-    beliefs_->start.set_peers(beliefs_->own_name, others);
+    others.erase(state_->own_address);
+    state_->start.set_peers(state_->own_address, others);
     messenger_->query_declared();
 }
 
@@ -185,7 +185,7 @@
     // The place of a record in the log is had by one node only, and a later
     // holder's is higher: it is the fencing number.
     std::string topic = topic_name(partition / parts_of_topic);
-    std::string record = beliefs_->own_name;
+    std::string record = state_->own_address;
     auto const offset = co_await store_->append(
         std::move(topic), static_cast<unsigned>(partition % parts_of_topic),
         std::move(record));
@@ -193,7 +193,7 @@
         co_return;
     }
     std::uint64_t const token = fencing_number(offset.value());
-    if (beliefs_->leases.set_token(partition, token)) {
+    if (state_->leases.set_token(partition, token)) {
         messenger_->broadcast_claim(partition, token);
     }
 }
--- a/src/Gateway/store_watch.cpp
+++ b/src/Gateway/store_watch.cpp
@@ -17,9 +17,9 @@
 } // namespace
 
 store_monitor::store_monitor(
-    gateway_beliefs& beliefs, std::function<void()> came_back,
+    gateway_state& state, std::function<void()> came_back,
     std::function<void(store_epoch epoch, instant read_at)> gone_back)
-    : beliefs_(&beliefs)
+    : state_(&state)
     , came_back_(std::move(came_back))
     , gone_back_(std::move(gone_back)) {}
 
@@ -28,31 +28,31 @@
 // that place and is never read. Every answer names the era, and so does word
 // between nodes.
 void store_monitor::observe_epoch(store_epoch epoch, std::string_view by) {
-    bool const nothing_read = beliefs_->epoch == store_epoch{} &&
-                              !beliefs_->configured &&
-                              beliefs_->replicas.all().empty();
+    bool const nothing_read = state_->epoch == store_epoch{} &&
+                              !state_->configured &&
+                              state_->replicas.all().empty();
     if (nothing_read && by == epoch_from_answer) {
-        beliefs_->epoch = epoch;
+        state_->epoch = epoch;
     }
-    if (nothing_read || epoch <= beliefs_->epoch) {
+    if (nothing_read || epoch <= state_->epoch) {
         return;
     }
     instant const now = boot_clock::now();
     std::uniform_real_distribution<double> draw(0, 1);
     instant const read_at = now + std::chrono::duration_cast<duration>(
-                                      era_spread * draw(beliefs_->random));
-    beliefs_->note(
+                                      era_spread * draw(state_->random));
+    state_->log_event(
         log_line(event_code::store_gone_back, log_level::warning)
-            .with("from", static_cast<std::uint32_t>(beliefs_->epoch))
+            .with("from", static_cast<std::uint32_t>(state_->epoch))
             .with("to", static_cast<std::uint32_t>(epoch))
             .with("by", by)
             .with("reads", "replicas declarations contents")
             .with("in_ms", read_at - now));
-    beliefs_->metrics.count_store_gone_back();
-    beliefs_->epoch = epoch;
+    state_->metrics.count_store_rollback();
+    state_->epoch = epoch;
     // Entries that are not in the copy are written again, as after an outage.
-    beliefs_->store_back = now;
-    beliefs_->leases.on_store_rollback(epoch);
+    state_->store_reachable_since = now;
+    state_->leases.on_store_rollback(epoch);
     era_met_ = now;
     list_whole_ = false;
     declarations_whole_ = false;
@@ -61,16 +61,16 @@
 
 void store_monitor::note_snapshot(
     platform::store_topic topic, store_epoch epoch) {
-    if (!era_met_ || epoch != beliefs_->epoch) {
+    if (!era_met_ || epoch != state_->epoch) {
         return;
     }
     list_whole_ = list_whole_ || topic == platform::store_topic::replicas;
     declarations_whole_ =
         declarations_whole_ || topic == platform::store_topic::declarations;
     if (list_whole_ && declarations_whole_) {
-        beliefs_->note(log_line(event_code::store_whole_again)
-                           .with("era", static_cast<std::uint32_t>(epoch))
-                           .with("took_ms", boot_clock::now() - *era_met_));
+        state_->log_event(log_line(event_code::store_whole_again)
+                              .with("era", static_cast<std::uint32_t>(epoch))
+                              .with("took_ms", boot_clock::now() - *era_met_));
         era_met_.reset();
     }
 }
@@ -78,14 +78,15 @@
 void store_monitor::note_answer() {
     instant const now = boot_clock::now();
     last_answer_ = now;
-    if (beliefs_->store_lost_since == instant::max()) {
+    if (state_->store_unreachable_since == instant::max()) {
         return;
     }
-    beliefs_->note(log_line(event_code::dependency_regained)
-                       .with("what", "store")
-                       .with("out_ms", now - beliefs_->store_lost_since));
-    beliefs_->store_lost_since = instant::max();
-    beliefs_->store_back = now;
+    state_->log_event(
+        log_line(event_code::dependency_regained)
+            .with("what", "store")
+            .with("out_ms", now - state_->store_unreachable_since));
+    state_->store_unreachable_since = instant::max();
+    state_->store_reachable_since = now;
     came_back_();
 }
 
@@ -93,7 +94,7 @@
     platform::store_topic topic, instant began,
     platform::store_reading const& seen, platform::store_failure why) {
     bool const cut = why == platform::store_failure::no_answer && seen.begun();
-    bool const lost = beliefs_->store_lost_since != instant::max();
+    bool const lost = state_->store_unreachable_since != instant::max();
     // Guards against a reading that is cut on a full way being taken for an
     // outage of the store: entries that end in an outage are kept for a while,
     // so a replica that has left would get requests. A store that has answered
@@ -101,14 +102,14 @@
     if (lost || cut || last_answer_ >= began) {
         return;
     }
-    beliefs_->store_lost_since = boot_clock::now();
-    beliefs_->note(log_line(event_code::dependency_lost, log_level::warning)
-                       .with("what", "store")
-                       .with("call", to_string(topic)));
+    state_->store_unreachable_since = boot_clock::now();
+    state_->log_event(log_line(event_code::dependency_lost, log_level::warning)
+                          .with("what", "store")
+                          .with("call", to_string(topic)));
 }
 
 void log_store_read(
-    gateway_beliefs& beliefs, platform::store_topic topic, std::string_view how,
+    gateway_state& state, platform::store_topic topic, std::string_view how,
     std::uint64_t from, instant began, platform::store_reading const& seen,
     platform::store_result<platform::keyed_batch> const& brought) {
     // A wait that has brought nothing is no news.
@@ -122,7 +123,7 @@
     log_level const level = brought ? log_level::info : log_level::warning;
     std::size_t const records = brought ? brought.value().records.size() : 0;
     unsigned const unreadable = brought ? brought.value().unreadable : 0;
-    beliefs.note(
+    state.log_event(
         log_line(event_code::records_read, level)
             .with("topic", to_string(topic))
             .with("how", how)
--- a/src/Gateway/store_watch.hpp
+++ b/src/Gateway/store_watch.hpp
@@ -22,7 +22,7 @@
     /// @param gone_back called when the store has come back from an older copy,
     ///                  with the time at which this node is to read it whole
     store_monitor(
-        gateway_beliefs& beliefs, std::function<void()> came_back,
+        gateway_state& state, std::function<void()> came_back,
         std::function<void(store_epoch epoch, instant read_at)> gone_back);
 
     /// A reading has been answered.
@@ -42,7 +42,7 @@
         platform::store_reading const& seen, platform::store_failure why);
 
 private:
-    gateway_beliefs* beliefs_;
+    gateway_state* state_;
     std::function<void()> came_back_;
     std::function<void(store_epoch epoch, instant read_at)> gone_back_;
     /// When the present era was met, until all is read whole in it.
@@ -58,7 +58,7 @@
 /// @param began when it began
 /// @param seen  what came of it
 void log_store_read(
-    gateway_beliefs& beliefs, platform::store_topic topic, std::string_view how,
+    gateway_state& state, platform::store_topic topic, std::string_view how,
     std::uint64_t from, instant began, platform::store_reading const& seen,
     platform::store_result<platform::keyed_batch> const& brought);
 
--- a/test/gateway/gateway_test.cpp
+++ b/test/gateway/gateway_test.cpp
@@ -144,7 +144,7 @@
             std::make_unique<testing::served_replica>(world.loop, "p2", "", 0);
         world.list(*other, "app");
         REQUIRE(world.loop.run_until(
-            [&] { return world.node->knows(endpoint_id("p2")); }));
+            [&] { return world.node->knows_replica(endpoint_id("p2")); }));
         world.plain.engine.faults = {replica_fault::answer_lost};
         other->engine.faults = {replica_fault::answer_lost};
         auto const got = world.ask("/look/b");
@@ -192,7 +192,7 @@
         world.plain.engine.entry("app", stranger.address());
     world.metadata.store().put("keyed.servers", "gone", entry);
     REQUIRE(world.loop.run_until(
-        [&] { return world.node->knows(endpoint_id("gone")); }));
+        [&] { return world.node->knows_replica(endpoint_id("gone")); }));
     for (int each = 0; each < 8; ++each) {
         auto const got = world.ask("/book/b", "", "q" + std::to_string(each));
         CHECK(got.response.status == 200);
@@ -258,7 +258,7 @@
     endpoint_id const id("r1");
     world.metadata.store().put("keyed.servers", "r1", "{\"state\":7}");
     world.metadata.store().put("keyed.servers", "\xff odd", "\x01\x02");
-    REQUIRE(world.loop.run_until([&] { return !world.node->uses(id); }));
+    REQUIRE(world.loop.run_until([&] { return !world.node->routes_to(id); }));
     for (int each = 0; each < 3; ++each) {
         std::string const name = std::to_string(each);
         CHECK(
@@ -267,7 +267,7 @@
     }
     CHECK(world.first.engine.runs.empty());
     world.list(world.first, "llm");
-    CHECK(world.loop.run_until([&] { return world.node->uses(id); }));
+    CHECK(world.loop.run_until([&] { return world.node->routes_to(id); }));
 }
 
 TEST_CASE("a planned stop finishes what runs") {
@@ -302,7 +302,8 @@
             world.loop, name, "m", 3));
         world.list(*more.back(), "llm");
         endpoint_id const id(name);
-        REQUIRE(world.loop.run_until([&] { return world.node->knows(id); }));
+        REQUIRE(world.loop.run_until(
+            [&] { return world.node->knows_replica(id); }));
     };
     add(0);
     add(1);
--- a/test/gateway/gateway_world.cpp
+++ b/test/gateway/gateway_world.cpp
@@ -48,7 +48,7 @@
     settings.peer_address = unused_address();
     settings.metrics_address = unused_address();
     settings.store_address = local(store_.port());
-    settings.list_pause = std::chrono::milliseconds(20);
+    settings.registry_poll_interval = std::chrono::milliseconds(20);
     settings.leases.renewal = std::chrono::milliseconds(50);
     settings.leases.settling = std::chrono::milliseconds(100);
     settings.stop_accepts = std::chrono::milliseconds(20);
@@ -159,7 +159,7 @@
         make_deadly(*more_replicas.back(), deadly_body);
         list(*more_replicas.back(), "llm");
         endpoint_id const id(name);
-        REQUIRE(loop.run_until([&] { return node->knows(id); }));
+        REQUIRE(loop.run_until([&] { return node->knows_replica(id); }));
     }
 }
 
--- a/test/gateway/harmless_content_test.cpp
+++ b/test/gateway/harmless_content_test.cpp
@@ -24,7 +24,7 @@
             std::make_unique<served_replica>(world.loop, name, "", 0));
         world.list(*more.back(), "app");
         REQUIRE(world.loop.run_until(
-            [&] { return world.node->knows(endpoint_id(name)); }));
+            [&] { return world.node->knows_replica(endpoint_id(name)); }));
     }
     for (int each = 0; each < 12; ++each) {
         world.plain.engine.faults = {replica_fault::unsigned_answer};
@@ -52,7 +52,7 @@
             std::make_unique<served_replica>(world.loop, name, "", 0));
         world.list(*more.back(), "app");
         REQUIRE(world.loop.run_until(
-            [&] { return world.node->knows(endpoint_id(name)); }));
+            [&] { return world.node->knows_replica(endpoint_id(name)); }));
     }
     instant const known = boot_clock::now() + std::chrono::seconds(3);
     world.loop.run_until([&] { return boot_clock::now() >= known; });
--- a/test/gateway/literal_answers_test.cpp
+++ b/test/gateway/literal_answers_test.cpp
@@ -236,7 +236,7 @@
         unsigned listed = replicas,
         milliseconds stop_limit = milliseconds(4'000))
         : world([stop_limit](gateway_fixture& before) {
-            before.settings.second_sends.slack = 1e6;
+            before.settings.resends.slack = 1e6;
             before.settings.stop_limit = stop_limit;
         })
         , replica(world.loop) {
@@ -251,7 +251,7 @@
         endpoint_id const last(fmt::format("s{}", listed - 1));
         REQUIRE(world.loop.run_until([&] {
             return world.node->configuration_version() == 2 &&
-                   world.node->knows(last);
+                   world.node->knows_replica(last);
         }));
     }
 
--- a/test/gateway/order_times_test.cpp
+++ b/test/gateway/order_times_test.cpp
@@ -42,7 +42,7 @@
             http_call call(loop.executor(), &pool);
             http_request request;
             request.method = "POST";
-            call_times const times = order_times(leases);
+            call_times const times = command_times(leases);
             result = co_await fetch(call, server.address(), request, times);
         });
         return result.how;
--- a/test/gateway/second_sends_test.cpp
+++ b/test/gateway/second_sends_test.cpp
@@ -19,8 +19,8 @@
 
 /// Enough for one second send in a window.
 void allow_one(gateway_fixture& before) {
-    before.settings.second_sends.ratio = 0;
-    before.settings.second_sends.slack = 1.2;
+    before.settings.resends.ratio = 0;
+    before.settings.resends.slack = 1.2;
 }
 
 /// A node that may send once more in a window, before a plain service with one
@@ -37,7 +37,7 @@
         other_ = std::make_unique<served_replica>(world_.loop, "p2", "", 0);
         world_.list(*other_, "app");
         REQUIRE(world_.loop.run_until(
-            [this] { return world_.node->knows(endpoint_id("p2")); }));
+            [this] { return world_.node->knows_replica(endpoint_id("p2")); }));
     }
     /// Sends a request whose answer each replica loses.
     /// @returns how often it has run
@@ -86,8 +86,9 @@
         auto const gone =
             std::make_unique<served_replica>(test.world().loop, "p3", "", 0);
         test.world().list(*gone, "app");
-        REQUIRE(test.world().loop.run_until(
-            [&] { return test.world().node->knows(endpoint_id("p3")); }));
+        REQUIRE(test.world().loop.run_until([&] {
+            return test.world().node->knows_replica(endpoint_id("p3"));
+        }));
         gone->server.close();
         CHECK(test.runs_of_lost("lost") == 2);
     }
@@ -98,25 +99,25 @@
 TEST_CASE("nodes share the slack of second sends by what was dealt to them") {
     constexpr instant now{std::chrono::hours(1)};
     boost::asio::io_context io;
-    gateway_beliefs node(io, gateway_settings(), STDOUT_FILENO);
+    gateway_state node(io, gateway_settings(), STDOUT_FILENO);
     resend_limits const limits;
 
     SUBCASE("nothing was dealt, and nobody is heard") {
-        CHECK(limits.slack / node.slack_sharers(now) < 1);
+        CHECK(limits.slack / node.slack_divisor(now) < 1);
     }
     SUBCASE("a third was dealt, and nobody is heard") {
         std::vector<std::size_t> third(partition_count / 3);
         std::iota(third.begin(), third.end(), 0);
         node.leases.on_renewal_granted(now, 1, third, now);
-        CHECK(node.slack_sharers(now) == 3);
+        CHECK(node.slack_divisor(now) == 3);
         instant const lapsed = now + limits.window;
-        CHECK(limits.slack / node.slack_sharers(lapsed) < 1);
+        CHECK(limits.slack / node.slack_divisor(lapsed) < 1);
     }
     SUBCASE("all was dealt: a node that is alone has all") {
         std::vector<std::size_t> every(partition_count);
         std::iota(every.begin(), every.end(), 0);
         node.leases.on_renewal_granted(now, 1, every, now);
-        CHECK(node.slack_sharers(now) == 1);
+        CHECK(node.slack_divisor(now) == 1);
     }
 }
 
--- a/test/gateway/store_copy_nodes_test.cpp
+++ b/test/gateway/store_copy_nodes_test.cpp
@@ -106,12 +106,12 @@
         let_leave(world, world.first);
         CHECK(within(world, bound, [&] {
             return world.node_at(0).configuration_version() == 9 &&
-                   !world.node_at(0).uses(leaving);
+                   !world.node_at(0).routes_to(leaving);
         }));
         CHECK(world.node_at(1).configuration_version() == 2);
         world.reconnect_store(1);
         CHECK(within(world, bound, [&] {
-            return follow(world, 9) && !world.node_at(1).uses(leaving);
+            return follow(world, 9) && !world.node_at(1).routes_to(leaving);
         }));
         check_served(world, "c");
         check_holders(world);
@@ -184,7 +184,7 @@
     world.metadata.come_back(with_pages);
     bool lost_one = false;
     REQUIRE(within(world, bound, [&] {
-        lost_one = lost_one || !world.node->uses(endpoint_id("r2"));
+        lost_one = lost_one || !world.node->routes_to(endpoint_id("r2"));
         return !armed;
     }));
     world.configure(9);
@@ -192,9 +192,9 @@
     append_filler_records(world, std::string(list), 2 * lost);
     append_filler_records(world, std::string(declarations), 2 * lost);
     CHECK(within(world, bound, [&] {
-        lost_one = lost_one || !world.node->uses(endpoint_id("r2"));
+        lost_one = lost_one || !world.node->routes_to(endpoint_id("r2"));
         return world.node->configuration_version() == 9 &&
-               !world.node->uses(leaving);
+               !world.node->routes_to(leaving);
     }));
     CHECK_FALSE(lost_one);
 }
--- a/test/gateway/store_copy_test.cpp
+++ b/test/gateway/store_copy_test.cpp
@@ -70,29 +70,33 @@
         SUBCASE("and where it is the same, so that nothing seems to come") {
             append_filler_records(world, "keyed.servers", lost - 1);
         }
-        CHECK(within(world, bound, [&] { return !world.node->uses(id); }));
+        CHECK(within(world, bound, [&] { return !world.node->routes_to(id); }));
     }
     SUBCASE("a replica whose entry is not in the copy stays in use") {
         testing::served_replica late(world.loop, "p2", "", 0);
         endpoint_id const id("p2");
         auto const copy = world.metadata.store();
         world.list(late, "app");
-        REQUIRE(world.loop.run_until([&] { return world.node->uses(id); }));
+        REQUIRE(
+            world.loop.run_until([&] { return world.node->routes_to(id); }));
         world.metadata.come_back(copy);
-        CHECK_FALSE(within(
-            world, milliseconds(1'200), [&] { return !world.node->uses(id); }));
+        CHECK_FALSE(within(world, milliseconds(1'200), [&] {
+            return !world.node->routes_to(id);
+        }));
         world.list(late, "app");
-        CHECK_FALSE(within(
-            world, milliseconds(2'500), [&] { return !world.node->uses(id); }));
+        CHECK_FALSE(within(world, milliseconds(2'500), [&] {
+            return !world.node->routes_to(id);
+        }));
     }
     SUBCASE("a replica that was gone stays gone") {
         endpoint_id const id("r1");
         auto const copy = world.metadata.store();
         world.unlist(world.first);
-        REQUIRE(world.loop.run_until([&] { return !world.node->uses(id); }));
+        REQUIRE(
+            world.loop.run_until([&] { return !world.node->routes_to(id); }));
         world.metadata.come_back(copy);
-        CHECK_FALSE(
-            within(world, seconds(3), [&] { return world.node->uses(id); }));
+        CHECK_FALSE(within(
+            world, seconds(3), [&] { return world.node->routes_to(id); }));
     }
     SUBCASE("a configuration that was in force stays so") {
         auto const copy = world.metadata.store();
--- a/test/gateway/store_return_test.cpp
+++ b/test/gateway/store_return_test.cpp
@@ -80,7 +80,7 @@
         "keyed.servers", gone.id,
         gone.engine.entry("llm", world.second.address()));
     REQUIRE(world.loop.run_until(
-        [&] { return world.node->knows(endpoint_id(gone.id)); }));
+        [&] { return world.node->knows_replica(endpoint_id(gone.id)); }));
     pass(world, milliseconds(2'000));
     for (int each = 1; each <= 6; ++each) {
         auto const got = world.ask(
--- a/test/gateway/stream_runs_test.cpp
+++ b/test/gateway/stream_runs_test.cpp
@@ -32,7 +32,7 @@
 public:
     stream_world()
         : world_([](gateway_fixture& before) {
-            before.settings.second_sends.slack = 1e6;
+            before.settings.resends.slack = 1e6;
         })
         , replica_(world_.loop, stream_events) {
         REQUIRE(world_.loop.run_until([this] { return world_.node->ready(); }));
@@ -48,7 +48,7 @@
         endpoint_id const last(fmt::format("s{}", replicas - 1));
         REQUIRE(world_.loop.run_until([&] {
             return world_.node->configuration_version() == 2 &&
-                   world_.node->knows(last);
+                   world_.node->knows_replica(last);
         }));
         // The second node has read what the first one has.
         REQUIRE(world_.loop.run_until(
