--- a/src/Delivery/event_run.cpp
+++ b/src/Delivery/attempt_stream.cpp
@@ -1,4 +1,4 @@
-#include "Delivery/event_run.hpp"
+#include "Delivery/attempt_stream.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/Delivery/attempt_ledger.cpp
+++ b/src/Delivery/attempt_tracker.cpp
@@ -1,4 +1,4 @@
-#include "Delivery/attempt_ledger.hpp"
+#include "Delivery/attempt_tracker.hpp"
 
 #include <cassert>
 
--- a/src/Delivery/answer_position.cpp
+++ b/src/Delivery/delivery_position.cpp
@@ -1,4 +1,4 @@
-#include "Delivery/answer_position.hpp"
+#include "Delivery/delivery_position.hpp"
 
 namespace camphorpoint {
 
--- a/src/Delivery/answer_position.hpp
+++ b/src/Delivery/delivery_position.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Delivery/event_run.hpp"
+#include "Delivery/attempt_stream.hpp"
 
 #include <cstdint>
 #include <optional>
--- a/src/Delivery/joined_events.hpp
+++ b/src/Delivery/joined_events.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Delivery/answer_position.hpp"
-#include "Delivery/event_run.hpp"
+#include "Delivery/attempt_stream.hpp"
+#include "Delivery/delivery_position.hpp"
 
 #include <string>
 
--- a/src/Delivery/content_digest.cpp
+++ b/src/Delivery/request_fingerprint.cpp
@@ -1,4 +1,4 @@
-#include "Delivery/content_digest.hpp"
+#include "Delivery/request_fingerprint.hpp"
 
 #include "Core/hash.hpp"
 
--- a/src/Delivery/content_gate.cpp
+++ b/src/Delivery/request_gate.cpp
@@ -1,4 +1,4 @@
-#include "Delivery/content_gate.hpp"
+#include "Delivery/request_gate.hpp"
 
 #include <algorithm>
 
--- a/src/Delivery/content_gate.hpp
+++ b/src/Delivery/request_gate.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/time.hpp"
-#include "Delivery/content_digest.hpp"
+#include "Delivery/request_fingerprint.hpp"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/Delivery/content_quarantine.cpp
+++ b/src/Delivery/request_quarantine.cpp
@@ -1,4 +1,4 @@
-#include "Delivery/content_quarantine.hpp"
+#include "Delivery/request_quarantine.hpp"
 
 #include <algorithm>
 
--- a/src/Delivery/second_send_budget.cpp
+++ b/src/Delivery/resend_budget.cpp
@@ -1,4 +1,4 @@
-#include "Delivery/second_send_budget.hpp"
+#include "Delivery/resend_budget.hpp"
 
 #include <algorithm>
 
--- a/src/Fleet/fleet.hpp
+++ b/src/Fleet/fleet.hpp
@@ -4,7 +4,7 @@
 #include "Fleet/prompt_backlog.hpp"
 #include "Fleet/replica_health.hpp"
 #include "Fleet/replica_record.hpp"
-#include "Fleet/run_ledger.hpp"
+#include "Fleet/running_request_tracker.hpp"
 
 #include <algorithm>
 #include <cstdint>
--- a/src/Fleet/list_turns.cpp
+++ b/src/Fleet/registry_poll_schedule.cpp
@@ -1,4 +1,4 @@
-#include "Fleet/list_turns.hpp"
+#include "Fleet/registry_poll_schedule.hpp"
 
 namespace camphorpoint {
 
--- a/src/Fleet/replica_choice.cpp
+++ b/src/Fleet/replica_selector.cpp
@@ -1,4 +1,4 @@
-#include "Fleet/replica_choice.hpp"
+#include "Fleet/replica_selector.hpp"
 
 #include "Placement/rendezvous.hpp"
 
--- a/src/Fleet/run_ledger.cpp
+++ b/src/Fleet/running_request_tracker.cpp
@@ -1,4 +1,4 @@
-#include "Fleet/run_ledger.hpp"
+#include "Fleet/running_request_tracker.hpp"
 
 #include <chrono>
 #include <cmath>
--- a/src/Gateway/order_times.hpp
+++ b/src/Gateway/command_times.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Holding/partition_leases.hpp"
 #include "Ports/http_client.hpp"
+#include "ReplicaControl/partition_leases.hpp"
 
 #include <chrono>
 
--- a/src/Gateway/declaration_follower.hpp
+++ b/src/Gateway/declaration_follower.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Gateway/store_watch.hpp"
-#include "Routing/declaration_plan.hpp"
+#include "Gateway/store_monitor.hpp"
+#include "Routing/declaration_poll_schedule.hpp"
 #include "platform/store_client.hpp"
 
 #include <boost/asio/awaitable.hpp>
--- a/src/Gateway/gateway_answers.cpp
+++ b/src/Gateway/gateway_answers.cpp
@@ -1,5 +1,5 @@
 #include "Gateway/gateway.hpp"
-#include "Gateway/request_flow.hpp"
+#include "Gateway/request_handler.hpp"
 
 #include <cstddef>
 #include <memory>
--- a/src/Gateway/gateway_settings.hpp
+++ b/src/Gateway/gateway_settings.hpp
@@ -2,8 +2,8 @@
 
 #include "Core/findings.hpp"
 #include "Core/ids.hpp"
-#include "Delivery/second_send_budget.hpp"
-#include "Holding/partition_leases.hpp"
+#include "Delivery/resend_budget.hpp"
+#include "ReplicaControl/partition_leases.hpp"
 #include "Settings/node_settings.hpp"
 
 #include <chrono>
--- a/src/Gateway/gateway_beliefs.cpp
+++ b/src/Gateway/gateway_state.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/gateway_beliefs.hpp"
+#include "Gateway/gateway_state.hpp"
 
 #include <fmt/format.h>
 
--- a/src/Gateway/peer_words.hpp
+++ b/src/Gateway/peer_messenger.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "Delivery/content_gate.hpp"
-#include "Gateway/gateway_beliefs.hpp"
+#include "Delivery/request_gate.hpp"
+#include "Gateway/gateway_state.hpp"
 #include "Gateway/peer_datagram.hpp"
-#include "Holding/want_kind.hpp"
 #include "Ports/probe_link.hpp"
+#include "ReplicaControl/load_priority.hpp"
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/src/Gateway/peer_words_quarantine.cpp
+++ b/src/Gateway/peer_messenger_quarantine.cpp
@@ -1,5 +1,5 @@
 #include "Core/hash.hpp"
-#include "Gateway/peer_words.hpp"
+#include "Gateway/peer_messenger.hpp"
 
 #include <map>
 #include <set>
--- a/src/Gateway/peer_words_taking.cpp
+++ b/src/Gateway/peer_messenger_receive.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/peer_words.hpp"
+#include "Gateway/peer_messenger.hpp"
 
 #include <utility>
 
--- a/src/Gateway/quarantine_keeper.cpp
+++ b/src/Gateway/quarantine_persistence.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/quarantine_keeper.hpp"
+#include "Gateway/quarantine_persistence.hpp"
 
 #include "platform/quarantine_record.hpp"
 
--- a/src/Gateway/list_follower.cpp
+++ b/src/Gateway/registry_follower.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/list_follower.hpp"
+#include "Gateway/registry_follower.hpp"
 
 #include "platform/configuration_reader.hpp"
 
--- a/src/Gateway/list_follower.hpp
+++ b/src/Gateway/registry_follower.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "Fleet/list_turns.hpp"
-#include "Gateway/gateway_beliefs.hpp"
-#include "Gateway/peer_words.hpp"
-#include "Gateway/store_watch.hpp"
+#include "Fleet/registry_poll_schedule.hpp"
+#include "Gateway/gateway_state.hpp"
+#include "Gateway/peer_messenger.hpp"
+#include "Gateway/store_monitor.hpp"
 #include "platform/store_client.hpp"
 
 #include <boost/asio/awaitable.hpp>
--- a/src/Gateway/slot_orderer.cpp
+++ b/src/Gateway/replica_controller.cpp
@@ -1,6 +1,6 @@
-#include "Gateway/slot_orderer.hpp"
+#include "Gateway/replica_controller.hpp"
 
-#include "Gateway/order_times.hpp"
+#include "Gateway/command_times.hpp"
 #include "Ports/http_client.hpp"
 #include "platform/configuration_reader.hpp"
 #include "platform/order_wire.hpp"
--- a/src/Gateway/slot_orderer.hpp
+++ b/src/Gateway/replica_controller.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "Gateway/gateway_beliefs.hpp"
-#include "Gateway/peer_words.hpp"
-#include "Holding/slot_account.hpp"
+#include "Gateway/gateway_state.hpp"
+#include "Gateway/peer_messenger.hpp"
+#include "ReplicaControl/slot_tracker.hpp"
 #include "platform/store_client.hpp"
 
 #include <boost/asio/awaitable.hpp>
--- a/src/Gateway/slot_orderer_leases.cpp
+++ b/src/Gateway/replica_controller_leases.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/slot_orderer.hpp"
+#include "Gateway/replica_controller.hpp"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/use_awaitable.hpp>
--- a/src/Gateway/request_flow.hpp
+++ b/src/Gateway/request_handler.hpp
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "Delivery/answer_position.hpp"
-#include "Delivery/attempt_ledger.hpp"
-#include "Delivery/content_digest.hpp"
+#include "Delivery/attempt_tracker.hpp"
+#include "Delivery/delivery_position.hpp"
 #include "Delivery/joined_events.hpp"
-#include "Gateway/gateway_beliefs.hpp"
-#include "Gateway/peer_words.hpp"
+#include "Delivery/request_fingerprint.hpp"
+#include "Gateway/gateway_state.hpp"
+#include "Gateway/peer_messenger.hpp"
 #include "Ports/http_client.hpp"
 #include "Ports/http_server.hpp"
 #include "platform/request_wire.hpp"
--- a/src/Gateway/request_flow_ending.cpp
+++ b/src/Gateway/request_handler_completion.cpp
@@ -1,5 +1,5 @@
 #include "Core/hash.hpp"
-#include "Gateway/request_flow.hpp"
+#include "Gateway/request_handler.hpp"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/src/Gateway/request_flow_choice.cpp
+++ b/src/Gateway/request_handler_replica_search.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/request_flow.hpp"
+#include "Gateway/request_handler.hpp"
 
 #include <algorithm>
 #include <optional>
--- a/src/Gateway/store_watch.cpp
+++ b/src/Gateway/store_monitor.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/store_watch.hpp"
+#include "Gateway/store_monitor.hpp"
 
 #include <chrono>
 #include <cstdint>
--- a/src/Gateway/store_watch.hpp
+++ b/src/Gateway/store_monitor.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Gateway/gateway_beliefs.hpp"
+#include "Gateway/gateway_state.hpp"
 #include "platform/store_client.hpp"
 
 #include <functional>
--- a/src/Holding/partition_leases.cpp
+++ b/src/ReplicaControl/partition_leases.cpp
@@ -1,4 +1,4 @@
-#include "Holding/partition_leases.hpp"
+#include "ReplicaControl/partition_leases.hpp"
 
 #include <algorithm>
 
--- a/src/Holding/partition_leases.hpp
+++ b/src/ReplicaControl/partition_leases.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Core/time.hpp"
-#include "Holding/fencing_number.hpp"
+#include "ReplicaControl/fencing_number.hpp"
 
 #include <chrono>
 #include <cstddef>
--- a/src/Holding/slot_names.cpp
+++ b/src/ReplicaControl/replica_command_names.cpp
@@ -1,5 +1,5 @@
-#include "Holding/slot_order.hpp"
-#include "Holding/want_kind.hpp"
+#include "ReplicaControl/load_priority.hpp"
+#include "ReplicaControl/replica_command.hpp"
 
 namespace camphorpoint {
 
--- a/src/Holding/slot_account.hpp
+++ b/src/ReplicaControl/slot_tracker.hpp
@@ -2,10 +2,10 @@
 
 #include "Core/time.hpp"
 #include "Fleet/replica_record.hpp"
-#include "Holding/load_pace.hpp"
-#include "Holding/slot_forecast.hpp"
-#include "Holding/slot_order.hpp"
-#include "Holding/want_kind.hpp"
+#include "ReplicaControl/load_limiter.hpp"
+#include "ReplicaControl/load_priority.hpp"
+#include "ReplicaControl/replica_command.hpp"
+#include "ReplicaControl/slot_forecast.hpp"
 
 #include <chrono>
 #include <cstddef>
--- a/src/Holding/slot_account_wants.cpp
+++ b/src/ReplicaControl/slot_tracker_requests.cpp
@@ -1,4 +1,4 @@
-#include "Holding/slot_account.hpp"
+#include "ReplicaControl/slot_tracker.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/Routing/declaration_plan.cpp
+++ b/src/Routing/declaration_poll_schedule.cpp
@@ -1,4 +1,4 @@
-#include "Routing/declaration_plan.hpp"
+#include "Routing/declaration_poll_schedule.hpp"
 
 #include <algorithm>
 
--- a/src/Routing/declaration_plan.hpp
+++ b/src/Routing/declaration_poll_schedule.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Core/store_place.hpp"
+#include "Core/store_position.hpp"
 #include "Core/time.hpp"
 
 #include <chrono>
--- a/src/Routing/named_versions.cpp
+++ b/src/Routing/declared_versions.cpp
@@ -1,4 +1,4 @@
-#include "Routing/named_versions.hpp"
+#include "Routing/declared_versions.hpp"
 
 #include <algorithm>
 #include <iterator>
--- a/src/Routing/start_check.cpp
+++ b/src/Routing/startup_gate.cpp
@@ -1,4 +1,4 @@
-#include "Routing/start_check.hpp"
+#include "Routing/startup_gate.hpp"
 
 #include "Core/hash.hpp"
 
--- a/src/Scheduling/adapter_memory.cpp
+++ b/src/Scheduling/adapter_history.cpp
@@ -1,4 +1,4 @@
-#include "Scheduling/adapter_memory.hpp"
+#include "Scheduling/adapter_history.hpp"
 
 #include <algorithm>
 
--- a/src/Scheduling/grant_manager.hpp
+++ b/src/Scheduling/grant_manager.hpp
@@ -96,5 +96,5 @@
 
 } // namespace camphorpoint::internal
 
-#include "Scheduling/grant_manager_asks.hpp"
-#include "Scheduling/grant_manager_ends.hpp"
+#include "Scheduling/grant_manager_releases.hpp"
+#include "Scheduling/grant_manager_requests.hpp"
--- a/src/Scheduling/replica_state.hpp
+++ b/src/Scheduling/replica_state.hpp
@@ -2,7 +2,7 @@
 
 #include "Core/ids.hpp"
 #include "Core/time.hpp"
-#include "Scheduling/adapter_memory.hpp"
+#include "Scheduling/adapter_history.hpp"
 #include "Scheduling/grant_table.hpp"
 #include "Scheduling/scheduler_action.hpp"
 #include "Scheduling/scheduler_settings.hpp"
--- a/src/Scheduling/slot_manager.hpp
+++ b/src/Scheduling/slot_manager.hpp
@@ -3,9 +3,9 @@
 #include "Loading/load_messages.hpp"
 #include "Records/engine_order.hpp"
 #include "Scheduling/eviction_policy.hpp"
+#include "Scheduling/load_request_table.hpp"
 #include "Scheduling/replica_state.hpp"
 #include "Scheduling/slot_table.hpp"
-#include "Scheduling/want_book.hpp"
 
 #include <cstdint>
 #include <map>
@@ -147,6 +147,6 @@
 
 } // namespace camphorpoint::internal
 
+#include "Scheduling/slot_manager_commands.hpp"
 #include "Scheduling/slot_manager_evictions.hpp"
-#include "Scheduling/slot_manager_orders.hpp"
-#include "Scheduling/slot_manager_wants.hpp"
+#include "Scheduling/slot_manager_loads.hpp"
--- a/src/Serving/content_router.hpp
+++ b/src/Serving/content_router.hpp
@@ -2,9 +2,9 @@
 
 #include "Core/ids.hpp"
 #include "Core/time.hpp"
-#include "Delivery/content_digest.hpp"
-#include "Delivery/content_messages.hpp"
-#include "Delivery/content_quarantine.hpp"
+#include "Delivery/quarantine_messages.hpp"
+#include "Delivery/request_fingerprint.hpp"
+#include "Delivery/request_quarantine.hpp"
 #include "Serving/node_outbox.hpp"
 #include "Serving/node_services.hpp"
 #include "Serving/serving_settings.hpp"
--- a/src/Serving/node_services.hpp
+++ b/src/Serving/node_services.hpp
@@ -3,7 +3,7 @@
 #include "Config/change_publisher.hpp"
 #include "Config/checkpoint_writer.hpp"
 #include "Config/config_follower.hpp"
-#include "Delivery/content_quarantine.hpp"
+#include "Delivery/request_quarantine.hpp"
 #include "Keys/entry_keys.hpp"
 #include "Keys/key_owner.hpp"
 #include "Limits/fixed_limit.hpp"
--- a/src/Serving/peer_message.hpp
+++ b/src/Serving/peer_message.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "Config/config_messages.hpp"
-#include "Delivery/content_messages.hpp"
+#include "Delivery/quarantine_messages.hpp"
 #include "Keys/key_messages.hpp"
 #include "Loading/load_messages.hpp"
 #include "Ownership/handover_messages.hpp"
--- a/test/gateway/order_times_test.cpp
+++ b/test/gateway/command_times_test.cpp
@@ -1,4 +1,4 @@
-#include "Gateway/order_times.hpp"
+#include "Gateway/command_times.hpp"
 #include "Ports/http_connection.hpp"
 #include "test/ports/loopback.hpp"
 
--- a/test/gateway/gateway_test.cpp
+++ b/test/gateway/gateway_test.cpp
@@ -1,4 +1,4 @@
-#include "test/gateway/gateway_world.hpp"
+#include "test/gateway/gateway_fixture.hpp"
 
 #include <boost/asio/steady_timer.hpp>
 #include <doctest/doctest.h>
--- a/test/gateway/literal_answers_test.cpp
+++ b/test/gateway/raw_answers_test.cpp
@@ -1,4 +1,4 @@
-#include "test/gateway/gateway_world.hpp"
+#include "test/gateway/gateway_fixture.hpp"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/co_spawn.hpp>
--- a/test/gateway/slow_link_test.cpp
+++ b/test/gateway/slow_link_test.cpp
@@ -1,6 +1,6 @@
 #include "Gateway/peer_datagram.hpp"
 #include "Ports/probe_link.hpp"
-#include "test/gateway/gateway_world.hpp"
+#include "test/gateway/gateway_fixture.hpp"
 
 #include <boost/asio/steady_timer.hpp>
 #include <doctest/doctest.h>
--- a/test/load_forecast_test.cpp
+++ b/test/load_forecast_test.cpp
@@ -1,6 +1,6 @@
-#include "test/holding_fixture.hpp"
+#include "test/replica_control_fixture.hpp"
 
-#include <Camphorpoint/Holding>
+#include <Camphorpoint/ReplicaControl>
 
 #include <doctest/doctest.h>
 
--- a/test/holding_fixture.hpp
+++ b/test/replica_control_fixture.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <Camphorpoint/Holding>
+#include <Camphorpoint/ReplicaControl>
 
 #include <doctest/doctest.h>
 
--- a/test/store_eras_property_test.cpp
+++ b/test/store_epochs_property_test.cpp
@@ -1,5 +1,5 @@
 #include <Camphorpoint/Fleet>
-#include <Camphorpoint/Holding>
+#include <Camphorpoint/ReplicaControl>
 
 #include <doctest/doctest.h>
 
