--- a/src/ReplicaControl/load_priority.hpp
+++ b/src/ReplicaControl/load_priority.hpp
@@ -14,6 +14,6 @@
 };
 
 /// @returns its name in logs
-std::string_view to_string(load_priority kind);
+std::string_view to_string(load_priority priority);
 
 } // namespace camphorpoint
--- a/src/ReplicaControl/partition_leases.cpp
+++ b/src/ReplicaControl/partition_leases.cpp
@@ -10,35 +10,36 @@
     bool const lapsed = !valid(now);
     // A store that has gone back may have given the partitions to another once
     // their lease was over, and taken them back.
-    bool const unsure =
-        era_ > granted_era_ && started >= renewed_ + times_.lease;
-    granted_era_ = era_;
-    renewed_ = started;
+    bool const possibly_reassigned =
+        epoch_ > renewal_epoch_ && started >= renewed_at_ + times_.lease;
+    renewal_epoch_ = epoch_;
+    renewed_at_ = started;
     generation_ = generation;
     failing_since_ = instant::max();
-    std::map<std::size_t, holding> next;
-    std::vector<std::size_t> fresh;
+    std::map<std::size_t, held_partition> next;
+    std::vector<std::size_t> gained_partitions;
     for (std::size_t const each : partitions) {
-        auto const found = held_.find(each);
-        bool const kept =
-            found != held_.end() && !found->second.lost && !lapsed;
-        if (kept) {
+        auto const found = partitions_.find(each);
+        bool const retained =
+            found != partitions_.end() && !found->second.superseded && !lapsed;
+        if (retained) {
             next[each] = found->second;
-            next[each].since = unsure ? now : found->second.since;
+            next[each].exclusive_from =
+                possibly_reassigned ? now : found->second.exclusive_from;
         } else {
             next[each] = {now, now, std::nullopt, false};
-            fresh.push_back(each);
+            gained_partitions.push_back(each);
         }
     }
-    held_ = std::move(next);
-    return fresh;
+    partitions_ = std::move(next);
+    return gained_partitions;
 }
 
 void partition_leases::on_renewal_failed(instant now) {
-    bool const in_lease = now < renewed_ + times_.lease;
-    bool const in_row =
+    bool const in_lease = now < renewed_at_ + times_.lease;
+    bool const consecutive =
         failing_since_ != instant::max() && now < last_failure_ + times_.lease;
-    if (in_lease || in_row) {
+    if (in_lease || consecutive) {
         failing_since_ = std::min(failing_since_, now);
     } else {
         failing_since_ = instant::max();
@@ -50,53 +51,53 @@
     // Guards against a number that another holder has too: a store that has
     // lost its newest records without saying so gives their places out again.
     // The claim is made again until its number is higher.
-    if (token <= shown_[partition]) {
+    if (token <= highest_tokens_[partition]) {
         return false;
     }
-    shown_[partition] = token;
-    auto const found = held_.find(partition);
-    if (found != held_.end()) {
+    highest_tokens_[partition] = token;
+    auto const found = partitions_.find(partition);
+    if (found != partitions_.end()) {
         found->second.token = token;
     }
     return true;
 }
 
 void partition_leases::on_store_rollback(store_epoch epoch) {
-    era_ = std::max(era_, epoch);
+    epoch_ = std::max(epoch_, epoch);
     generation_ = 0;
 }
 
 void partition_leases::on_higher_token(
     std::size_t partition, std::uint64_t token) {
-    std::uint64_t& shown = shown_[partition];
-    shown = std::max(shown, token);
-    auto const found = held_.find(partition);
-    if (found != held_.end() && found->second.token.value_or(0) < token) {
-        found->second.lost = true;
+    std::uint64_t& highest = highest_tokens_[partition];
+    highest = std::max(highest, token);
+    auto const found = partitions_.find(partition);
+    if (found != partitions_.end() && found->second.token.value_or(0) < token) {
+        found->second.superseded = true;
     }
 }
 
 void partition_leases::clear() {
-    held_.clear();
+    partitions_.clear();
 }
 
 instant partition_leases::expires_at() const {
-    instant const granted = renewed_ + times_.lease;
+    instant const granted = renewed_at_ + times_.lease;
     bool const outage =
         times_.replicas_check_fencing && failing_since_ != instant::max();
     if (!outage) {
         return granted;
     }
     instant const extended = std::min(
-        last_failure_ + times_.lease, renewed_ + times_.outage_extension);
+        last_failure_ + times_.lease, renewed_at_ + times_.outage_extension);
     return std::max(granted, extended);
 }
 
 std::optional<std::uint64_t>
 partition_leases::token(std::size_t partition, instant now) const {
-    auto const found = held_.find(partition);
-    if (found == held_.end() || found->second.lost || !valid(now) ||
-        now < found->second.gained + times_.settling) {
+    auto const found = partitions_.find(partition);
+    if (found == partitions_.end() || found->second.superseded || !valid(now) ||
+        now < found->second.gained_at + times_.settling) {
         return std::nullopt;
     }
     return found->second.token;
@@ -104,9 +105,9 @@
 
 instant partition_leases::next_settling_end(instant now) const {
     instant next = instant::max();
-    for (auto const& [partition, each] : held_) {
-        instant const settled = each.gained + times_.settling;
-        if (!each.lost && settled > now) {
+    for (auto const& [partition, each] : partitions_) {
+        instant const settled = each.gained_at + times_.settling;
+        if (!each.superseded && settled > now) {
             next = std::min(next, settled);
         }
     }
@@ -115,8 +116,8 @@
 
 std::vector<std::size_t> partition_leases::held_partitions() const {
     std::vector<std::size_t> all;
-    for (auto const& [partition, each] : held_) {
-        if (!each.lost) {
+    for (auto const& [partition, each] : partitions_) {
+        if (!each.superseded) {
             all.push_back(partition);
         }
     }
@@ -125,21 +126,22 @@
 
 std::optional<instant>
 partition_leases::exclusive_since(std::size_t partition) const {
-    return holds(partition) ? std::optional(held_.at(partition).since)
-                            : std::nullopt;
+    return holds(partition)
+               ? std::optional(partitions_.at(partition).exclusive_from)
+               : std::nullopt;
 }
 
 bool partition_leases::holds(std::size_t partition) const {
-    auto const found = held_.find(partition);
-    return found != held_.end() && !found->second.lost;
+    auto const found = partitions_.find(partition);
+    return found != partitions_.end() && !found->second.superseded;
 }
 
 std::vector<std::size_t> partition_leases::partitions_without_token() const {
     std::vector<std::size_t> all;
-    for (auto const& [partition, each] : held_) {
+    for (auto const& [partition, each] : partitions_) {
         bool const claimed =
-            each.token && *each.token >= first_fencing_number(era_);
-        if (!claimed && !each.lost) {
+            each.token && *each.token >= first_fencing_number(epoch_);
+        if (!claimed && !each.superseded) {
             all.push_back(partition);
         }
     }
--- a/src/ReplicaControl/partition_leases.hpp
+++ b/src/ReplicaControl/partition_leases.hpp
@@ -91,22 +91,22 @@
     instant expires_at() const;
 
 private:
-    struct holding {
-        instant gained;
-        instant since;
+    struct held_partition {
+        instant gained_at;
+        instant exclusive_from;
         std::optional<std::uint64_t> token;
-        bool lost = false;
+        bool superseded = false;
     };
 
     lease_times times_;
-    std::map<std::size_t, holding> held_;
+    std::map<std::size_t, held_partition> partitions_;
     /// The highest fencing number that was shown for each partition.
-    std::map<std::size_t, std::uint64_t> shown_;
-    store_epoch era_{};
+    std::map<std::size_t, std::uint64_t> highest_tokens_;
+    store_epoch epoch_{};
     /// The era of the last renewal that was granted.
-    store_epoch granted_era_{};
+    store_epoch renewal_epoch_{};
     std::uint64_t generation_ = 0;
-    instant renewed_;
+    instant renewed_at_;
     /// The last failed renewal of an unbroken row that began in the lease.
     instant failing_since_ = instant::max();
     instant last_failure_;
--- a/src/ReplicaControl/replica_command_names.cpp
+++ b/src/ReplicaControl/replica_command_names.cpp
@@ -3,8 +3,8 @@
 
 namespace camphorpoint {
 
-std::string_view to_string(load_priority kind) {
-    switch (kind) {
+std::string_view to_string(load_priority priority) {
+    switch (priority) {
     case load_priority::demand:
         return "waited-for";
     case load_priority::prefetch:
--- a/src/ReplicaControl/slot_forecast.hpp
+++ b/src/ReplicaControl/slot_forecast.hpp
@@ -14,11 +14,11 @@
 class slot_releases {
 public:
     /// An adapter's last run here has ended.
-    void note(instant now) { rate_.add(now); }
+    void record(instant now) { rate_.add(now); }
     /// @returns the time between two that come free
-    duration pause(instant now) const {
+    duration mean_interval(instant now) const {
         std::chrono::duration<double> const mean(
-            1 / std::max(rate_.per_second(now), least_rate));
+            1 / std::max(rate_.per_second(now), min_releases_per_second));
         return std::chrono::duration_cast<duration>(mean);
     }
 
@@ -28,38 +28,39 @@
     static constexpr duration half_life = std::chrono::seconds(3);
     /// A replica at which nothing has ended for long is taken to release a
     /// slot each second: most uses are shorter.
-    static constexpr double least_rate = 1;
+    static constexpr double min_releases_per_second = 1;
 
     decayed_rate rate_{half_life};
 };
 
 /// What decides how soon an adapter can lie ready on a replica.
-struct slot_outlook {
+struct forecast_input {
     /// Slots that are free, or held by what nobody uses.
-    unsigned free = 0;
+    unsigned free_slots = 0;
     /// Wants that are served first.
-    unsigned ahead = 0;
+    unsigned requests_ahead = 0;
     /// Time between two slots that come free.
-    duration release_pause{0};
+    duration release_interval{0};
     /// How long the load itself takes.
-    duration load{0};
+    duration load_duration{0};
     /// What the loads ahead take together, and how many run at once.
-    duration loads_ahead{0};
-    double at_once = 1;
+    duration duration_ahead{0};
+    double concurrent_loads = 1;
 };
 
 /// Expected time until an adapter is ready.
 /// @returns the time for a slot, plus the loads ahead and its own
-inline duration expected_ready(slot_outlook const& by) {
+inline duration time_to_ready(forecast_input const& input) {
     auto const queued = std::chrono::duration_cast<duration>(
-        std::chrono::duration<double>(by.loads_ahead) / by.at_once);
-    if (by.ahead < by.free) {
-        return queued + by.load;
+        std::chrono::duration<double>(input.duration_ahead) /
+        input.concurrent_loads);
+    if (input.requests_ahead < input.free_slots) {
+        return queued + input.load_duration;
     }
-    unsigned const lacking = by.ahead + 1 - by.free;
-    duration const slot_comes = by.release_pause * lacking;
+    unsigned const missing_slots = input.requests_ahead + 1 - input.free_slots;
+    duration const slot_wait = input.release_interval * missing_slots;
     // Loads ahead take their slots while this one waits for its own.
-    return std::max(slot_comes, queued) + by.load;
+    return std::max(slot_wait, queued) + input.load_duration;
 }
 
 } // namespace camphorpoint
--- a/src/ReplicaControl/slot_tracker.cpp
+++ b/src/ReplicaControl/slot_tracker.cpp
@@ -9,18 +9,18 @@
 
 /// Where half of the orders have no answer, one in eight has none after three
 /// tries; a report, which is a tenth of a second old, shows what is the matter.
-constexpr unsigned tries_of_order = 3;
+constexpr unsigned max_command_attempts = 3;
 /// An order is given again this often to see whether it has been carried out:
 /// a request that waits for it waits half of this longer.
-constexpr duration check_pause = std::chrono::milliseconds(15);
+constexpr duration check_interval = std::chrono::milliseconds(15);
 /// Adapters that may be on their way to a replica, by the platform's pages.
-constexpr std::size_t most_under_way = 4;
+constexpr std::size_t max_concurrent_loads = 4;
 /// Replicas keep copies of about so many adapters in their memory.
-constexpr std::size_t most_recent = 150;
+constexpr std::size_t max_cached_adapters = 150;
 /// A base model takes about this long to load; the report tells when.
-constexpr duration model_look = std::chrono::milliseconds(250);
+constexpr duration model_check_delay = std::chrono::milliseconds(250);
 /// With nothing to do the account is looked at again after this.
-constexpr duration idle_look = std::chrono::seconds(1);
+constexpr duration idle_check_interval = std::chrono::seconds(1);
 
 } // namespace
 
@@ -31,34 +31,35 @@
         }));
 }
 
-void slot_tracker::end_load(slot& of) {
-    if (of.timed) {
-        limiter_->end();
+void slot_tracker::finish_load(slot& entry) {
+    if (entry.from_store) {
+        limiter_->on_load_finished();
     }
-    of.timed = false;
+    entry.from_store = false;
 }
 
 slot_tracker::~slot_tracker() {
     for (auto& [id, each] : slots_) {
-        end_load(each);
+        finish_load(each);
     }
 }
 
 void slot_tracker::set_ready(
-    adapter_id const& id, slot& of, std::uint32_t version, instant now) {
-    end_load(of);
-    of.busy_until = std::max(of.busy_until, now + limits_.cooldown_after_load);
-    of.state = slot_state::resident;
-    of.version = version;
-    std::erase(recent_, id);
-    recent_.push_back(id);
-    if (recent_.size() > most_recent) {
-        recent_.erase(recent_.begin());
+    adapter_id const& id, slot& entry, std::uint32_t version, instant now) {
+    finish_load(entry);
+    entry.busy_until =
+        std::max(entry.busy_until, now + limits_.cooldown_after_load);
+    entry.state = slot_state::resident;
+    entry.version = version;
+    std::erase(cached_adapters_, id);
+    cached_adapters_.push_back(id);
+    if (cached_adapters_.size() > max_cached_adapters) {
+        cached_adapters_.erase(cached_adapters_.begin());
     }
     changes_.push_back({{id, version}, true});
-    auto const want = wants_.find(id);
-    if (want != wants_.end() && want->second.version <= version) {
-        wants_.erase(want);
+    auto const request = requests_.find(id);
+    if (request != requests_.end() && request->second.version <= version) {
+        requests_.erase(request);
     }
 }
 
@@ -74,34 +75,34 @@
     return found != slots_.end() && found->second.state != slot_state::resident;
 }
 
-bool slot_tracker::may_load(adapter_id const& id) const {
+bool slot_tracker::load_allowed(adapter_id const& id) const {
     // What the replica keeps a copy of does not use the way from the store.
-    return loading_count() < most_under_way &&
-           (kept(id) || limiter_->may_begin());
+    return loading_count() < max_concurrent_loads &&
+           (is_cached(id) || limiter_->can_start());
 }
 
 std::optional<replica_command>
-slot_tracker::load_order(adapter_id const& id, instant now) {
-    wanted const& by = wants_.at(id);
+slot_tracker::load_or_evict(adapter_id const& id, instant now) {
+    pending_request const& request = requests_.at(id);
     model_id const model(id.str().substr(0, id.str().find('/')));
     bool const replaces = slots_.contains(id);
     if (replaces || slots_.size() < limits_.slots) {
-        if (!may_load(id)) {
+        if (!load_allowed(id)) {
             return std::nullopt;
         }
         return replica_command{
             replica_command_kind::load_adapter,
             model,
-            {id, by.version},
+            {id, request.version},
             sequence_};
     }
-    bool const dropping = std::ranges::any_of(slots_, [](auto const& each) {
-        return each.second.state == slot_state::dropping;
+    bool const unloading = std::ranges::any_of(slots_, [](auto const& each) {
+        return each.second.state == slot_state::unloading;
     });
-    if (dropping) {
+    if (unloading) {
         return std::nullopt;
     }
-    auto const least_used = victim(now);
+    auto const least_used = eviction_candidate(now);
     if (!least_used) {
         return std::nullopt;
     }
@@ -115,40 +116,40 @@
 }
 
 std::optional<replica_command> slot_tracker::next_command(instant now) {
-    forget_old_wants(now);
-    if (!known_ || must_report_ || busy_) {
+    remove_expired_requests(now);
+    if (!has_report_ || report_required_ || busy_) {
         return std::nullopt;
     }
-    if (unanswered_) {
-        return unanswered_;
+    if (unanswered_command_) {
+        return unanswered_command_;
     }
     if (models_.empty()) {
-        if (model_loading_ || wanted_model_.empty()) {
+        if (model_loading_ || base_model_.empty()) {
             return std::nullopt;
         }
         return replica_command{
-            replica_command_kind::load_model, wanted_model_, {}, sequence_};
+            replica_command_kind::load_model, base_model_, {}, sequence_};
     }
-    if (auto check = check_order(now)) {
+    if (auto check = status_check(now)) {
         return check;
     }
-    auto const wanted_now = first_want(now);
-    if (!wanted_now) {
+    auto const adapter_to_load = next_request(now);
+    if (!adapter_to_load) {
         return std::nullopt;
     }
-    auto order = load_order(*wanted_now, now);
-    if (order && order->kind == replica_command_kind::unload_adapter) {
+    auto command = load_or_evict(*adapter_to_load, now);
+    if (command && command->kind == replica_command_kind::unload_adapter) {
         // Told before the order leaves, so that no request goes there any more.
-        slot& going = slots_.at(order->adapter.id);
-        going.check_at = {};
-        going.state = slot_state::dropping;
-        going.since = now;
-        changes_.push_back({{order->adapter.id, going.version}, false});
+        slot& evicted = slots_.at(command->adapter.id);
+        evicted.check_at = {};
+        evicted.state = slot_state::unloading;
+        evicted.since = now;
+        changes_.push_back({{command->adapter.id, evicted.version}, false});
     }
-    return order;
+    return command;
 }
 
-std::optional<replica_command> slot_tracker::check_order(instant now) const {
+std::optional<replica_command> slot_tracker::status_check(instant now) const {
     for (auto const& [id, each] : slots_) {
         if (each.state == slot_state::resident || now < each.check_at) {
             continue;
@@ -165,128 +166,129 @@
     return std::nullopt;
 }
 
-void slot_tracker::ordered_again(
-    replica_command const& order, command_result answer, instant now) {
-    slot& of = slots_.at(order.adapter.id);
-    of.check_at = now + check_pause;
-    if (answer != command_result::already_done) {
+void slot_tracker::on_repeated_command(
+    replica_command const& command, command_result result, instant now) {
+    slot& entry = slots_.at(command.adapter.id);
+    entry.check_at = now + check_interval;
+    if (result != command_result::already_done) {
         return;
     }
-    if (order.kind == replica_command_kind::unload_adapter) {
-        slots_.erase(order.adapter.id);
+    if (command.kind == replica_command_kind::unload_adapter) {
+        slots_.erase(command.adapter.id);
         return;
     }
-    if (of.timed) {
-        end_load(of);
-        limiter_->record_load(now - of.since);
-    } else if (kept(order.adapter.id)) {
-        limiter_->record_cached_load(now - of.since);
+    if (entry.from_store) {
+        finish_load(entry);
+        limiter_->record_load(now - entry.since);
+    } else if (is_cached(command.adapter.id)) {
+        limiter_->record_cached_load(now - entry.since);
     }
-    set_ready(order.adapter.id, of, of.version, now);
+    set_ready(command.adapter.id, entry, entry.version, now);
 }
 
-void slot_tracker::began(replica_command const& order, bool done, instant now) {
-    adapter_id const& id = order.adapter.id;
-    bool const load = order.kind != replica_command_kind::unload_adapter;
+void slot_tracker::on_command_confirmed(
+    replica_command const& command, bool already_done, instant now) {
+    adapter_id const& id = command.adapter.id;
+    bool const load = command.kind != replica_command_kind::unload_adapter;
     // A load of what lies there already is not counted by the replica.
-    if (!done || !load) {
-        sequence_ = order.expected_count + 1;
-        last_counted_ = now;
+    if (!already_done || !load) {
+        sequence_ = command.expected_count + 1;
+        last_accepted_at_ = now;
     }
-    if (order.kind == replica_command_kind::load_model) {
+    if (command.kind == replica_command_kind::load_model) {
         model_loading_ = true;
-        model_ordered_ = now;
-        report_after_ = now + model_look;
+        model_commanded_at_ = now;
+        next_report_at_ = now + model_check_delay;
         return;
     }
-    if (order.kind == replica_command_kind::unload_adapter) {
-        slots_.at(id).shown_from = sequence_;
-        slots_.at(id).check_at = now + check_pause;
-        if (done) {
+    if (command.kind == replica_command_kind::unload_adapter) {
+        slots_.at(id).reported_from = sequence_;
+        slots_.at(id).check_at = now + check_interval;
+        if (already_done) {
             slots_.erase(id);
         }
         return;
     }
     bool const replaces = slots_.contains(id);
-    slot& of = slots_[id];
-    if (replaces && !done) {
-        changes_.push_back({{id, of.version}, false});
-    }
-    of.version = order.adapter.version;
-    of.state = slot_state::loading;
-    of.since = now;
-    of.last_used = now;
-    of.shown_from = sequence_;
-    bool const copied = kept(id);
+    slot& entry = slots_[id];
+    if (replaces && !already_done) {
+        changes_.push_back({{id, entry.version}, false});
+    }
+    entry.version = command.adapter.version;
+    entry.state = slot_state::loading;
+    entry.since = now;
+    entry.last_used = now;
+    entry.reported_from = sequence_;
+    bool const cached = is_cached(id);
     // A replacement waits for its runs, so its time tells nothing of the store.
-    end_load(of);
-    of.timed = !replaces && !copied && !done;
-    if (of.timed) {
-        limiter_->begin();
+    finish_load(entry);
+    entry.from_store = !replaces && !cached && !already_done;
+    if (entry.from_store) {
+        limiter_->on_load_started();
     }
-    of.check_at = now + (copied ? limiter_->cached_duration() -
-                                      limiter_->cached_duration() / 10
-                                : limiter_->first_check_delay());
-    if (done) {
-        set_ready(id, of, order.adapter.version, now);
+    entry.check_at = now + (cached ? limiter_->cached_duration() -
+                                         limiter_->cached_duration() / 10
+                                   : limiter_->first_check_delay());
+    if (already_done) {
+        set_ready(id, entry, command.adapter.version, now);
     }
 }
 
-void slot_tracker::lost(replica_command const& order, instant now) {
-    auto const found = slots_.find(order.adapter.id);
-    bool const again = found != slots_.end() &&
-                       found->second.state != slot_state::resident &&
-                       found->second.check_at != instant{};
-    if (again) {
-        found->second.check_at = now + check_pause;
+void slot_tracker::on_no_answer(replica_command const& command, instant now) {
+    auto const found = slots_.find(command.adapter.id);
+    bool const is_repeat = found != slots_.end() &&
+                           found->second.state != slot_state::resident &&
+                           found->second.check_at != instant{};
+    if (is_repeat) {
+        found->second.check_at = now + check_interval;
         return;
     }
-    ++times_unanswered_;
-    if (times_unanswered_ < tries_of_order) {
-        unanswered_ = order;
+    ++unanswered_attempts_;
+    if (unanswered_attempts_ < max_command_attempts) {
+        unanswered_command_ = command;
         return;
     }
-    unanswered_.reset();
-    times_unanswered_ = 0;
-    must_report_ = true;
-    report_after_ = now + report_retry;
+    unanswered_command_.reset();
+    unanswered_attempts_ = 0;
+    report_required_ = true;
+    next_report_at_ = now + report_retry_delay;
 }
 
 void slot_tracker::on_result(
-    replica_command const& order, command_result answer, instant now) {
-    auto const found = slots_.find(order.adapter.id);
-    bool const done = answer == command_result::already_done;
-    if (answer == command_result::no_answer) {
-        lost(order, now);
+    replica_command const& command, command_result result, instant now) {
+    auto const found = slots_.find(command.adapter.id);
+    bool const already_done = result == command_result::already_done;
+    if (result == command_result::no_answer) {
+        on_no_answer(command, now);
         return;
     }
-    unanswered_.reset();
-    times_unanswered_ = 0;
+    unanswered_command_.reset();
+    unanswered_attempts_ = 0;
     // An order that was accepted is given again to see whether it has been
     // carried out; the replica does not count it a second time.
-    bool const again = found != slots_.end() &&
-                       found->second.state != slot_state::resident &&
-                       found->second.check_at != instant{};
-    if (done || answer == command_result::accepted) {
-        if (again) {
-            ordered_again(order, answer, now);
+    bool const is_repeat = found != slots_.end() &&
+                           found->second.state != slot_state::resident &&
+                           found->second.check_at != instant{};
+    if (already_done || result == command_result::accepted) {
+        if (is_repeat) {
+            on_repeated_command(command, result, now);
         } else {
-            began(order, done, now);
+            on_command_confirmed(command, already_done, now);
         }
         return;
     }
-    if (again) {
-        found->second.check_at = now + check_pause;
+    if (is_repeat) {
+        found->second.check_at = now + check_interval;
     } else if (
         found != slots_.end() &&
-        order.kind == replica_command_kind::unload_adapter) {
+        command.kind == replica_command_kind::unload_adapter) {
         found->second.state = slot_state::resident;
-        changes_.push_back({{order.adapter.id, found->second.version}, true});
+        changes_.push_back({{command.adapter.id, found->second.version}, true});
     }
-    must_report_ = answer != command_result::not_sent;
-    report_after_ = now;
-    if (answer == command_result::rejected) {
-        wants_.erase(order.adapter.id);
+    report_required_ = result != command_result::not_sent;
+    next_report_at_ = now;
+    if (result == command_result::rejected) {
+        requests_.erase(command.adapter.id);
     }
 }
 
@@ -295,19 +297,19 @@
 }
 
 instant slot_tracker::next_check_at(instant now) const {
-    instant look = now + idle_look;
-    if (!known_ || must_report_ || busy_ || model_loading_) {
-        look = std::max(report_after_, now);
+    instant next_check = now + idle_check_interval;
+    if (!has_report_ || report_required_ || busy_ || model_loading_) {
+        next_check = std::max(next_report_at_, now);
     }
     for (auto const& [id, each] : slots_) {
         if (each.state != slot_state::resident) {
-            look = std::min(look, each.check_at);
+            next_check = std::min(next_check, each.check_at);
         }
     }
-    if (!wants_.empty()) {
-        look = std::min(look, now + check_pause);
+    if (!requests_.empty()) {
+        next_check = std::min(next_check, now + check_interval);
     }
-    return std::max(look, now);
+    return std::max(next_check, now);
 }
 
 } // namespace camphorpoint
--- a/src/ReplicaControl/slot_tracker.hpp
+++ b/src/ReplicaControl/slot_tracker.hpp
@@ -74,15 +74,15 @@
     /// Requests wait for this adapter here, or should find it here.
     /// @param version the least version that will do; 0 for any
     /// @param kind    for whom
-    void
-    request_load(adapter_ref const& adapter, load_priority kind, instant now);
+    void request_load(
+        adapter_ref const& adapter, load_priority priority, instant now);
     /// @returns true when the adapter could be loaded, or is being loaded: a
     ///          slot is free, or one is held by what nobody uses
     bool has_capacity_for(adapter_id const& adapter, instant now) const;
     /// @returns how long it should take until the adapter is ready here, if it
     ///          is wanted now
     duration expected_wait(
-        adapter_ref const& adapter, load_priority kind, instant now) const;
+        adapter_ref const& adapter, load_priority priority, instant now) const;
     /// Requests use this adapter here, or have just done so. Repeated while
     /// requests run.
     /// @param running some node's requests run with it now
@@ -92,8 +92,8 @@
     ///          while a report is due
     std::optional<replica_command> next_command(instant now);
     /// Takes up what became of the order that `next` gave last.
-    void
-    on_result(replica_command const& order, command_result answer, instant now);
+    void on_result(
+        replica_command const& command, command_result result, instant now);
 
     /// @returns true when the adapter lies there ready, in this version or a
     ///          newer one
@@ -101,7 +101,7 @@
     /// @returns true when the report has been read and a base model lies there
     bool has_model() const noexcept { return !models_.empty(); }
     /// @returns true when a report was taken
-    bool has_report() const noexcept { return known_; }
+    bool has_report() const noexcept { return has_report_; }
     /// @returns adapters that take a slot
     std::size_t occupied_slots() const noexcept { return slots_.size(); }
     /// @returns true when an order on the adapter is being carried out
@@ -114,25 +114,25 @@
     /// @param patience how long it may wait to be in time
     /// @returns nothing when it may, else how long it would take
     std::optional<duration> refused_wait(
-        adapter_ref const& adapter, load_priority kind, duration patience,
-        instant now) const;
+        adapter_ref const& adapter, load_priority priority,
+        duration wait_budget, instant now) const;
     /// @returns true when the adapter is waited for here already
     bool load_requested(adapter_id const& adapter) const {
-        return wants_.contains(adapter);
+        return requests_.contains(adapter);
     }
     /// @returns wants that are not met yet
-    std::size_t pending_requests() const noexcept { return wants_.size(); }
+    std::size_t pending_requests() const noexcept { return requests_.size(); }
     /// @returns what has changed since the last call
     std::vector<residency_change> drain_changes();
     /// @returns when `next` or `report_due` should be asked again at the latest
     instant next_check_at(instant now) const;
     /// The base model that an empty replica is to load.
-    void set_base_model(model_id model) { wanted_model_ = std::move(model); }
+    void set_base_model(model_id model) { base_model_ = std::move(model); }
     /// @returns true when that model was named
-    bool base_model_set() const noexcept { return !wanted_model_.empty(); }
+    bool base_model_set() const noexcept { return !base_model_.empty(); }
 
 private:
-    enum class slot_state : std::uint8_t { loading, resident, dropping };
+    enum class slot_state : std::uint8_t { loading, resident, unloading };
     struct slot {
         std::uint32_t version = 0;
         slot_state state = slot_state::resident;
@@ -144,68 +144,71 @@
         /// out.
         instant check_at;
         /// Its load comes from the store, and tells how busy the way is.
-        bool timed = false;
+        bool from_store = false;
         /// The count of orders from which on a report shows it.
-        std::uint64_t shown_from = 0;
+        std::uint64_t reported_from = 0;
     };
-    struct wanted {
+    struct pending_request {
         std::uint32_t version = 0;
-        instant first;
-        instant last;
-        load_priority kind = load_priority::prefetch;
+        instant requested_at;
+        instant renewed_at;
+        load_priority priority = load_priority::prefetch;
         /// The replica keeps a copy: the load takes a tenth and holds up none.
-        bool kept = false;
+        bool cached = false;
     };
 
-    void forget_old_wants(instant now);
-    void begin_anew();
-    void drop_not_shown(replica_report const& report, instant now);
-    bool kept(adapter_id const& id) const;
-    duration load_time(adapter_id const& id) const;
+    void remove_expired_requests(instant now);
+    void reset_after_restart();
+    void remove_unreported(replica_report const& report, instant now);
+    bool is_cached(adapter_id const& id) const;
+    duration expected_load_duration(adapter_id const& id) const;
     unsigned free_slots(instant now) const;
-    static bool resting(slot const& of, instant now);
-    static bool goes_before(wanted const& left, wanted const& right);
-    std::optional<adapter_id> first_want(instant now) const;
-    std::optional<adapter_id> victim(instant now) const;
-    std::optional<replica_command> check_order(instant now) const;
-    void ordered_again(
-        replica_command const& order, command_result answer, instant now);
-    void began(replica_command const& order, bool done, instant now);
-    void lost(replica_command const& order, instant now);
+    static bool idle(slot const& entry, instant now);
+    static bool
+    precedes(pending_request const& left, pending_request const& right);
+    std::optional<adapter_id> next_request(instant now) const;
+    std::optional<adapter_id> eviction_candidate(instant now) const;
+    std::optional<replica_command> status_check(instant now) const;
+    void on_repeated_command(
+        replica_command const& command, command_result result, instant now);
+    void on_command_confirmed(
+        replica_command const& command, bool already_done, instant now);
+    void on_no_answer(replica_command const& command, instant now);
     std::optional<replica_command>
-    load_order(adapter_id const& id, instant now);
-    bool may_load(adapter_id const& id) const;
-    void end_load(slot& of);
+    load_or_evict(adapter_id const& id, instant now);
+    bool load_allowed(adapter_id const& id) const;
+    void finish_load(slot& entry);
     void set_ready(
-        adapter_id const& id, slot& of, std::uint32_t version, instant now);
-    void take_resident(adapter_ref const& each, instant now);
+        adapter_id const& id, slot& entry, std::uint32_t version, instant now);
+    void adopt_resident(adapter_ref const& each, instant now);
 
     /// After a report that could not be read, or orders without answer.
-    static constexpr duration report_retry = std::chrono::milliseconds(250);
+    static constexpr duration report_retry_delay =
+        std::chrono::milliseconds(250);
 
     slot_limits limits_;
     std::shared_ptr<load_limiter> limiter_;
     slot_releases releases_;
     /// Adapters that lay here, newest last; the replica keeps copies of some.
-    std::vector<adapter_id> recent_;
-    std::optional<incarnation> born_;
-    bool known_ = false;
-    bool must_report_ = true;
+    std::vector<adapter_id> cached_adapters_;
+    std::optional<incarnation> incarnation_;
+    bool has_report_ = false;
+    bool report_required_ = true;
     bool busy_ = false;
     bool model_loading_ = false;
-    instant model_ordered_;
-    instant report_after_;
+    instant model_commanded_at_;
+    instant next_report_at_;
     std::uint64_t sequence_ = 0;
     /// When the replica counted an order last.
-    instant last_counted_;
-    model_id wanted_model_;
+    instant last_accepted_at_;
+    model_id base_model_;
     std::vector<model_id> models_;
     std::unordered_map<adapter_id, slot> slots_;
-    std::unordered_map<adapter_id, wanted> wants_;
+    std::unordered_map<adapter_id, pending_request> requests_;
     std::vector<residency_change> changes_;
     /// The order that had no answer, and how often it was given.
-    std::optional<replica_command> unanswered_;
-    unsigned times_unanswered_ = 0;
+    std::optional<replica_command> unanswered_command_;
+    unsigned unanswered_attempts_ = 0;
 };
 
 } // namespace camphorpoint
--- a/src/ReplicaControl/slot_tracker_requests.cpp
+++ b/src/ReplicaControl/slot_tracker_requests.cpp
@@ -9,115 +9,118 @@
 
 /// A want that nobody has repeated for so long is dropped: those who waited
 /// have gone elsewhere. Nodes repeat theirs about every 300 ms.
-constexpr duration want_lasts = std::chrono::milliseconds(1'200);
+constexpr duration load_request_timeout = std::chrono::milliseconds(1'200);
 
 } // namespace
 
 void slot_tracker::request_load(
-    adapter_ref const& adapter, load_priority kind, instant now) {
+    adapter_ref const& adapter, load_priority priority, instant now) {
     if (ready(adapter)) {
         return;
     }
-    auto const [place, added] = wants_.try_emplace(adapter.id);
-    wanted& of = place->second;
+    auto const [it, added] = requests_.try_emplace(adapter.id);
+    pending_request& entry = it->second;
     if (added) {
-        of.first = now;
-        of.kept = kept(adapter.id);
+        entry.requested_at = now;
+        entry.cached = is_cached(adapter.id);
     }
-    of.version = std::max(of.version, adapter.version);
-    of.last = now;
-    of.kind = std::min(of.kind, kind);
+    entry.version = std::max(entry.version, adapter.version);
+    entry.renewed_at = now;
+    entry.priority = std::min(entry.priority, priority);
 }
 
 bool slot_tracker::has_capacity_for(
     adapter_id const& adapter, instant now) const {
-    if (!known_ || slots_.contains(adapter) || wants_.contains(adapter) ||
-        slots_.size() < limits_.slots) {
+    if (!has_report_ || slots_.contains(adapter) ||
+        requests_.contains(adapter) || slots_.size() < limits_.slots) {
         return true;
     }
-    return free_slots(now) > wants_.size();
+    return free_slots(now) > requests_.size();
 }
 
 unsigned slot_tracker::free_slots(instant now) const {
     auto const used_slots = std::ranges::count_if(slots_, [&](auto const& at) {
-        slot const& of = at.second;
-        bool const goes = of.state == slot_state::dropping;
-        bool const rests = of.state == slot_state::resident &&
-                           resting(of, now) && !wants_.contains(at.first);
-        return !goes && !rests;
+        slot const& entry = at.second;
+        bool const is_unloading = entry.state == slot_state::unloading;
+        bool const is_idle = entry.state == slot_state::resident &&
+                             idle(entry, now) && !requests_.contains(at.first);
+        return !is_unloading && !is_idle;
     });
     return limits_.slots -
            std::min(limits_.slots, static_cast<unsigned>(used_slots));
 }
 
 int slot_tracker::available_slots(instant now) const {
-    auto const waiting = std::ranges::count_if(wants_, [&](auto const& each) {
-        return each.second.kind != load_priority::prefetch &&
-               !command_pending(each.first);
-    });
+    auto const waiting =
+        std::ranges::count_if(requests_, [&](auto const& each) {
+            return each.second.priority != load_priority::prefetch &&
+                   !command_pending(each.first);
+        });
     return static_cast<int>(free_slots(now)) - static_cast<int>(waiting);
 }
 
-bool slot_tracker::kept(adapter_id const& id) const {
-    return std::ranges::find(recent_, id) != recent_.end();
+bool slot_tracker::is_cached(adapter_id const& id) const {
+    return std::ranges::find(cached_adapters_, id) != cached_adapters_.end();
 }
 
-duration slot_tracker::load_time(adapter_id const& id) const {
-    return kept(id) ? limiter_->cached_duration()
-                    : limiter_->typical_duration();
+duration slot_tracker::expected_load_duration(adapter_id const& id) const {
+    return is_cached(id) ? limiter_->cached_duration()
+                         : limiter_->typical_duration();
 }
 
 duration slot_tracker::expected_wait(
-    adapter_ref const& adapter, load_priority kind, instant now) const {
+    adapter_ref const& adapter, load_priority priority, instant now) const {
     if (ready(adapter)) {
         return duration::zero();
     }
-    duration const load = load_time(adapter.id);
-    auto const own = slots_.find(adapter.id);
-    if (own != slots_.end() && own->second.state == slot_state::loading) {
-        return std::max(own->second.since + load - now, duration::zero());
+    duration const load = expected_load_duration(adapter.id);
+    auto const current = slots_.find(adapter.id);
+    if (current != slots_.end() &&
+        current->second.state == slot_state::loading) {
+        return std::max(current->second.since + load - now, duration::zero());
     }
-    slot_outlook by;
-    by.free = free_slots(now);
-    by.release_pause = releases_.pause(now);
-    by.load = load;
-    by.at_once = limiter_->loads_per_replica();
-    wanted asked;
-    asked.kind = kind;
-    asked.kept = kept(adapter.id);
-    asked.first = instant::max();
+    forecast_input input;
+    input.free_slots = free_slots(now);
+    input.release_interval = releases_.mean_interval(now);
+    input.load_duration = load;
+    input.concurrent_loads = limiter_->loads_per_replica();
+    pending_request candidate;
+    candidate.priority = priority;
+    candidate.cached = is_cached(adapter.id);
+    candidate.requested_at = instant::max();
     // Who asks for what others wait for already shares their place.
-    auto const queued = wants_.find(adapter.id);
-    if (queued != wants_.end()) {
-        asked.kind = std::min(kind, queued->second.kind);
-        asked.first = queued->second.first;
+    auto const queued = requests_.find(adapter.id);
+    if (queued != requests_.end()) {
+        candidate.priority = std::min(priority, queued->second.priority);
+        candidate.requested_at = queued->second.requested_at;
     }
-    for (auto const& [id, each] : wants_) {
-        auto const slot_of = slots_.find(id);
-        bool const loads = slot_of != slots_.end() &&
-                           slot_of->second.state == slot_state::loading;
-        if (id == adapter.id || loads || !goes_before(each, asked)) {
+    for (auto const& [id, each] : requests_) {
+        auto const occupied = slots_.find(id);
+        bool const is_loading = occupied != slots_.end() &&
+                                occupied->second.state == slot_state::loading;
+        if (id == adapter.id || is_loading || !precedes(each, candidate)) {
             continue;
         }
-        ++by.ahead;
-        by.loads_ahead += load_time(id);
+        ++input.requests_ahead;
+        input.duration_ahead += expected_load_duration(id);
     }
-    return expected_ready(by);
+    return time_to_ready(input);
 }
 
 std::optional<duration> slot_tracker::refused_wait(
-    adapter_ref const& adapter, load_priority kind, duration patience,
+    adapter_ref const& adapter, load_priority priority, duration wait_budget,
     instant now) const {
-    duration const wait = expected_wait(adapter, kind, now);
+    duration const wait = expected_wait(adapter, priority, now);
     // Guards against forecasts that forbid what would correct them: where loads
     // are believed to take too long, none would be ordered, and none would show
     // that they do not. Where they really do, no adapter would ever come. With
     // a slot and the way free it is nowhere ready sooner.
-    bool const at_once = available_slots(now) > 0 && limiter_->may_begin();
-    bool const taken = kind == load_priority::prefetch
-                           ? has_capacity_for(adapter.id, now)
-                           : at_once || wait <= patience;
-    return taken ? std::nullopt : std::optional(wait);
+    bool const can_start_now =
+        available_slots(now) > 0 && limiter_->can_start();
+    bool const accepted = priority == load_priority::prefetch
+                              ? has_capacity_for(adapter.id, now)
+                              : can_start_now || wait <= wait_budget;
+    return accepted ? std::nullopt : std::optional(wait);
 }
 
 void slot_tracker::record_use(
@@ -126,61 +129,61 @@
     if (found == slots_.end()) {
         return;
     }
-    slot& of = found->second;
-    of.last_used = now;
-    of.busy_until =
+    slot& entry = found->second;
+    entry.last_used = now;
+    entry.busy_until =
         now + (running ? limits_.use_timeout : limits_.cooldown_after_use);
     if (!running) {
-        releases_.note(now);
+        releases_.record(now);
     }
 }
 
-void slot_tracker::forget_old_wants(instant now) {
-    std::erase_if(wants_, [&](auto const& each) {
-        return now >= each.second.last + want_lasts;
+void slot_tracker::remove_expired_requests(instant now) {
+    std::erase_if(requests_, [&](auto const& each) {
+        return now >= each.second.renewed_at + load_request_timeout;
     });
 }
 
-bool slot_tracker::resting(slot const& of, instant now) {
-    return now >= of.busy_until;
+bool slot_tracker::idle(slot const& entry, instant now) {
+    return now >= entry.busy_until;
 }
 
-bool slot_tracker::goes_before(wanted const& left, wanted const& right) {
+bool slot_tracker::precedes(
+    pending_request const& left, pending_request const& right) {
     // A kept copy comes in a tenth of the time and holds up nobody.
-    return std::tuple(left.kind, !left.kept, left.first) <
-           std::tuple(right.kind, !right.kept, right.first);
+    return std::tuple(left.priority, !left.cached, left.requested_at) <
+           std::tuple(right.priority, !right.cached, right.requested_at);
 }
 
-std::optional<adapter_id> slot_tracker::first_want(instant now) const {
+std::optional<adapter_id> slot_tracker::next_request(instant now) const {
     std::optional<adapter_id> best;
-    wanted const* best_want = nullptr;
-    for (auto const& [id, each] : wants_) {
-        auto const slot_of = slots_.find(id);
+    pending_request const* best_request = nullptr;
+    for (auto const& [id, each] : requests_) {
+        auto const occupied = slots_.find(id);
         // A replacement waits for the adapter's runs, and the replica takes no
         // other order meanwhile: one that is in use stays as it is, and the
         // new version comes to another replica.
-        bool const in_the_way =
-            slot_of != slots_.end() &&
-            (slot_of->second.state != slot_state::resident ||
-             !resting(slot_of->second, now));
-        if (in_the_way) {
+        bool const blocked = occupied != slots_.end() &&
+                             (occupied->second.state != slot_state::resident ||
+                              !idle(occupied->second, now));
+        if (blocked) {
             continue;
         }
-        if (best_want == nullptr || goes_before(each, *best_want)) {
+        if (best_request == nullptr || precedes(each, *best_request)) {
             best = id;
-            best_want = &each;
+            best_request = &each;
         }
     }
     return best;
 }
 
-std::optional<adapter_id> slot_tracker::victim(instant now) const {
+std::optional<adapter_id> slot_tracker::eviction_candidate(instant now) const {
     std::optional<adapter_id> best;
     slot const* best_slot = nullptr;
     for (auto const& [id, each] : slots_) {
         // As with replacements: what is in use would hold up every order.
-        if (each.state != slot_state::resident || wants_.contains(id) ||
-            !resting(each, now)) {
+        if (each.state != slot_state::resident || requests_.contains(id) ||
+            !idle(each, now)) {
             continue;
         }
         if (best_slot == nullptr || each.last_used < best_slot->last_used) {
--- a/test/load_forecast_test.cpp
+++ b/test/load_forecast_test.cpp
@@ -20,35 +20,35 @@
 TEST_CASE("loads that take longer are ordered one at a time") {
     load_limiter limiter;
     auto const load = [&](milliseconds time) {
-        limiter.begin();
-        limiter.end();
+        limiter.on_load_started();
+        limiter.on_load_finished();
         limiter.record_load(time);
     };
-    limiter.begin();
-    CHECK(limiter.may_begin());
-    limiter.end();
+    limiter.on_load_started();
+    CHECK(limiter.can_start());
+    limiter.on_load_finished();
     load(milliseconds(250));
     for (int each = 0; each < 8; ++each) {
         load(milliseconds(500));
     }
-    limiter.begin();
-    CHECK_FALSE(limiter.may_begin());
+    limiter.on_load_started();
+    CHECK_FALSE(limiter.can_start());
     limiter.record_load(milliseconds(260));
-    CHECK(limiter.may_begin());
-    limiter.end();
+    CHECK(limiter.can_start());
+    limiter.on_load_finished();
 
     SUBCASE("also where each load takes longer than elsewhere") {
         load_limiter slow;
         for (int each = 0; each < 4; ++each) {
-            slow.begin();
-            slow.begin();
-            slow.end();
+            slow.on_load_started();
+            slow.on_load_started();
+            slow.on_load_finished();
             slow.record_load(milliseconds(900));
-            slow.end();
+            slow.on_load_finished();
         }
-        slow.begin();
-        slow.begin();
-        CHECK(slow.may_begin());
+        slow.on_load_started();
+        slow.on_load_started();
+        CHECK(slow.can_start());
         CHECK(slow.typical_duration() == milliseconds(900));
     }
 }
@@ -56,39 +56,39 @@
 // Callers of a rare adapter wait two seconds for its load, and are refused
 // then. Whoever orders knew at their coming how many loads go before theirs.
 TEST_CASE("how long a load will take is told before anybody waits") {
-    slot_outlook by;
-    by.free = 2;
-    by.load = milliseconds(250);
-    by.release_pause = milliseconds(100);
+    forecast_input input;
+    input.free_slots = 2;
+    input.load_duration = milliseconds(250);
+    input.release_interval = milliseconds(100);
     SUBCASE("a free slot and nobody ahead: the load alone") {
-        CHECK(expected_ready(by) == milliseconds(250));
+        CHECK(time_to_ready(input) == milliseconds(250));
     }
     SUBCASE("loads ahead share what the node has under way at once") {
-        by.ahead = 1;
-        by.loads_ahead = milliseconds(250);
-        by.at_once = 0.5;
-        CHECK(expected_ready(by) == milliseconds(750));
+        input.requests_ahead = 1;
+        input.duration_ahead = milliseconds(250);
+        input.concurrent_loads = 0.5;
+        CHECK(time_to_ready(input) == milliseconds(750));
     }
     SUBCASE("no slot: it waits for one to come free") {
-        by.free = 0;
-        CHECK(expected_ready(by) == milliseconds(350));
-        by.load = milliseconds(25);
-        CHECK(expected_ready(by) == milliseconds(125));
+        input.free_slots = 0;
+        CHECK(time_to_ready(input) == milliseconds(350));
+        input.load_duration = milliseconds(25);
+        CHECK(time_to_ready(input) == milliseconds(125));
     }
 
     SUBCASE("by the account: resident, kept, never seen") {
-        slot_tracker_fixture world;
-        world.load("a");
+        slot_tracker_fixture fixture;
+        fixture.load("a");
         CHECK(
-            world.tracker.expected_wait(
-                adapter("a"), load_priority::demand, world.now) ==
+            fixture.tracker.expected_wait(
+                adapter("a"), load_priority::demand, fixture.now) ==
             duration::zero());
-        duration const fetched = world.tracker.expected_wait(
-            adapter("b"), load_priority::demand, world.now);
-        world.want(adapter("b"));
+        duration const fetched = fixture.tracker.expected_wait(
+            adapter("b"), load_priority::demand, fixture.now);
+        fixture.request(adapter("b"));
         CHECK(
-            world.tracker.expected_wait(
-                adapter("c"), load_priority::demand, world.now) > fetched);
+            fixture.tracker.expected_wait(
+                adapter("c"), load_priority::demand, fixture.now) > fetched);
         SUBCASE("what is wanted ahead holds nobody up") {
             slot_tracker_fixture other;
             other.load("a");
@@ -104,29 +104,30 @@
 // A replica's six adapters come and go. Each return of one that it still keeps
 // in memory waits behind three that come from the store.
 TEST_CASE("what a replica keeps in memory comes back before the store's") {
-    slot_tracker_fixture world;
+    slot_tracker_fixture fixture;
     for (std::string const name : {"a", "b", "c"}) {
-        world.load(name);
-        world.pass(milliseconds(500));
+        fixture.load(name);
+        fixture.advance(milliseconds(500));
     }
-    world.want(adapter("d"));
+    fixture.request(adapter("d"));
     auto const first_out =
-        world.expect_order(replica_command_kind::unload_adapter, "a");
-    world.tracker.on_result(first_out, command_result::already_done, world.now);
-    world.load("d");
-    world.pass(milliseconds(500));
-    world.want(adapter("new"));
-    world.want(adapter("a"));
-    auto const out = world.tracker.next_command(world.now);
+        fixture.expect_command(replica_command_kind::unload_adapter, "a");
+    fixture.tracker.on_result(
+        first_out, command_result::already_done, fixture.now);
+    fixture.load("d");
+    fixture.advance(milliseconds(500));
+    fixture.request(adapter("new"));
+    fixture.request(adapter("a"));
+    auto const out = fixture.tracker.next_command(fixture.now);
     REQUIRE(out);
     CHECK(out->kind == replica_command_kind::unload_adapter);
-    world.tracker.on_result(*out, command_result::already_done, world.now);
-    world.expect_order(replica_command_kind::load_adapter, "a");
+    fixture.tracker.on_result(*out, command_result::already_done, fixture.now);
+    fixture.expect_command(replica_command_kind::load_adapter, "a");
     CHECK(
-        world.tracker.expected_wait(
-            adapter("a"), load_priority::demand, world.now) <
-        world.tracker.expected_wait(
-            adapter("new"), load_priority::demand, world.now));
+        fixture.tracker.expected_wait(
+            adapter("a"), load_priority::demand, fixture.now) <
+        fixture.tracker.expected_wait(
+            adapter("new"), load_priority::demand, fixture.now));
 }
 
 // A holder is suspended while a load is under way, or the order is carried out
@@ -138,35 +139,35 @@
         for (unsigned const slots : {2U, 6U, 32U}) {
             CAPTURE(load_ms);
             CAPTURE(slots);
-            slot_tracker_fixture world(slots);
+            slot_tracker_fixture fixture(slots);
             auto const free_now = [&](std::string const& name) {
-                return !world.tracker.refused_wait(
+                return !fixture.tracker.refused_wait(
                     adapter(name), load_priority::demand, milliseconds(750),
-                    world.now);
+                    fixture.now);
             };
             CHECK(free_now("a"));
             for (int each = 0; each < 20; ++each) {
-                world.limiter->begin();
-                world.limiter->record_load(milliseconds(load_ms));
-                world.limiter->end();
+                fixture.limiter->on_load_started();
+                fixture.limiter->record_load(milliseconds(load_ms));
+                fixture.limiter->on_load_finished();
             }
             CHECK(free_now("b"));
-            world.limiter->record_load(seconds(20));
+            fixture.limiter->record_load(seconds(20));
             CHECK(free_now("c"));
 
             SUBCASE("and one such load does not make the next ones late") {
                 CHECK(
-                    world.tracker.expected_wait(
-                        adapter("c"), load_priority::demand, world.now) <=
+                    fixture.tracker.expected_wait(
+                        adapter("c"), load_priority::demand, fixture.now) <=
                     milliseconds(2 * load_ms));
             }
             SUBCASE("but behind others that come too late it is said so") {
                 for (int each = 0; each < 40; ++each) {
-                    world.want(adapter("w" + std::to_string(each)));
+                    fixture.request(adapter("w" + std::to_string(each)));
                 }
-                auto const wait = world.tracker.refused_wait(
+                auto const wait = fixture.tracker.refused_wait(
                     adapter("d"), load_priority::demand, milliseconds(750),
-                    world.now);
+                    fixture.now);
                 REQUIRE(wait);
                 CHECK(*wait > milliseconds(750));
             }
@@ -185,11 +186,11 @@
         slot_tracker tracker({3}, limiter);
         tracker.apply_report(report, now);
         tracker.request_load(adapter("a"), load_priority::demand, now);
-        auto const order = tracker.next_command(now);
-        REQUIRE(order);
-        tracker.on_result(*order, command_result::accepted, now);
+        auto const command = tracker.next_command(now);
+        REQUIRE(command);
+        tracker.on_result(*command, command_result::accepted, now);
     }
-    CHECK(limiter->may_begin());
+    CHECK(limiter->can_start());
     SUBCASE("also one that outlives the node's other services") {
         std::weak_ptr<load_limiter> const watched = limiter;
         slot_tracker last({3}, limiter);
--- a/test/replica_control_fixture.hpp
+++ b/test/replica_control_fixture.hpp
@@ -26,27 +26,27 @@
         tracker.apply_report(report, now);
         tracker.drain_changes();
     }
-    void pass(milliseconds time) { now += time; }
-    void want(adapter_ref const& what) {
+    void advance(milliseconds time) { now += time; }
+    void request(adapter_ref const& what) {
         tracker.request_load(what, load_priority::demand, now);
     }
     replica_command
-    expect_order(replica_command_kind kind, std::string const& name) {
-        auto const order = tracker.next_command(now);
-        REQUIRE(order);
-        CHECK(order->kind == kind);
-        CHECK(order->adapter.id == adapter(name).id);
-        return *order;
+    expect_command(replica_command_kind kind, std::string const& name) {
+        auto const command = tracker.next_command(now);
+        REQUIRE(command);
+        CHECK(command->kind == kind);
+        CHECK(command->adapter.id == adapter(name).id);
+        return *command;
     }
     /// Loads an adapter whole.
     void load(std::string const& name) {
-        want(adapter(name));
-        auto const order =
-            expect_order(replica_command_kind::load_adapter, name);
-        tracker.on_result(order, command_result::accepted, now);
-        pass(milliseconds(300));
+        request(adapter(name));
+        auto const command =
+            expect_command(replica_command_kind::load_adapter, name);
+        tracker.on_result(command, command_result::accepted, now);
+        advance(milliseconds(300));
         auto const check =
-            expect_order(replica_command_kind::load_adapter, name);
+            expect_command(replica_command_kind::load_adapter, name);
         tracker.on_result(check, command_result::already_done, now);
         REQUIRE(tracker.ready(adapter(name)));
     }
--- a/test/replica_control_test.cpp
+++ b/test/replica_control_test.cpp
@@ -17,29 +17,30 @@
 using testing::slot_tracker_fixture;
 
 TEST_CASE("a load is ordered, and seen to have come") {
-    slot_tracker_fixture world;
-    world.want(adapter("a"));
-    auto const order =
-        world.expect_order(replica_command_kind::load_adapter, "a");
-    CHECK(order.expected_count == 0);
-    world.tracker.on_result(order, command_result::accepted, world.now);
-    CHECK_FALSE(world.tracker.ready(adapter("a")));
-    CHECK_FALSE(world.tracker.next_command(world.now));
+    slot_tracker_fixture fixture;
+    fixture.request(adapter("a"));
+    auto const command =
+        fixture.expect_command(replica_command_kind::load_adapter, "a");
+    CHECK(command.expected_count == 0);
+    fixture.tracker.on_result(command, command_result::accepted, fixture.now);
+    CHECK_FALSE(fixture.tracker.ready(adapter("a")));
+    CHECK_FALSE(fixture.tracker.next_command(fixture.now));
 
     SUBCASE("the same order is given again until it holds") {
-        world.pass(milliseconds(300));
+        fixture.advance(milliseconds(300));
         auto const again =
-            world.expect_order(replica_command_kind::load_adapter, "a");
+            fixture.expect_command(replica_command_kind::load_adapter, "a");
         CHECK(again.expected_count == 1);
-        world.tracker.on_result(again, command_result::accepted, world.now);
-        CHECK_FALSE(world.tracker.ready(adapter("a")));
-        world.pass(milliseconds(20));
+        fixture.tracker.on_result(again, command_result::accepted, fixture.now);
+        CHECK_FALSE(fixture.tracker.ready(adapter("a")));
+        fixture.advance(milliseconds(20));
         auto const third =
-            world.expect_order(replica_command_kind::load_adapter, "a");
+            fixture.expect_command(replica_command_kind::load_adapter, "a");
         CHECK(third.expected_count == 1);
-        world.tracker.on_result(third, command_result::already_done, world.now);
-        CHECK(world.tracker.ready(adapter("a")));
-        auto const changes = world.tracker.drain_changes();
+        fixture.tracker.on_result(
+            third, command_result::already_done, fixture.now);
+        CHECK(fixture.tracker.ready(adapter("a")));
+        auto const changes = fixture.tracker.drain_changes();
         REQUIRE(changes.size() == 1);
         CHECK(changes.front().resident);
     }
@@ -49,224 +50,232 @@
 // lay there already was counted as an order, the replica had not counted it,
 // and every order after it was out of step for good.
 TEST_CASE("a load of what lies there is not counted") {
-    slot_tracker_fixture world;
-    world.want(adapter("a"));
-    auto const order =
-        world.expect_order(replica_command_kind::load_adapter, "a");
-    world.tracker.on_result(order, command_result::already_done, world.now);
-    CHECK(world.tracker.ready(adapter("a")));
-    world.want(adapter("b"));
-    CHECK(world.tracker.next_command(world.now)->expected_count == 0);
+    slot_tracker_fixture fixture;
+    fixture.request(adapter("a"));
+    auto const command =
+        fixture.expect_command(replica_command_kind::load_adapter, "a");
+    fixture.tracker.on_result(
+        command, command_result::already_done, fixture.now);
+    CHECK(fixture.tracker.ready(adapter("a")));
+    fixture.request(adapter("b"));
+    CHECK(fixture.tracker.next_command(fixture.now)->expected_count == 0);
 }
 
 // Guards against refusals after each first report on what was ordered without
 // a version: an adapter that has long been there would count as just come, and
 // its place as taken for a while.
 TEST_CASE("a version that a report names first is no load") {
-    slot_tracker_fixture world;
+    slot_tracker_fixture fixture;
     for (std::string const name : {"a", "b", "c"}) {
-        world.load(name);
-        world.pass(milliseconds(500));
+        fixture.load(name);
+        fixture.advance(milliseconds(500));
     }
-    int const spare = world.tracker.available_slots(world.now);
+    int const spare = fixture.tracker.available_slots(fixture.now);
     CHECK(spare == 3);
-    world.report.sequence = 3;
-    world.report.adapters = {adapter("a", 1), adapter("b", 1), adapter("c", 1)};
-    world.tracker.require_report();
-    world.tracker.apply_report(world.report, world.now);
-    CHECK(world.tracker.ready(adapter("a", 1)));
-    CHECK(world.tracker.available_slots(world.now) == spare);
+    fixture.report.sequence = 3;
+    fixture.report.adapters = {
+        adapter("a", 1), adapter("b", 1), adapter("c", 1)};
+    fixture.tracker.require_report();
+    fixture.tracker.apply_report(fixture.report, fixture.now);
+    CHECK(fixture.tracker.ready(adapter("a", 1)));
+    CHECK(fixture.tracker.available_slots(fixture.now) == spare);
 
     SUBCASE("another than it had is one") {
-        world.report.adapters.front().version = 2;
-        world.tracker.apply_report(world.report, world.now);
-        CHECK(world.tracker.available_slots(world.now) == spare - 1);
+        fixture.report.adapters.front().version = 2;
+        fixture.tracker.apply_report(fixture.report, fixture.now);
+        CHECK(fixture.tracker.available_slots(fixture.now) == spare - 1);
     }
 }
 
 // A replica has three slots. It is sent a fourth adapter while one is still on
 // its way: it crashes, and all that it ran is lost.
 TEST_CASE("never more adapters than slots, those under way included") {
-    slot_tracker_fixture world;
-    world.load("a");
-    world.pass(milliseconds(500));
-    world.load("b");
-    world.pass(milliseconds(500));
-    world.want(adapter("c"));
+    slot_tracker_fixture fixture;
+    fixture.load("a");
+    fixture.advance(milliseconds(500));
+    fixture.load("b");
+    fixture.advance(milliseconds(500));
+    fixture.request(adapter("c"));
     auto const third =
-        world.expect_order(replica_command_kind::load_adapter, "c");
-    world.tracker.on_result(third, command_result::accepted, world.now);
-    world.want(adapter("d"));
+        fixture.expect_command(replica_command_kind::load_adapter, "c");
+    fixture.tracker.on_result(third, command_result::accepted, fixture.now);
+    fixture.request(adapter("d"));
 
     SUBCASE("what was unused for longest goes first") {
         auto const unload =
-            world.expect_order(replica_command_kind::unload_adapter, "a");
-        world.tracker.on_result(
-            unload, command_result::already_done, world.now);
-        CHECK(world.tracker.occupied_slots() == 2);
-        world.expect_order(replica_command_kind::load_adapter, "d");
+            fixture.expect_command(replica_command_kind::unload_adapter, "a");
+        fixture.tracker.on_result(
+            unload, command_result::already_done, fixture.now);
+        CHECK(fixture.tracker.occupied_slots() == 2);
+        fixture.expect_command(replica_command_kind::load_adapter, "d");
     }
     SUBCASE("it is told before the order leaves") {
-        world.tracker.drain_changes();
-        world.tracker.next_command(world.now);
-        auto const changes = world.tracker.drain_changes();
+        fixture.tracker.drain_changes();
+        fixture.tracker.next_command(fixture.now);
+        auto const changes = fixture.tracker.drain_changes();
         REQUIRE(changes.size() == 1);
         CHECK_FALSE(changes.front().resident);
     }
     SUBCASE("an unload that waits for runs frees nothing yet") {
         auto const unload =
-            world.expect_order(replica_command_kind::unload_adapter, "a");
-        world.tracker.on_result(unload, command_result::accepted, world.now);
-        CHECK(world.tracker.occupied_slots() == 3);
-        CHECK_FALSE(world.tracker.next_command(world.now));
-        world.pass(milliseconds(20));
+            fixture.expect_command(replica_command_kind::unload_adapter, "a");
+        fixture.tracker.on_result(
+            unload, command_result::accepted, fixture.now);
+        CHECK(fixture.tracker.occupied_slots() == 3);
+        CHECK_FALSE(fixture.tracker.next_command(fixture.now));
+        fixture.advance(milliseconds(20));
         auto const check =
-            world.expect_order(replica_command_kind::unload_adapter, "a");
-        world.tracker.on_result(check, command_result::already_done, world.now);
-        CHECK(world.tracker.occupied_slots() == 2);
+            fixture.expect_command(replica_command_kind::unload_adapter, "a");
+        fixture.tracker.on_result(
+            check, command_result::already_done, fixture.now);
+        CHECK(fixture.tracker.occupied_slots() == 2);
     }
 }
 
 // A hot adapter gets a new version. Its replica waits for all its runs, takes
 // no other order for eight seconds, and refuses what comes for it.
 TEST_CASE("what is in use is neither unloaded nor replaced") {
-    slot_tracker_fixture world;
+    slot_tracker_fixture fixture;
     for (std::string const name : {"a", "b", "c"}) {
-        world.load(name);
+        fixture.load(name);
     }
     for (std::string const name : {"a", "b", "c"}) {
-        world.tracker.record_use(adapter(name).id, true, world.now);
+        fixture.tracker.record_use(adapter(name).id, true, fixture.now);
     }
 
     SUBCASE("no slot is taken from it, until it rests") {
-        CHECK_FALSE(world.tracker.has_capacity_for(adapter("d").id, world.now));
-        CHECK(world.tracker.has_capacity_for(adapter("a").id, world.now));
-        world.want(adapter("d"));
-        CHECK_FALSE(world.tracker.next_command(world.now));
-        world.pass(milliseconds(550));
-        CHECK(world.tracker.has_capacity_for(adapter("d").id, world.now));
-        world.want(adapter("d"));
-        CHECK(world.tracker.next_command(world.now));
+        CHECK_FALSE(
+            fixture.tracker.has_capacity_for(adapter("d").id, fixture.now));
+        CHECK(fixture.tracker.has_capacity_for(adapter("a").id, fixture.now));
+        fixture.request(adapter("d"));
+        CHECK_FALSE(fixture.tracker.next_command(fixture.now));
+        fixture.advance(milliseconds(550));
+        CHECK(fixture.tracker.has_capacity_for(adapter("d").id, fixture.now));
+        fixture.request(adapter("d"));
+        CHECK(fixture.tracker.next_command(fixture.now));
     }
     SUBCASE("a new version waits, and others go on") {
-        world.want(adapter("a", 2));
-        CHECK_FALSE(world.tracker.next_command(world.now));
-        world.pass(milliseconds(550));
-        world.want(adapter("a", 2));
-        auto const order =
-            world.expect_order(replica_command_kind::load_adapter, "a");
-        CHECK(order.adapter.version == 2);
-        world.tracker.on_result(order, command_result::accepted, world.now);
-        CHECK_FALSE(world.tracker.ready(adapter("a", 1)));
-        CHECK(world.tracker.occupied_slots() == 3);
+        fixture.request(adapter("a", 2));
+        CHECK_FALSE(fixture.tracker.next_command(fixture.now));
+        fixture.advance(milliseconds(550));
+        fixture.request(adapter("a", 2));
+        auto const command =
+            fixture.expect_command(replica_command_kind::load_adapter, "a");
+        CHECK(command.adapter.version == 2);
+        fixture.tracker.on_result(
+            command, command_result::accepted, fixture.now);
+        CHECK_FALSE(fixture.tracker.ready(adapter("a", 1)));
+        CHECK(fixture.tracker.occupied_slots() == 3);
     }
 }
 
 // The store's answer to an order is lost; the order is carried out seconds
 // later. With another order in its place, two loads take the last slot.
 TEST_CASE("an order without answer is given again, and nothing else") {
-    slot_tracker_fixture world;
-    world.want(adapter("a"));
-    world.want(adapter("b"));
-    auto const first = world.tracker.next_command(world.now);
+    slot_tracker_fixture fixture;
+    fixture.request(adapter("a"));
+    fixture.request(adapter("b"));
+    auto const first = fixture.tracker.next_command(fixture.now);
     REQUIRE(first);
     std::string const name = first->adapter.id.str();
 
     SUBCASE("the same order with the same number") {
-        world.tracker.on_result(*first, command_result::no_answer, world.now);
-        auto const again = world.tracker.next_command(world.now);
+        fixture.tracker.on_result(
+            *first, command_result::no_answer, fixture.now);
+        auto const again = fixture.tracker.next_command(fixture.now);
         REQUIRE(again);
         CHECK(again->adapter.id.str() == name);
         CHECK(again->kind == first->kind);
         CHECK(again->expected_count == first->expected_count);
         SUBCASE("of the two the replica carries out one") {
-            world.tracker.on_result(
-                *again, command_result::accepted, world.now);
-            CHECK(world.tracker.occupied_slots() == 1);
-            auto const next = world.tracker.next_command(world.now);
+            fixture.tracker.on_result(
+                *again, command_result::accepted, fixture.now);
+            CHECK(fixture.tracker.occupied_slots() == 1);
+            auto const next = fixture.tracker.next_command(fixture.now);
             REQUIRE(next);
             CHECK(next->expected_count == first->expected_count + 1);
         }
         SUBCASE("when the first has counted, a report comes before all else") {
-            world.tracker.on_result(
-                *again, command_result::out_of_sequence, world.now);
-            CHECK_FALSE(world.tracker.next_command(world.now));
-            CHECK(world.tracker.report_due(world.now));
+            fixture.tracker.on_result(
+                *again, command_result::out_of_sequence, fixture.now);
+            CHECK_FALSE(fixture.tracker.next_command(fixture.now));
+            CHECK(fixture.tracker.report_due(fixture.now));
         }
     }
     SUBCASE("three times, then a report comes first") {
         for (int each = 0; each < 3; ++each) {
-            auto const order = world.tracker.next_command(world.now);
-            REQUIRE(order);
-            CHECK(order->adapter.id.str() == name);
-            world.tracker.on_result(
-                *order, command_result::no_answer, world.now);
+            auto const command = fixture.tracker.next_command(fixture.now);
+            REQUIRE(command);
+            CHECK(command->adapter.id.str() == name);
+            fixture.tracker.on_result(
+                *command, command_result::no_answer, fixture.now);
         }
-        CHECK_FALSE(world.tracker.next_command(world.now));
-        CHECK_FALSE(world.tracker.report_due(world.now));
-        world.pass(milliseconds(300));
-        CHECK(world.tracker.report_due(world.now));
+        CHECK_FALSE(fixture.tracker.next_command(fixture.now));
+        CHECK_FALSE(fixture.tracker.report_due(fixture.now));
+        fixture.advance(milliseconds(300));
+        CHECK(fixture.tracker.report_due(fixture.now));
     }
 }
 
 TEST_CASE("after orders without answer a report shows what counted") {
-    slot_tracker_fixture world;
-    world.want(adapter("a"));
+    slot_tracker_fixture fixture;
+    fixture.request(adapter("a"));
     for (int each = 0; each < 3; ++each) {
-        auto const order =
-            world.expect_order(replica_command_kind::load_adapter, "a");
-        world.tracker.on_result(order, command_result::no_answer, world.now);
+        auto const command =
+            fixture.expect_command(replica_command_kind::load_adapter, "a");
+        fixture.tracker.on_result(
+            command, command_result::no_answer, fixture.now);
     }
-    CHECK_FALSE(world.tracker.next_command(world.now));
-    world.pass(milliseconds(300));
-    CHECK(world.tracker.report_due(world.now));
+    CHECK_FALSE(fixture.tracker.next_command(fixture.now));
+    fixture.advance(milliseconds(300));
+    CHECK(fixture.tracker.report_due(fixture.now));
 
     SUBCASE("it was carried out") {
-        world.report.sequence = 1;
-        world.report.pending = {adapter("a", 1)};
-        world.tracker.apply_report(world.report, world.now);
-        CHECK(world.tracker.occupied_slots() == 1);
-        world.want(adapter("b"));
-        auto const next = world.tracker.next_command(world.now);
+        fixture.report.sequence = 1;
+        fixture.report.pending = {adapter("a", 1)};
+        fixture.tracker.apply_report(fixture.report, fixture.now);
+        CHECK(fixture.tracker.occupied_slots() == 1);
+        fixture.request(adapter("b"));
+        auto const next = fixture.tracker.next_command(fixture.now);
         REQUIRE(next);
         CHECK(next->expected_count == 1);
     }
     SUBCASE("it was not: the same number goes out, so that one of the two "
             "counts") {
-        world.tracker.apply_report(world.report, world.now);
-        world.want(adapter("a"));
-        CHECK(world.tracker.next_command(world.now)->expected_count == 0);
+        fixture.tracker.apply_report(fixture.report, fixture.now);
+        fixture.request(adapter("a"));
+        CHECK(fixture.tracker.next_command(fixture.now)->expected_count == 0);
     }
     SUBCASE(
         "a report that is older than an accepted order takes nothing back") {
-        world.tracker.apply_report(world.report, world.now);
-        world.want(adapter("a"));
-        auto const next = world.tracker.next_command(world.now);
-        world.tracker.on_result(*next, command_result::accepted, world.now);
-        world.tracker.apply_report(world.report, world.now);
-        CHECK(world.tracker.occupied_slots() == 1);
+        fixture.tracker.apply_report(fixture.report, fixture.now);
+        fixture.request(adapter("a"));
+        auto const next = fixture.tracker.next_command(fixture.now);
+        fixture.tracker.on_result(*next, command_result::accepted, fixture.now);
+        fixture.tracker.apply_report(fixture.report, fixture.now);
+        CHECK(fixture.tracker.occupied_slots() == 1);
     }
 }
 
 // Of eight slots one or two were held by adapters whose last request had ended
 // half a second ago, and requests for others were turned away.
 TEST_CASE("a slot is free soon after its last use") {
-    slot_tracker_fixture world;
+    slot_tracker_fixture fixture;
     for (std::string const name : {"a", "b", "c"}) {
-        world.load(name);
+        fixture.load(name);
     }
-    world.pass(milliseconds(1'000));
+    fixture.advance(milliseconds(1'000));
     for (std::string const name : {"a", "b", "c"}) {
-        world.tracker.record_use(adapter(name).id, true, world.now);
-    }
-    CHECK_FALSE(world.tracker.has_capacity_for(adapter("d").id, world.now));
-    world.tracker.record_use(adapter("b").id, false, world.now);
-    world.pass(milliseconds(50));
-    CHECK_FALSE(world.tracker.has_capacity_for(adapter("d").id, world.now));
-    world.pass(milliseconds(60));
-    CHECK(world.tracker.has_capacity_for(adapter("d").id, world.now));
-    world.want(adapter("d"));
-    world.expect_order(replica_command_kind::unload_adapter, "b");
+        fixture.tracker.record_use(adapter(name).id, true, fixture.now);
+    }
+    CHECK_FALSE(fixture.tracker.has_capacity_for(adapter("d").id, fixture.now));
+    fixture.tracker.record_use(adapter("b").id, false, fixture.now);
+    fixture.advance(milliseconds(50));
+    CHECK_FALSE(fixture.tracker.has_capacity_for(adapter("d").id, fixture.now));
+    fixture.advance(milliseconds(60));
+    CHECK(fixture.tracker.has_capacity_for(adapter("d").id, fixture.now));
+    fixture.request(adapter("d"));
+    fixture.expect_command(replica_command_kind::unload_adapter, "b");
 }
 
 TEST_CASE("an empty replica loads its base model first") {
@@ -277,10 +286,10 @@
     tracker.request_load(adapter("a"), load_priority::demand, now);
     CHECK_FALSE(tracker.next_command(now));
     tracker.set_base_model(model_id("m"));
-    auto const order = tracker.next_command(now);
-    REQUIRE(order);
-    CHECK(order->kind == replica_command_kind::load_model);
-    tracker.on_result(*order, command_result::accepted, now);
+    auto const command = tracker.next_command(now);
+    REQUIRE(command);
+    CHECK(command->kind == replica_command_kind::load_model);
+    tracker.on_result(*command, command_result::accepted, now);
     CHECK_FALSE(tracker.next_command(now));
     now += milliseconds(700);
     CHECK(tracker.report_due(now));
@@ -297,37 +306,39 @@
 // ahead of it. When later ones go before it, it comes too late for its caller,
 // who was not turned away while there was time to go elsewhere.
 TEST_CASE("loads come in the order in which they were promised") {
-    slot_tracker_fixture world;
-    world.tracker.request_load(
-        adapter("copy"), load_priority::prefetch, world.now);
-    world.want(adapter("old"));
-    duration const promised = world.tracker.expected_wait(
-        adapter("old"), load_priority::demand, world.now);
-    world.pass(milliseconds(600));
-    world.want(adapter("old"));
-    world.tracker.request_load(
-        adapter("copy"), load_priority::prefetch, world.now);
-    world.want(adapter("new"));
+    slot_tracker_fixture fixture;
+    fixture.tracker.request_load(
+        adapter("copy"), load_priority::prefetch, fixture.now);
+    fixture.request(adapter("old"));
+    duration const promised = fixture.tracker.expected_wait(
+        adapter("old"), load_priority::demand, fixture.now);
+    fixture.advance(milliseconds(600));
+    fixture.request(adapter("old"));
+    fixture.tracker.request_load(
+        adapter("copy"), load_priority::prefetch, fixture.now);
+    fixture.request(adapter("new"));
     SUBCASE("who asks for what others wait for shares their place") {
         CHECK(
-            world.tracker.expected_wait(
-                adapter("old"), load_priority::demand, world.now) == promised);
+            fixture.tracker.expected_wait(
+                adapter("old"), load_priority::demand, fixture.now) ==
+            promised);
         CHECK(
-            world.tracker.expected_wait(
-                adapter("new"), load_priority::demand, world.now) > promised);
+            fixture.tracker.expected_wait(
+                adapter("new"), load_priority::demand, fixture.now) > promised);
     }
     auto const first =
-        world.expect_order(replica_command_kind::load_adapter, "old");
-    world.tracker.on_result(first, command_result::already_done, world.now);
+        fixture.expect_command(replica_command_kind::load_adapter, "old");
+    fixture.tracker.on_result(first, command_result::already_done, fixture.now);
     auto const second =
-        world.expect_order(replica_command_kind::load_adapter, "new");
-    world.tracker.on_result(second, command_result::already_done, world.now);
-    world.expect_order(replica_command_kind::load_adapter, "copy");
+        fixture.expect_command(replica_command_kind::load_adapter, "new");
+    fixture.tracker.on_result(
+        second, command_result::already_done, fixture.now);
+    fixture.expect_command(replica_command_kind::load_adapter, "copy");
 
     SUBCASE("wants that nobody repeats are dropped") {
-        world.pass(milliseconds(1'500));
-        world.tracker.next_command(world.now);
-        CHECK(world.tracker.pending_requests() <= 2);
+        fixture.advance(milliseconds(1'500));
+        fixture.tracker.next_command(fixture.now);
+        CHECK(fixture.tracker.pending_requests() <= 2);
     }
 }
 
@@ -335,37 +346,37 @@
 // An account that goes on would take its slots for full, wait for loads that
 // nobody carries out, and name a count of orders that is refused for good.
 TEST_CASE("the account of a replica that starts again begins anew") {
-    slot_tracker_fixture world;
-    world.report.started_at = incarnation(milliseconds(1'000));
-    world.report.sequence = 0;
-    world.tracker.apply_report(world.report, world.now);
-    world.load("a1");
-    world.load("a2");
-    world.want(adapter("a3"));
-    replica_command const order =
-        world.expect_order(replica_command_kind::load_adapter, "a3");
-    CHECK(order.expected_count == 2);
-    world.tracker.on_result(order, command_result::accepted, world.now);
-    world.tracker.drain_changes();
-
-    world.report.started_at = incarnation(milliseconds(5'000));
-    world.report.sequence = 0;
-    world.pass(milliseconds(50));
-    world.tracker.require_report();
-    REQUIRE(world.tracker.report_due(world.now));
-    world.tracker.apply_report(world.report, world.now);
+    slot_tracker_fixture fixture;
+    fixture.report.started_at = incarnation(milliseconds(1'000));
+    fixture.report.sequence = 0;
+    fixture.tracker.apply_report(fixture.report, fixture.now);
+    fixture.load("a1");
+    fixture.load("a2");
+    fixture.request(adapter("a3"));
+    replica_command const command =
+        fixture.expect_command(replica_command_kind::load_adapter, "a3");
+    CHECK(command.expected_count == 2);
+    fixture.tracker.on_result(command, command_result::accepted, fixture.now);
+    fixture.tracker.drain_changes();
+
+    fixture.report.started_at = incarnation(milliseconds(5'000));
+    fixture.report.sequence = 0;
+    fixture.advance(milliseconds(50));
+    fixture.tracker.require_report();
+    REQUIRE(fixture.tracker.report_due(fixture.now));
+    fixture.tracker.apply_report(fixture.report, fixture.now);
 
     SUBCASE("nothing lies there, and all are told") {
-        CHECK(world.tracker.occupied_slots() == 0);
-        CHECK_FALSE(world.tracker.ready(adapter("a1")));
-        auto const changes = world.tracker.drain_changes();
+        CHECK(fixture.tracker.occupied_slots() == 0);
+        CHECK_FALSE(fixture.tracker.ready(adapter("a1")));
+        auto const changes = fixture.tracker.drain_changes();
         REQUIRE(changes.size() == 2);
         CHECK_FALSE(changes[0].resident);
         CHECK_FALSE(changes[1].resident);
     }
     SUBCASE("who waits still waits, and orders count from the beginning") {
         auto const again =
-            world.expect_order(replica_command_kind::load_adapter, "a3");
+            fixture.expect_command(replica_command_kind::load_adapter, "a3");
         CHECK(again.expected_count == 0);
     }
     SUBCASE(
@@ -373,26 +384,26 @@
         slot_tracker_fixture other;
         other.report.started_at = incarnation(milliseconds(1'000));
         other.tracker.apply_report(other.report, other.now);
-        other.want(adapter("b1"));
+        other.request(adapter("b1"));
         replica_command const lost =
-            other.expect_order(replica_command_kind::load_adapter, "b1");
+            other.expect_command(replica_command_kind::load_adapter, "b1");
         other.tracker.on_result(lost, command_result::no_answer, other.now);
         other.report.started_at = incarnation(milliseconds(5'000));
         other.tracker.require_report();
         other.tracker.apply_report(other.report, other.now);
-        other.want(adapter("b2"));
+        other.request(adapter("b2"));
         auto const next = other.tracker.next_command(other.now);
         REQUIRE(next);
         CHECK(next->expected_count == 0);
     }
     SUBCASE("a late report of the earlier one does not bring its slots back") {
-        replica_report late = world.report;
+        replica_report late = fixture.report;
         late.started_at = incarnation(milliseconds(1'000));
         late.adapters = {adapter("a1", 1), adapter("a2", 1)};
         late.sequence = 2;
-        world.tracker.apply_report(late, world.now);
-        world.tracker.apply_report(world.report, world.now);
-        CHECK(world.tracker.occupied_slots() == 0);
+        fixture.tracker.apply_report(late, fixture.now);
+        fixture.tracker.apply_report(fixture.report, fixture.now);
+        CHECK(fixture.tracker.occupied_slots() == 0);
     }
 }
 
