--- a/src/ReplicaControl/fencing_number.hpp
+++ b/src/ReplicaControl/fencing_number.hpp
@@ -6,20 +6,23 @@
 
 namespace camphorpoint {
 
-/// Places of one era that fit below its part of a fencing number: a thousand
-/// claims a second for thirty years.
+/// Bits of a fencing number that hold the log position within a store epoch. 40
+/// bits suffice for a thousand claims per second for thirty years.
 inline constexpr unsigned epoch_shift = 40;
 
-/// @returns the least fencing number of an era
+/// @returns the lowest fencing number of a store epoch
 constexpr std::uint64_t first_fencing_number(store_epoch epoch) noexcept {
     return static_cast<std::uint64_t>(epoch) << epoch_shift;
 }
 
-/// Makes a fencing number of the place of a claim in the log. Guards against
-/// two holders with one number: a store that has come back from an older copy
-/// gives places out again, and replicas refuse lower numbers only. It holds
-/// because the era stands above the place: each number of a later era is higher
-/// than all of the earlier ones.
+/// Derives a fencing number from the position of a claim record in the store's
+/// log.
+/// The store epoch occupies the high bits, so that every number of a later
+/// epoch is higher than all numbers of earlier epochs. This prevents two lease
+/// holders from using the same number: after a rollback to an older snapshot
+/// the store assigns the same log positions again, and replicas refuse only
+/// numbers lower than the highest one seen.
+/// @param claim position of the claim record, with its store epoch
 constexpr std::uint64_t fencing_number(store_position const& claim) noexcept {
     return first_fencing_number(claim.epoch) + claim.offset + 1;
 }
--- a/src/ReplicaControl/load_limiter.hpp
+++ b/src/ReplicaControl/load_limiter.hpp
@@ -7,25 +7,29 @@
 
 namespace camphorpoint {
 
-/// What one node has seen of how long adapters' loads take, and how many it
-/// should have under way. All replicas share the way from the store: beyond
-/// some number under way at once each takes longer in proportion. Nothing is
-/// gained by more, and those that began first come last. That number is not
-/// told, and other nodes load too, so it is inferred from the times: a load
-/// that took longer than the shortest ones takes one from the window, others
-/// widen it.
+/// Limits how many adapter loads a node has in progress and estimates how long
+/// loads take.
+/// All replicas share the network path from the adapter store. Beyond some
+/// number of concurrent loads each load takes proportionally longer, so further
+/// concurrency gains nothing and delays the loads that started first. That
+/// number is unknown, and other nodes load adapters too, so the limit is
+/// inferred from load durations: a load that takes clearly longer than the
+/// shortest observed ones shrinks the window, other loads widen it (additive
+/// increase, multiplicative decrease).
 /// Reference: D. Chiu, R. Jain, "Analysis of the increase and decrease
 /// algorithms for congestion avoidance", Computer Networks 17(1), 1989.
 class load_limiter {
 public:
-    /// A load from the store begins.
+    /// Records that a load from the adapter store has started.
     void on_load_started() { ++active_loads_; }
-    /// It has ended, whatever came of it.
+    /// Records that a load from the adapter store has ended, successfully or
+    /// not.
     void on_load_finished() { active_loads_ -= std::min(active_loads_, 1U); }
-    /// @returns true when one more may begin
+    /// @returns true when one more load from the store may start now
     bool can_start() const { return active_loads_ < window_size(); }
 
-    /// A load from the store has come.
+    /// Records the duration of a completed load from the adapter store and
+    /// adjusts the window.
     void record_load(duration time) {
         if (shortest_ == duration::zero()) {
             shortest_ = time;
@@ -43,51 +47,60 @@
             window_ += 1 / window_;
         }
     }
-    /// A load of what the replica kept a copy of has come.
+    /// Records the duration of a completed load of an adapter that the replica
+    /// had cached.
     void record_cached_load(duration time) {
         cached_ +=
             (std::min(time, typical_duration()) - cached_) / averaging_weight;
     }
 
-    /// The node orders for so many replicas, which share its window.
+    /// Sets the number of replicas that this node controls. They share the
+    /// window.
     void set_replicas(std::size_t count) {
         replicas_ = std::max<std::size_t>(1, count);
     }
-    /// @returns how many loads one replica has under way in the mean while
-    ///          all have some to do
+    /// @returns the mean number of concurrent loads per replica while every
+    ///          replica has loads to perform
     double loads_per_replica() const {
         return window_ / static_cast<double>(replicas_);
     }
-    /// @returns when to ask first whether a load from the store has come
+    /// @returns the delay after which to check for the first time whether a
+    ///          load from the store has completed; slightly less than the
+    ///          shortest observed load
     duration first_check_delay() const {
         return shortest_ == duration::zero() ? initial_estimate
                                              : shortest_ - shortest_ / 20;
     }
-    /// @returns how long a load from the store takes by now
+    /// @returns the current average duration of a load from the store
     duration typical_duration() const {
         return shortest_ == duration::zero() ? initial_estimate : typical_;
     }
-    /// @returns how long a load of what lies in the replica's memory takes
+    /// @returns the average duration of a load of an adapter that the replica
+    ///          has cached in memory
     duration cached_duration() const { return cached_; }
 
 private:
     unsigned window_size() const { return static_cast<unsigned>(window_); }
 
-    /// Before the first load has come nothing is known. Asking too early costs
-    /// an order each 15 ms, asking too late keeps a request waiting.
+    /// Assumed load duration before the first load has completed. A value that
+    /// is too low costs one status check every 15 ms, a value that is too high
+    /// keeps a request waiting.
     static constexpr duration initial_estimate = std::chrono::milliseconds(100);
-    /// The shortest time is believed for some dozens of loads, so that a store
-    /// which has become slower is not taken for busy for good.
+    /// Each observed load raises the remembered shortest duration by at most
+    /// one part in this many. The shortest duration thus stays valid for dozens
+    /// of loads, but a store that has become permanently slower is not taken
+    /// for a congested one for ever.
     static constexpr int shortest_decay = 100;
-    /// A time beyond so many of the shortest ones is no load's: the node was
-    /// suspended meanwhile, or the order was carried out late. Believed as it
-    /// is, one would make all forecasts too long for seconds.
+    /// Durations above this multiple of the shortest one are clamped: they do
+    /// not measure a load, but a node that was suspended meanwhile or a command
+    /// that was carried out late. Without the clamp a single such duration
+    /// would make all forecasts seconds too long.
     static constexpr int max_outlier_factor = 4;
-    /// Means over about so many loads.
+    /// Weight of the running averages, in loads.
     static constexpr int averaging_weight = 8;
-    /// Loads that one node begins with.
+    /// Concurrent loads that a node starts with.
     static constexpr double initial_window = 2;
-    /// What is left of the window after a load that took longer.
+    /// Factor applied to the window after a load that took longer.
     static constexpr double decrease_factor = 0.8;
 
     unsigned active_loads_ = 0;
--- a/src/ReplicaControl/load_priority.hpp
+++ b/src/ReplicaControl/load_priority.hpp
@@ -5,15 +5,15 @@
 
 namespace camphorpoint {
 
-/// For whom an adapter is wanted; what comes first here is loaded first.
+/// Why an adapter load is requested. Lower values are loaded first.
 enum class load_priority : std::uint8_t {
-    /// Requests wait for it.
+    /// Requests of callers wait for the adapter.
     demand,
-    /// Nobody waits for it yet.
+    /// No request waits for the adapter yet.
     prefetch
 };
 
-/// @returns its name in logs
+/// @returns the name used in logs
 std::string_view to_string(load_priority priority);
 
 } // namespace camphorpoint
--- a/src/ReplicaControl/partition_leases.cpp
+++ b/src/ReplicaControl/partition_leases.cpp
@@ -8,8 +8,8 @@
     instant started, std::uint64_t generation,
     std::vector<std::size_t> const& partitions, instant now) {
     bool const lapsed = !valid(now);
-    // A store that has gone back may have given the partitions to another once
-    // their lease was over, and taken them back.
+    // After a rollback the store may have assigned the partitions to another
+    // node once their lease had expired, and back to this node.
     bool const possibly_reassigned =
         epoch_ > renewal_epoch_ && started >= renewed_at_ + times_.lease;
     renewal_epoch_ = epoch_;
@@ -48,9 +48,9 @@
 }
 
 bool partition_leases::set_token(std::size_t partition, std::uint64_t token) {
-    // Guards against a number that another holder has too: a store that has
-    // lost its newest records without saying so gives their places out again.
-    // The claim is made again until its number is higher.
+    // Two holders must not share a fencing number: a store that loses its
+    // newest records without reporting it assigns their log positions again.
+    // The claim is repeated until its number is higher than all numbers seen.
     if (token <= highest_tokens_[partition]) {
         return false;
     }
--- a/src/ReplicaControl/partition_leases.hpp
+++ b/src/ReplicaControl/partition_leases.hpp
@@ -13,81 +13,93 @@
 
 namespace camphorpoint {
 
-/// How many partitions the replicas fall into. The platform deals them to the
-/// nodes, each to one at a time.
+/// Number of partitions of the set of replicas. The platform assigns each
+/// partition to one node at a time.
 inline constexpr std::size_t partition_count = 96;
 
-/// Times of the leases by which a node orders for a part of the replicas.
+/// Times of the leases that entitle a node to control the replicas of a
+/// partition.
 struct lease_times {
-    /// A node that has sent nothing for so long loses its partitions.
+    /// A node whose renewals have not arrived for this long loses its
+    /// partitions.
     std::chrono::milliseconds lease{2'000};
-    /// How often a node says that it is there.
+    /// Interval between two renewals.
     std::chrono::milliseconds renewal{600};
-    /// How long a new holder waits before its first order. The one before may
-    /// have been dealt out without a word and learns of it at its next renewal.
+    /// How long a new lease holder waits before its first command. The platform
+    /// may have reassigned the partition without notifying the previous holder,
+    /// which learns of it at its next renewal.
     std::chrono::milliseconds settling{700};
-    /// While the store answers nobody no other node can take a partition over.
-    /// A holder that is cut off can't tell this from its own cut, so it goes on
-    /// only where replicas check the fencing number, and no longer than this.
+    /// Upper bound for the time that a holder continues without a granted
+    /// renewal. While the store answers no node, no other node can take a
+    /// partition over. A holder cannot distinguish such an outage from its own
+    /// isolation, so it continues only where replicas check the fencing number,
+    /// and no longer than this.
     std::chrono::milliseconds outage_extension{15'000};
-    /// Replicas refuse an order with a lower fencing number than one they saw.
+    /// True when replicas refuse a command whose fencing number is lower than
+    /// the highest one that they have seen.
     bool replicas_check_fencing = true;
 };
 
-/// Which partitions of the replicas this node orders for, and until when.
-/// Guards against two nodes that order for one replica: a holder stops by its
-/// own reading of the boot clock, counted from the start of its last renewal
-/// that was granted, before any other can have been given the partition.
+/// The partitions whose replicas this node may command, and until when.
+/// Prevents two nodes from commanding one replica at the same time: a holder
+/// stops by its own boot clock, counted from when it sent its last granted
+/// renewal, before any other node can have received the partition.
 class partition_leases {
 public:
     explicit partition_leases(lease_times times)
         : times_(times) {}
 
-    /// A renewal was granted.
-    /// @param started    when it was sent
-    /// @param generation the group's generation in the answer
-    /// @param partitions all that this node holds now
-    /// @returns the partitions that are new to it: each needs a fencing number
+    /// Applies a granted renewal.
+    /// @param started    when the renewal was sent
+    /// @param generation generation of the group, from the answer
+    /// @param partitions all partitions that this node now holds
+    /// @param now        the current time
+    /// @returns the newly gained partitions, each of which needs a fencing
+    ///          number
     std::vector<std::size_t> on_renewal_granted(
         instant started, std::uint64_t generation,
         std::vector<std::size_t> const& partitions, instant now);
-    /// A renewal was not granted, or had no answer.
+    /// Records a renewal that was refused or not answered.
     void on_renewal_failed(instant now);
-    /// The fencing number for a partition was had from the log.
-    /// @returns false when another holder has shown one as high: it must be had
-    ///          again
+    /// Sets the fencing number that this node has claimed for a partition in
+    /// the log.
+    /// @returns false when another holder has used a number at least as high,
+    ///          so that the claim must be repeated
     bool set_token(std::size_t partition, std::uint64_t token);
-    /// Another node has shown a higher fencing number for the partition.
+    /// Records a fencing number that another node uses for the partition. A
+    /// number higher than this node's own ends its hold on the partition.
     void on_higher_token(std::size_t partition, std::uint64_t token);
-    /// The store has come back from an older copy. What was claimed before is
-    /// claimed again; until then orders go on under the old number, which each
-    /// new one overrides.
+    /// Handles a rollback of the store to an older snapshot. Every partition
+    /// must be claimed again; until then this node continues with the previous
+    /// fencing numbers, which every new one overrides.
     void on_store_rollback(store_epoch epoch);
-    /// This node gives all up.
+    /// Gives up all partitions.
     void clear();
 
-    /// @returns the fencing number to order with right now, nothing when this
-    ///          node must not order for the partition
+    /// @returns the fencing number for commands sent now, or nothing when this
+    ///          node must not command replicas of the partition
     std::optional<std::uint64_t>
     token(std::size_t partition, instant now) const;
-    /// @returns when the next partition may be ordered for that may not yet, as
-    ///          it was gained a moment ago; max when there is none
+    /// @returns when the next recently gained partition becomes usable (its
+    ///          settling time ends); max when no partition is settling
     instant next_settling_end(instant now) const;
-    /// @returns all partitions that this node was given last, and those whose
-    ///          fencing number is still missing or of an earlier era
+    /// @returns all partitions that were last assigned to this node
     std::vector<std::size_t> held_partitions() const;
+    /// @returns held partitions whose fencing number is missing or of an
+    ///          earlier store epoch
     std::vector<std::size_t> partitions_without_token() const;
-    /// @returns since when no other can have ordered for the partition; nothing
-    ///          when this node does not hold it
+    /// @returns since when no other node can have commanded replicas of the
+    ///          partition; nothing when this node does not hold it
     std::optional<instant> exclusive_since(std::size_t partition) const;
-    /// @returns true when this node was given the partition last
+    /// @returns true when this node holds the partition by the last granted
+    ///          renewal
     bool holds(std::size_t partition) const;
-    /// @returns the group's generation as told last
+    /// @returns the generation of the group in the last granted renewal
     std::uint64_t generation() const noexcept { return generation_; }
-    /// @returns true when the lease counts at this time
+    /// @returns true when the lease is valid at this time
     bool valid(instant now) const { return now < expires_at(); }
-    /// @returns when the lease ends as far as is known now: no order may leave
-    ///          later
+    /// @returns when the lease expires as far as is known now; no command may
+    ///          be sent later
     instant expires_at() const;
 
 private:
@@ -100,14 +112,15 @@
 
     lease_times times_;
     std::map<std::size_t, held_partition> partitions_;
-    /// The highest fencing number that was shown for each partition.
+    /// Highest fencing number seen for each partition, of any node.
     std::map<std::size_t, std::uint64_t> highest_tokens_;
     store_epoch epoch_{};
-    /// The era of the last renewal that was granted.
+    /// Store epoch at the last granted renewal.
     store_epoch renewal_epoch_{};
     std::uint64_t generation_ = 0;
     instant renewed_at_;
-    /// The last failed renewal of an unbroken row that began in the lease.
+    /// First failed renewal of the current unbroken series that began within
+    /// the lease; max when there is none.
     instant failing_since_ = instant::max();
     instant last_failure_;
 };
--- a/src/ReplicaControl/slot_forecast.hpp
+++ b/src/ReplicaControl/slot_forecast.hpp
@@ -8,14 +8,17 @@
 
 namespace camphorpoint {
 
-/// How often a slot of a replica comes free, learnt from the uses that nodes
-/// tell. Not from how long uses last: the slots of busy adapters come free
-/// never, and by their mean use others would wait for them.
+/// Rate at which adapter slots of a replica become free, learned from the uses
+/// that nodes report.
+/// The rate is counted rather than derived from the duration of uses: the slots
+/// of busy adapters never become free, and the mean duration of uses would
+/// promise waiting requests those slots.
 class slot_releases {
 public:
-    /// An adapter's last run here has ended.
+    /// Records that the last attempt using an adapter on this replica has
+    /// ended.
     void record(instant now) { rate_.add(now); }
-    /// @returns the time between two that come free
+    /// @returns the mean interval between two slots becoming free
     duration mean_interval(instant now) const {
         std::chrono::duration<double> const mean(
             1 / std::max(rate_.per_second(now), min_releases_per_second));
@@ -23,33 +26,34 @@
     }
 
 private:
-    /// Long enough for a few uses of some tenths of a second, short enough to
-    /// follow a shift of demand.
+    /// Long enough to cover several uses of a few tenths of a second, short
+    /// enough to follow a shift of demand.
     static constexpr duration half_life = std::chrono::seconds(3);
-    /// A replica at which nothing has ended for long is taken to release a
-    /// slot each second: most uses are shorter.
+    /// Rate assumed for a replica at which nothing has ended for a long time,
+    /// per second: most uses take less than a second.
     static constexpr double min_releases_per_second = 1;
 
     decayed_rate rate_{half_life};
 };
 
-/// What decides how soon an adapter can lie ready on a replica.
+/// Inputs of the forecast of when an adapter becomes ready on a replica.
 struct forecast_input {
-    /// Slots that are free, or held by what nobody uses.
+    /// Slots that are empty or occupied by an idle adapter.
     unsigned free_slots = 0;
-    /// Wants that are served first.
+    /// Load requests that are served before this one.
     unsigned requests_ahead = 0;
-    /// Time between two slots that come free.
+    /// Mean interval between two slots becoming free.
     duration release_interval{0};
-    /// How long the load itself takes.
+    /// Duration of the load itself.
     duration load_duration{0};
-    /// What the loads ahead take together, and how many run at once.
+    /// Sum of the durations of the loads ahead, and how many of them run
+    /// concurrently.
     duration duration_ahead{0};
     double concurrent_loads = 1;
 };
 
-/// Expected time until an adapter is ready.
-/// @returns the time for a slot, plus the loads ahead and its own
+/// @returns the expected time until the adapter is ready: waiting for a slot
+///          and for the loads ahead, plus its own load
 inline duration time_to_ready(forecast_input const& input) {
     auto const queued = std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(input.duration_ahead) /
@@ -59,7 +63,8 @@
     }
     unsigned const missing_slots = input.requests_ahead + 1 - input.free_slots;
     duration const slot_wait = input.release_interval * missing_slots;
-    // Loads ahead take their slots while this one waits for its own.
+    // The loads ahead proceed while this request waits for its slot, so the two
+    // waits overlap.
     return std::max(slot_wait, queued) + input.load_duration;
 }
 
--- a/src/ReplicaControl/slot_tracker.cpp
+++ b/src/ReplicaControl/slot_tracker.cpp
@@ -7,19 +7,22 @@
 
 namespace {
 
-/// Where half of the orders have no answer, one in eight has none after three
-/// tries; a report, which is a tenth of a second old, shows what is the matter.
+/// Attempts before the tracker waits for a report instead. When half of the
+/// commands get no answer, one in eight still has none after three attempts; a
+/// report, which is a tenth of a second old, then shows the state.
 constexpr unsigned max_command_attempts = 3;
-/// An order is given again this often to see whether it has been carried out:
-/// a request that waits for it waits half of this longer.
+/// Interval at which a command is repeated to learn whether it has been carried
+/// out. A waiting request waits half of this longer on average.
 constexpr duration check_interval = std::chrono::milliseconds(15);
-/// Adapters that may be on their way to a replica, by the platform's pages.
+/// Maximum number of adapters that the platform allows to be loading on one
+/// replica.
 constexpr std::size_t max_concurrent_loads = 4;
-/// Replicas keep copies of about so many adapters in their memory.
+/// Approximate number of adapters that a replica keeps cached in memory.
 constexpr std::size_t max_cached_adapters = 150;
-/// A base model takes about this long to load; the report tells when.
+/// A base model takes about this long to load; the report shows when it has
+/// finished.
 constexpr duration model_check_delay = std::chrono::milliseconds(250);
-/// With nothing to do the account is looked at again after this.
+/// Interval of checks while there is nothing to do.
 constexpr duration idle_check_interval = std::chrono::seconds(1);
 
 } // namespace
@@ -76,7 +79,8 @@
 }
 
 bool slot_tracker::load_allowed(adapter_id const& id) const {
-    // What the replica keeps a copy of does not use the way from the store.
+    // Cached adapters are not fetched from the store, so the limiter does not
+    // apply.
     return loading_count() < max_concurrent_loads &&
            (is_cached(id) || limiter_->can_start());
 }
@@ -139,7 +143,8 @@
     }
     auto command = load_or_evict(*adapter_to_load, now);
     if (command && command->kind == replica_command_kind::unload_adapter) {
-        // Told before the order leaves, so that no request goes there any more.
+        // The change is recorded before the command is sent, so that no further
+        // request is routed to this adapter.
         slot& evicted = slots_.at(command->adapter.id);
         evicted.check_at = {};
         evicted.state = slot_state::unloading;
@@ -190,7 +195,8 @@
     replica_command const& command, bool already_done, instant now) {
     adapter_id const& id = command.adapter.id;
     bool const load = command.kind != replica_command_kind::unload_adapter;
-    // A load of what lies there already is not counted by the replica.
+    // A load of a resident adapter does not count as an accepted command at the
+    // replica.
     if (!already_done || !load) {
         sequence_ = command.expected_count + 1;
         last_accepted_at_ = now;
@@ -220,7 +226,8 @@
     entry.last_used = now;
     entry.reported_from = sequence_;
     bool const cached = is_cached(id);
-    // A replacement waits for its runs, so its time tells nothing of the store.
+    // A replacement waits for the adapter's running attempts, so its duration
+    // says nothing about the store.
     finish_load(entry);
     entry.from_store = !replaces && !cached && !already_done;
     if (entry.from_store) {
@@ -264,8 +271,8 @@
     }
     unanswered_command_.reset();
     unanswered_attempts_ = 0;
-    // An order that was accepted is given again to see whether it has been
-    // carried out; the replica does not count it a second time.
+    // An accepted command is sent again to learn whether it has been carried
+    // out; the replica does not count it a second time.
     bool const is_repeat = found != slots_.end() &&
                            found->second.state != slot_state::resident &&
                            found->second.check_at != instant{};
--- a/src/ReplicaControl/slot_tracker.hpp
+++ b/src/ReplicaControl/slot_tracker.hpp
@@ -17,43 +17,46 @@
 
 namespace camphorpoint {
 
-/// What the account goes by.
+/// Limits that a slot_tracker respects.
 struct slot_limits {
-    /// Adapters that the replica has room for, those under way included. One
-    /// more crashes it.
+    /// Maximum number of adapters on the replica, including those being loaded.
+    /// One more adapter crashes the replica.
     unsigned slots = 1;
-    /// An adapter whose use was told a shorter time ago counts as in use. Nodes
-    /// repeat their uses every 200 ms while requests run.
+    /// An adapter counts as in use for this long after a use was reported.
+    /// Nodes repeat their reports every 200 ms while requests run.
     std::chrono::milliseconds use_timeout{500};
-    /// One whose last request has ended is free after this: the next one may
-    /// be on its way already. Of eight slots on a replica half a second's rest
-    /// after each use took one or two.
+    /// An adapter whose last request has ended becomes evictable after this
+    /// time, since the next request may already be on its way. With 500 ms one
+    /// or two of the eight slots of a replica were blocked.
     std::chrono::milliseconds cooldown_after_use{100};
-    /// One that has just come is kept for whoever waited for it.
+    /// A newly loaded adapter is kept at least this long, for the requests that
+    /// waited for it.
     std::chrono::milliseconds cooldown_after_load{300};
 };
 
-/// A change of what a replica holds, to be told to all nodes.
+/// A change of the adapters resident on a replica, to be broadcast to all
+/// nodes.
 struct residency_change {
     adapter_ref adapter;
-    /// False when it is about to go.
+    /// False when the adapter is about to be unloaded.
     bool resident = true;
 };
 
-/// The account of one replica's adapter slots, kept by the one node that orders
-/// for it. Guards against loads beyond the slots, at which a replica crashes:
-/// the replica's own list is seconds old, so what was ordered, what is on its
-/// way and what is being dropped is counted here. It holds through lost and
-/// late answers since each order names how many came before it: of all that
-/// name the same number the replica carries out one. After an order without
-/// answer that same order is given again, and nothing else until it is answered
-/// or a report shows whether it counted.
+/// State of one replica's adapter slots, kept by the replica's controller.
+/// Prevents loads beyond the number of slots, which crash the replica. The
+/// replica's own report is seconds old, so commanded loads, loads in progress
+/// and unloads in progress are tracked here. Lost and late answers are handled
+/// through the count of earlier commands that each command carries: of all
+/// commands with the same count the replica carries out one. After a command
+/// without an answer the same command is sent again, and no other one until it
+/// has been answered or a report shows whether it took effect.
 class slot_tracker {
 public:
-    /// @param limits what the replica has room for
-    /// @param pace   how long loads take, of all accounts of a node. Shared: an
-    ///               account ends its loads there, also one that a suspended
-    ///               coroutine keeps until the node's services are gone.
+    /// @param limits  limits of the replica
+    /// @param limiter load limiter shared by all trackers of a node. Shared
+    ///                ownership: a tracker ends its loads in the limiter on
+    ///                destruction, and a suspended coroutine may keep a tracker
+    ///                alive after the node's services are gone.
     slot_tracker(slot_limits limits, std::shared_ptr<load_limiter> limiter)
         : limits_(limits)
         , limiter_(std::move(limiter)) {}
@@ -61,74 +64,87 @@
     slot_tracker(slot_tracker const&) = delete;
     slot_tracker& operator=(slot_tracker const&) = delete;
 
-    /// Takes a report as the truth, but for orders that it is too old to show.
+    /// Applies a report of the replica, except to commands that are newer than
+    /// the report.
     void apply_report(replica_report const& report, instant now);
-    /// @returns true when a report must be read before anything is ordered, or
-    ///          to see whether a load has come
+    /// @returns true when a report must be read, before any command is sent or
+    ///          to learn whether a load has completed
     bool report_due(instant now) const;
-    /// The replica may have started again: a report comes before any order.
+    /// Requires a report before the next command, because the replica may have
+    /// restarted.
     void require_report() noexcept;
-    /// A report could not be read.
+    /// Records that a report could not be read.
     void on_report_failed(instant now);
 
-    /// Requests wait for this adapter here, or should find it here.
-    /// @param version the least version that will do; 0 for any
-    /// @param kind    for whom
+    /// Requests that an adapter be loaded on this replica.
+    /// @param adapter  its version is the lowest acceptable one; 0 for any
+    /// @param priority why the adapter is requested
+    /// @param now      the current time
     void request_load(
         adapter_ref const& adapter, load_priority priority, instant now);
-    /// @returns true when the adapter could be loaded, or is being loaded: a
-    ///          slot is free, or one is held by what nobody uses
+    /// @returns true when the adapter is resident, is being loaded, is already
+    ///          requested or could be loaded (a slot is empty or occupied by an
+    ///          idle adapter); also while no report has been applied
     bool has_capacity_for(adapter_id const& adapter, instant now) const;
-    /// @returns how long it should take until the adapter is ready here, if it
-    ///          is wanted now
+    /// @returns the expected time until the adapter is ready on this replica if
+    ///          it is requested now
     duration expected_wait(
         adapter_ref const& adapter, load_priority priority, instant now) const;
-    /// Requests use this adapter here, or have just done so. Repeated while
-    /// requests run.
-    /// @param running some node's requests run with it now
+    /// Records that requests use the adapter on this replica or have just done
+    /// so. Called repeatedly while requests run.
+    /// @param adapter the adapter in use
+    /// @param running true while some node has running requests that use it
+    /// @param now     the current time
     void record_use(adapter_id const& adapter, bool running, instant now);
 
-    /// @returns what to order next; nothing while there is nothing to do, or
-    ///          while a report is due
+    /// @returns the next command to send; nothing when there is nothing to do
+    ///          or a report is due
     std::optional<replica_command> next_command(instant now);
-    /// Takes up what became of the order that `next` gave last.
+    /// Applies the outcome of the command that `next_command` returned last.
     void on_result(
         replica_command const& command, command_result result, instant now);
 
-    /// @returns true when the adapter lies there ready, in this version or a
-    ///          newer one
+    /// @returns true when the adapter is resident and ready, in this version or
+    ///          a newer one
     bool ready(adapter_ref const& adapter) const;
-    /// @returns true when the report has been read and a base model lies there
+    /// @returns true when the last report shows a loaded base model
     bool has_model() const noexcept { return !models_.empty(); }
-    /// @returns true when a report was taken
+    /// @returns true when a report has been applied
     bool has_report() const noexcept { return has_report_; }
-    /// @returns adapters that take a slot
+    /// @returns number of adapters that occupy a slot
     std::size_t occupied_slots() const noexcept { return slots_.size(); }
-    /// @returns true when an order on the adapter is being carried out
+    /// @returns true when a command on the adapter is in progress
     bool command_pending(adapter_id const& adapter) const;
-    /// @returns loads under way
+    /// @returns number of loads in progress
     std::size_t loading_count() const;
-    /// @returns adapters that could be loaded at once, less those that wait
+    /// @returns number of adapters that could be loaded immediately, less the
+    ///          demand load requests that wait
     int available_slots(instant now) const;
-    /// Decides whether a request that has just asked may wait here.
-    /// @param patience how long it may wait to be in time
-    /// @returns nothing when it may, else how long it would take
+    /// Decides whether a request that has just arrived may wait for the adapter
+    /// on this replica.
+    /// @param adapter     the adapter that the request needs
+    /// @param priority    why the adapter is requested
+    /// @param wait_budget how long the request may wait without missing its
+    ///                    deadline
+    /// @param now         the current time
+    /// @returns nothing when the request may wait here, otherwise the expected
+    ///          wait that led to the refusal
     std::optional<duration> refused_wait(
         adapter_ref const& adapter, load_priority priority,
         duration wait_budget, instant now) const;
-    /// @returns true when the adapter is waited for here already
+    /// @returns true when a load request for the adapter is pending
     bool load_requested(adapter_id const& adapter) const {
         return requests_.contains(adapter);
     }
-    /// @returns wants that are not met yet
+    /// @returns number of pending load requests
     std::size_t pending_requests() const noexcept { return requests_.size(); }
-    /// @returns what has changed since the last call
+    /// @returns the changes since the last call
     std::vector<residency_change> drain_changes();
-    /// @returns when `next` or `report_due` should be asked again at the latest
+    /// @returns when to call `next_command` or `report_due` again at the latest
     instant next_check_at(instant now) const;
-    /// The base model that an empty replica is to load.
+    /// Sets the base model that an empty replica is to load.
     void set_base_model(model_id model) { base_model_ = std::move(model); }
-    /// @returns true when that model was named
+    /// @returns true when the base model has been set
     bool base_model_set() const noexcept { return !base_model_.empty(); }
 
 private:
@@ -138,14 +154,15 @@
         slot_state state = slot_state::resident;
         instant since;
         instant last_used;
-        /// Until then it counts as in use.
+        /// The adapter counts as in use until then.
         instant busy_until;
-        /// When the order is given again, to see whether it has been carried
+        /// When to repeat the command, to learn whether it has been carried
         /// out.
         instant check_at;
-        /// Its load comes from the store, and tells how busy the way is.
+        /// The load comes from the adapter store, so its duration shows how
+        /// congested the path from the store is.
         bool from_store = false;
-        /// The count of orders from which on a report shows it.
+        /// Count of accepted commands from which on a report shows this slot.
         std::uint64_t reported_from = 0;
     };
     struct pending_request {
@@ -153,7 +170,8 @@
         instant requested_at;
         instant renewed_at;
         load_priority priority = load_priority::prefetch;
-        /// The replica keeps a copy: the load takes a tenth and holds up none.
+        /// The replica has the adapter cached: loading it takes a tenth of the
+        /// time and does not delay loads from the store.
         bool cached = false;
     };
 
@@ -182,14 +200,16 @@
         adapter_id const& id, slot& entry, std::uint32_t version, instant now);
     void adopt_resident(adapter_ref const& each, instant now);
 
-    /// After a report that could not be read, or orders without answer.
+    /// Delay before the next report after one that could not be read or after
+    /// commands without an answer.
     static constexpr duration report_retry_delay =
         std::chrono::milliseconds(250);
 
     slot_limits limits_;
     std::shared_ptr<load_limiter> limiter_;
     slot_releases releases_;
-    /// Adapters that lay here, newest last; the replica keeps copies of some.
+    /// Adapters that were resident before, newest last; the replica keeps some
+    /// of them cached.
     std::vector<adapter_id> cached_adapters_;
     std::optional<incarnation> incarnation_;
     bool has_report_ = false;
@@ -199,14 +219,14 @@
     instant model_commanded_at_;
     instant next_report_at_;
     std::uint64_t sequence_ = 0;
-    /// When the replica counted an order last.
+    /// When the replica last accepted a command.
     instant last_accepted_at_;
     model_id base_model_;
     std::vector<model_id> models_;
     std::unordered_map<adapter_id, slot> slots_;
     std::unordered_map<adapter_id, pending_request> requests_;
     std::vector<residency_change> changes_;
-    /// The order that had no answer, and how often it was given.
+    /// The command that had no answer, and how often it has been sent.
     std::optional<replica_command> unanswered_command_;
     unsigned unanswered_attempts_ = 0;
 };
--- a/src/ReplicaControl/slot_tracker_reports.cpp
+++ b/src/ReplicaControl/slot_tracker_reports.cpp
@@ -8,10 +8,10 @@
 
 /// A report shows the state of some hundred milliseconds ago.
 constexpr duration min_report_interval = std::chrono::milliseconds(60);
-/// No report is older than this.
+/// Maximum age of a report.
 constexpr duration max_report_age = std::chrono::milliseconds(600);
-/// A load that a report does not show for so long has been lost, as when the
-/// order came late and was refused.
+/// A load that no report shows for this long has been lost, for instance
+/// because the command arrived late and was refused.
 constexpr duration load_timeout = std::chrono::seconds(5);
 
 } // namespace
@@ -42,13 +42,13 @@
         entry.since = now;
         entry.last_used = now;
         entry.reported_from = sequence_;
-        // Whoever uses it repeats so before this has passed.
+        // Nodes that use the adapter report it again within this time.
         entry.busy_until = now + limits_.use_timeout;
         set_ready(each.id, entry, each.version, now);
         return;
     }
     if (entry.state == slot_state::resident && entry.version == 0) {
-        // It was ordered without a version, which the report names.
+        // The adapter was loaded without a version; the report names the one.
         entry.version = each.version;
         changes_.push_back({each, true});
         return;
@@ -86,7 +86,8 @@
     incarnation_ = report.started_at ? report.started_at : incarnation_;
     if (has_report_ && report.sequence < sequence_ &&
         now < last_accepted_at_ + max_report_age) {
-        // Older than the newest accepted order: it can't show its effect.
+        // The report is older than the newest accepted command and cannot show
+        // its effect.
         return;
     }
     sequence_ = report.sequence;
--- a/src/ReplicaControl/slot_tracker_requests.cpp
+++ b/src/ReplicaControl/slot_tracker_requests.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// A want that nobody has repeated for so long is dropped: those who waited
-/// have gone elsewhere. Nodes repeat theirs about every 300 ms.
+/// Load requests that are not repeated for this long are dropped: the requests
+/// that waited have been routed elsewhere. Nodes repeat load requests about
+/// every 300 ms.
 constexpr duration load_request_timeout = std::chrono::milliseconds(1'200);
 
 } // namespace
@@ -88,7 +89,8 @@
     candidate.priority = priority;
     candidate.cached = is_cached(adapter.id);
     candidate.requested_at = instant::max();
-    // Who asks for what others wait for already shares their place.
+    // A request for an adapter that others already wait for shares their
+    // position.
     auto const queued = requests_.find(adapter.id);
     if (queued != requests_.end()) {
         candidate.priority = std::min(priority, queued->second.priority);
@@ -111,10 +113,11 @@
     adapter_ref const& adapter, load_priority priority, duration wait_budget,
     instant now) const {
     duration const wait = expected_wait(adapter, priority, now);
-    // Guards against forecasts that forbid what would correct them: where loads
-    // are believed to take too long, none would be ordered, and none would show
-    // that they do not. Where they really do, no adapter would ever come. With
-    // a slot and the way free it is nowhere ready sooner.
+    // Forecasts must not suppress the loads that would correct them: when loads
+    // are estimated to take too long, none would be started and no newer
+    // duration would be measured; if loads really take that long, no adapter
+    // would ever be loaded. When a slot and the limiter allow an immediate
+    // start, no other replica would have the adapter ready sooner.
     bool const can_start_now =
         available_slots(now) > 0 && limiter_->can_start();
     bool const accepted = priority == load_priority::prefetch
@@ -150,7 +153,8 @@
 
 bool slot_tracker::precedes(
     pending_request const& left, pending_request const& right) {
-    // A kept copy comes in a tenth of the time and holds up nobody.
+    // A cached adapter loads in a tenth of the time and does not delay loads
+    // from the store.
     return std::tuple(left.priority, !left.cached, left.requested_at) <
            std::tuple(right.priority, !right.cached, right.requested_at);
 }
@@ -160,9 +164,10 @@
     pending_request const* best_request = nullptr;
     for (auto const& [id, each] : requests_) {
         auto const occupied = slots_.find(id);
-        // A replacement waits for the adapter's runs, and the replica takes no
-        // other order meanwhile: one that is in use stays as it is, and the
-        // new version comes to another replica.
+        // A replacement waits for the adapter's running attempts, and the
+        // replica accepts no other command meanwhile. An adapter in use
+        // therefore stays unchanged, and the new version is loaded on another
+        // replica.
         bool const blocked = occupied != slots_.end() &&
                              (occupied->second.state != slot_state::resident ||
                               !idle(occupied->second, now));
@@ -181,7 +186,8 @@
     std::optional<adapter_id> best;
     slot const* best_slot = nullptr;
     for (auto const& [id, each] : slots_) {
-        // As with replacements: what is in use would hold up every order.
+        // As with replacements, unloading an adapter in use would block every
+        // other command.
         if (each.state != slot_state::resident || requests_.contains(id) ||
             !idle(each, now)) {
             continue;
--- a/test/load_forecast_test.cpp
+++ b/test/load_forecast_test.cpp
@@ -15,9 +15,11 @@
 using testing::adapter;
 using testing::slot_tracker_fixture;
 
-// Eighteen replicas load three adapters each at the same time. The way from the
-// store carries eight at full speed: all come after two seconds, none in time.
-TEST_CASE("loads that take longer are ordered one at a time") {
+// Guards against starting more loads at once than the path from the adapter
+// store carries: with three loads on each of eighteen replicas and a path that
+// carries eight at full speed, all loads take two seconds and every one misses
+// its deadline.
+TEST_CASE("loads that take longer are commanded one at a time") {
     load_limiter limiter;
     auto const load = [&](milliseconds time) {
         limiter.on_load_started();
@@ -37,7 +39,7 @@
     CHECK(limiter.can_start());
     limiter.on_load_finished();
 
-    SUBCASE("also where each load takes longer than elsewhere") {
+    SUBCASE("uniformly slow loads do not shrink the window") {
         load_limiter slow;
         for (int each = 0; each < 4; ++each) {
             slow.on_load_started();
@@ -53,30 +55,31 @@
     }
 }
 
-// Callers of a rare adapter wait two seconds for its load, and are refused
-// then. Whoever orders knew at their coming how many loads go before theirs.
-TEST_CASE("how long a load will take is told before anybody waits") {
+// Guards against letting callers of a rare adapter wait two seconds and
+// refusing them then: when a request arrives, the controller already knows how
+// many loads precede its own.
+TEST_CASE("the wait for a load is forecast before a request waits") {
     forecast_input input;
     input.free_slots = 2;
     input.load_duration = milliseconds(250);
     input.release_interval = milliseconds(100);
-    SUBCASE("a free slot and nobody ahead: the load alone") {
+    SUBCASE("a free slot and no load ahead: the load alone") {
         CHECK(time_to_ready(input) == milliseconds(250));
     }
-    SUBCASE("loads ahead share what the node has under way at once") {
+    SUBCASE("loads ahead share the node's concurrent loads") {
         input.requests_ahead = 1;
         input.duration_ahead = milliseconds(250);
         input.concurrent_loads = 0.5;
         CHECK(time_to_ready(input) == milliseconds(750));
     }
-    SUBCASE("no slot: it waits for one to come free") {
+    SUBCASE("no free slot: waits until one is released") {
         input.free_slots = 0;
         CHECK(time_to_ready(input) == milliseconds(350));
         input.load_duration = milliseconds(25);
         CHECK(time_to_ready(input) == milliseconds(125));
     }
 
-    SUBCASE("by the account: resident, kept, never seen") {
+    SUBCASE("forecast of the tracker") {
         slot_tracker_fixture fixture;
         fixture.load("a");
         CHECK(
@@ -89,7 +92,7 @@
         CHECK(
             fixture.tracker.expected_wait(
                 adapter("c"), load_priority::demand, fixture.now) > fetched);
-        SUBCASE("what is wanted ahead holds nobody up") {
+        SUBCASE("a prefetch does not delay demand loads") {
             slot_tracker_fixture other;
             other.load("a");
             other.tracker.request_load(
@@ -101,9 +104,10 @@
     }
 }
 
-// A replica's six adapters come and go. Each return of one that it still keeps
-// in memory waits behind three that come from the store.
-TEST_CASE("what a replica keeps in memory comes back before the store's") {
+// Guards against a cached adapter waiting behind loads from the store: on a
+// replica whose six adapters change often, each return of a cached adapter
+// waited for three slower loads.
+TEST_CASE("cached adapters load before those from the store") {
     slot_tracker_fixture fixture;
     for (std::string const name : {"a", "b", "c"}) {
         fixture.load(name);
@@ -130,11 +134,12 @@
             adapter("new"), load_priority::demand, fixture.now));
 }
 
-// A holder is suspended while a load is under way, or the order is carried out
-// late: the load seems to have taken twenty seconds. From then on every caller
-// of an adapter that lies nowhere is refused, though slots and the way are
-// free: no load comes any more that would show how long loads take.
-TEST_CASE("nobody is turned away while a slot and the way are free") {
+// Guards against refusing every caller of an adapter that is not resident
+// although slots and the path from the store are free. A lease holder is
+// suspended during a load, or a command is carried out late, so that the load
+// seems to take twenty seconds; if the forecast then prevents all loads, no
+// shorter duration is ever measured.
+TEST_CASE("no request is refused while a load can start at once") {
     for (int const load_ms : {50, 250, 420, 1'000, 4'000}) {
         for (unsigned const slots : {2U, 6U, 32U}) {
             CAPTURE(load_ms);
@@ -155,13 +160,13 @@
             fixture.limiter->record_load(seconds(20));
             CHECK(free_now("c"));
 
-            SUBCASE("and one such load does not make the next ones late") {
+            SUBCASE("one such load does not lengthen later forecasts") {
                 CHECK(
                     fixture.tracker.expected_wait(
                         adapter("c"), load_priority::demand, fixture.now) <=
                     milliseconds(2 * load_ms));
             }
-            SUBCASE("but behind others that come too late it is said so") {
+            SUBCASE("a request behind too many others is refused") {
                 for (int each = 0; each < 40; ++each) {
                     fixture.request(adapter("w" + std::to_string(each)));
                 }
@@ -175,9 +180,9 @@
     }
 }
 
-// A node stops ordering for a replica while a load is under way there. Its
-// window stays narrower by that load, for good.
-TEST_CASE("an account that goes takes its loads off the window") {
+// Guards against a load window that stays too small: a node loses control of a
+// replica during a load and never counts that load as ended.
+TEST_CASE("a destroyed tracker ends its loads in the limiter") {
     auto const limiter = std::make_shared<load_limiter>();
     instant const now = instant() + seconds(100);
     replica_report report;
--- a/test/replica_control_fixture.hpp
+++ b/test/replica_control_fixture.hpp
@@ -17,8 +17,8 @@
     return {adapter_id("m/" + name), version};
 }
 
-/// A replica's account, with three slots if not said otherwise, and the orders
-/// that it gives.
+/// The tracker of one replica, with three slots by default and a loaded base
+/// model, and the commands that it issues.
 struct slot_tracker_fixture {
     explicit slot_tracker_fixture(unsigned slots = 3)
         : tracker({slots}, limiter) {
@@ -38,7 +38,7 @@
         CHECK(command->adapter.id == adapter(name).id);
         return *command;
     }
-    /// Loads an adapter whole.
+    /// Requests an adapter and completes its load.
     void load(std::string const& name) {
         request(adapter(name));
         auto const command =
--- a/test/replica_control_test.cpp
+++ b/test/replica_control_test.cpp
@@ -16,7 +16,7 @@
 using testing::adapter;
 using testing::slot_tracker_fixture;
 
-TEST_CASE("a load is ordered, and seen to have come") {
+TEST_CASE("a load is commanded and confirmed") {
     slot_tracker_fixture fixture;
     fixture.request(adapter("a"));
     auto const command =
@@ -26,7 +26,7 @@
     CHECK_FALSE(fixture.tracker.ready(adapter("a")));
     CHECK_FALSE(fixture.tracker.next_command(fixture.now));
 
-    SUBCASE("the same order is given again until it holds") {
+    SUBCASE("the same command is repeated until the load is done") {
         fixture.advance(milliseconds(300));
         auto const again =
             fixture.expect_command(replica_command_kind::load_adapter, "a");
@@ -46,10 +46,10 @@
     }
 }
 
-// All callers of one rack wait for an adapter that never comes. A load of what
-// lay there already was counted as an order, the replica had not counted it,
-// and every order after it was out of step for good.
-TEST_CASE("a load of what lies there is not counted") {
+// Guards against callers that wait for an adapter which never loads: the
+// tracker counted a load of a resident adapter as an accepted command, the
+// replica did not, and every later command was out of sequence.
+TEST_CASE("a load of a resident adapter is not counted as a command") {
     slot_tracker_fixture fixture;
     fixture.request(adapter("a"));
     auto const command =
@@ -61,10 +61,10 @@
     CHECK(fixture.tracker.next_command(fixture.now)->expected_count == 0);
 }
 
-// Guards against refusals after each first report on what was ordered without
-// a version: an adapter that has long been there would count as just come, and
-// its place as taken for a while.
-TEST_CASE("a version that a report names first is no load") {
+// Guards against refusals after the first report on adapters that were loaded
+// without a version: adapters resident for a long time would count as newly
+// loaded, and their slots as blocked for the cooldown.
+TEST_CASE("a version first named by a report is not a new load") {
     slot_tracker_fixture fixture;
     for (std::string const name : {"a", "b", "c"}) {
         fixture.load(name);
@@ -80,16 +80,16 @@
     CHECK(fixture.tracker.ready(adapter("a", 1)));
     CHECK(fixture.tracker.available_slots(fixture.now) == spare);
 
-    SUBCASE("another than it had is one") {
+    SUBCASE("a version other than the known one is a new load") {
         fixture.report.adapters.front().version = 2;
         fixture.tracker.apply_report(fixture.report, fixture.now);
         CHECK(fixture.tracker.available_slots(fixture.now) == spare - 1);
     }
 }
 
-// A replica has three slots. It is sent a fourth adapter while one is still on
-// its way: it crashes, and all that it ran is lost.
-TEST_CASE("never more adapters than slots, those under way included") {
+// Guards against crashing a replica with three slots by loading a fourth
+// adapter while another one is still loading; all its attempts would be lost.
+TEST_CASE("resident and loading adapters never exceed the slots") {
     slot_tracker_fixture fixture;
     fixture.load("a");
     fixture.advance(milliseconds(500));
@@ -101,7 +101,7 @@
     fixture.tracker.on_result(third, command_result::accepted, fixture.now);
     fixture.request(adapter("d"));
 
-    SUBCASE("what was unused for longest goes first") {
+    SUBCASE("the least recently used adapter is evicted first") {
         auto const unload =
             fixture.expect_command(replica_command_kind::unload_adapter, "a");
         fixture.tracker.on_result(
@@ -109,14 +109,14 @@
         CHECK(fixture.tracker.occupied_slots() == 2);
         fixture.expect_command(replica_command_kind::load_adapter, "d");
     }
-    SUBCASE("it is told before the order leaves") {
+    SUBCASE("the eviction is reported before the command is sent") {
         fixture.tracker.drain_changes();
         fixture.tracker.next_command(fixture.now);
         auto const changes = fixture.tracker.drain_changes();
         REQUIRE(changes.size() == 1);
         CHECK_FALSE(changes.front().resident);
     }
-    SUBCASE("an unload that waits for runs frees nothing yet") {
+    SUBCASE("an unload that waits for attempts frees no slot yet") {
         auto const unload =
             fixture.expect_command(replica_command_kind::unload_adapter, "a");
         fixture.tracker.on_result(
@@ -132,9 +132,10 @@
     }
 }
 
-// A hot adapter gets a new version. Its replica waits for all its runs, takes
-// no other order for eight seconds, and refuses what comes for it.
-TEST_CASE("what is in use is neither unloaded nor replaced") {
+// Guards against blocking a replica by replacing an adapter in use: the replica
+// waits for all attempts that use it, accepts no other command for eight
+// seconds and refuses requests for the new version.
+TEST_CASE("an adapter in use is neither unloaded nor replaced") {
     slot_tracker_fixture fixture;
     for (std::string const name : {"a", "b", "c"}) {
         fixture.load(name);
@@ -143,7 +144,7 @@
         fixture.tracker.record_use(adapter(name).id, true, fixture.now);
     }
 
-    SUBCASE("no slot is taken from it, until it rests") {
+    SUBCASE("its slot is not freed until it is idle") {
         CHECK_FALSE(
             fixture.tracker.has_capacity_for(adapter("d").id, fixture.now));
         CHECK(fixture.tracker.has_capacity_for(adapter("a").id, fixture.now));
@@ -154,7 +155,7 @@
         fixture.request(adapter("d"));
         CHECK(fixture.tracker.next_command(fixture.now));
     }
-    SUBCASE("a new version waits, and others go on") {
+    SUBCASE("a new version waits until the adapter is idle") {
         fixture.request(adapter("a", 2));
         CHECK_FALSE(fixture.tracker.next_command(fixture.now));
         fixture.advance(milliseconds(550));
@@ -169,9 +170,10 @@
     }
 }
 
-// The store's answer to an order is lost; the order is carried out seconds
-// later. With another order in its place, two loads take the last slot.
-TEST_CASE("an order without answer is given again, and nothing else") {
+// Guards against two loads into the last slot: a command's answer is lost,
+// another command is sent in its place, and the first one is carried out
+// seconds later.
+TEST_CASE("a command without an answer is repeated before any other") {
     slot_tracker_fixture fixture;
     fixture.request(adapter("a"));
     fixture.request(adapter("b"));
@@ -179,7 +181,7 @@
     REQUIRE(first);
     std::string const name = first->adapter.id.str();
 
-    SUBCASE("the same order with the same number") {
+    SUBCASE("the same command with the same expected count") {
         fixture.tracker.on_result(
             *first, command_result::no_answer, fixture.now);
         auto const again = fixture.tracker.next_command(fixture.now);
@@ -187,7 +189,7 @@
         CHECK(again->adapter.id.str() == name);
         CHECK(again->kind == first->kind);
         CHECK(again->expected_count == first->expected_count);
-        SUBCASE("of the two the replica carries out one") {
+        SUBCASE("the replica carries out one of the two") {
             fixture.tracker.on_result(
                 *again, command_result::accepted, fixture.now);
             CHECK(fixture.tracker.occupied_slots() == 1);
@@ -195,14 +197,14 @@
             REQUIRE(next);
             CHECK(next->expected_count == first->expected_count + 1);
         }
-        SUBCASE("when the first has counted, a report comes before all else") {
+        SUBCASE("when the first took effect, a report is read first") {
             fixture.tracker.on_result(
                 *again, command_result::out_of_sequence, fixture.now);
             CHECK_FALSE(fixture.tracker.next_command(fixture.now));
             CHECK(fixture.tracker.report_due(fixture.now));
         }
     }
-    SUBCASE("three times, then a report comes first") {
+    SUBCASE("after three attempts a report is read first") {
         for (int each = 0; each < 3; ++each) {
             auto const command = fixture.tracker.next_command(fixture.now);
             REQUIRE(command);
@@ -217,7 +219,7 @@
     }
 }
 
-TEST_CASE("after orders without answer a report shows what counted") {
+TEST_CASE("after commands without an answer a report shows their effect") {
     slot_tracker_fixture fixture;
     fixture.request(adapter("a"));
     for (int each = 0; each < 3; ++each) {
@@ -230,7 +232,7 @@
     fixture.advance(milliseconds(300));
     CHECK(fixture.tracker.report_due(fixture.now));
 
-    SUBCASE("it was carried out") {
+    SUBCASE("the command was carried out") {
         fixture.report.sequence = 1;
         fixture.report.pending = {adapter("a", 1)};
         fixture.tracker.apply_report(fixture.report, fixture.now);
@@ -240,14 +242,13 @@
         REQUIRE(next);
         CHECK(next->expected_count == 1);
     }
-    SUBCASE("it was not: the same number goes out, so that one of the two "
-            "counts") {
+    SUBCASE("the command was not carried out: it is repeated with the same "
+            "count, so that only one takes effect") {
         fixture.tracker.apply_report(fixture.report, fixture.now);
         fixture.request(adapter("a"));
         CHECK(fixture.tracker.next_command(fixture.now)->expected_count == 0);
     }
-    SUBCASE(
-        "a report that is older than an accepted order takes nothing back") {
+    SUBCASE("a report older than an accepted command reverts nothing") {
         fixture.tracker.apply_report(fixture.report, fixture.now);
         fixture.request(adapter("a"));
         auto const next = fixture.tracker.next_command(fixture.now);
@@ -257,9 +258,9 @@
     }
 }
 
-// Of eight slots one or two were held by adapters whose last request had ended
-// half a second ago, and requests for others were turned away.
-TEST_CASE("a slot is free soon after its last use") {
+// Guards against refusing requests because one or two of eight slots are
+// blocked by adapters whose last request ended half a second ago.
+TEST_CASE("a slot is available soon after its last use") {
     slot_tracker_fixture fixture;
     for (std::string const name : {"a", "b", "c"}) {
         fixture.load(name);
@@ -302,10 +303,10 @@
         tracker.next_command(now)->kind == replica_command_kind::load_adapter);
 }
 
-// Rare adapters are asked for at once, and each was promised a time by those
-// ahead of it. When later ones go before it, it comes too late for its caller,
-// who was not turned away while there was time to go elsewhere.
-TEST_CASE("loads come in the order in which they were promised") {
+// Guards against overtaking: the expected wait of a load counts only the
+// requests ahead of it. If later requests went first, the adapter would come
+// too late for a caller that was not refused while it could still go elsewhere.
+TEST_CASE("loads are commanded in the order of the forecasts") {
     slot_tracker_fixture fixture;
     fixture.tracker.request_load(
         adapter("copy"), load_priority::prefetch, fixture.now);
@@ -317,7 +318,7 @@
     fixture.tracker.request_load(
         adapter("copy"), load_priority::prefetch, fixture.now);
     fixture.request(adapter("new"));
-    SUBCASE("who asks for what others wait for shares their place") {
+    SUBCASE("a request for a requested adapter shares its position") {
         CHECK(
             fixture.tracker.expected_wait(
                 adapter("old"), load_priority::demand, fixture.now) ==
@@ -335,17 +336,18 @@
         second, command_result::already_done, fixture.now);
     fixture.expect_command(replica_command_kind::load_adapter, "copy");
 
-    SUBCASE("wants that nobody repeats are dropped") {
+    SUBCASE("load requests that are not repeated are dropped") {
         fixture.advance(milliseconds(1'500));
         fixture.tracker.next_command(fixture.now);
         CHECK(fixture.tracker.pending_requests() <= 2);
     }
 }
 
-// A replica starts again, empty, under the id that it had, between two orders.
-// An account that goes on would take its slots for full, wait for loads that
-// nobody carries out, and name a count of orders that is refused for good.
-TEST_CASE("the account of a replica that starts again begins anew") {
+// Guards against keeping state over a restart: a replica restarts, empty, under
+// the same id. The tracker would count its slots as occupied, wait for loads
+// that no process carries out, and send a count of commands that the replica
+// refuses for ever.
+TEST_CASE("the tracker of a restarted replica resets its state") {
     slot_tracker_fixture fixture;
     fixture.report.started_at = incarnation(milliseconds(1'000));
     fixture.report.sequence = 0;
@@ -366,7 +368,7 @@
     REQUIRE(fixture.tracker.report_due(fixture.now));
     fixture.tracker.apply_report(fixture.report, fixture.now);
 
-    SUBCASE("nothing lies there, and all are told") {
+    SUBCASE("no adapter is resident, and all changes are reported") {
         CHECK(fixture.tracker.occupied_slots() == 0);
         CHECK_FALSE(fixture.tracker.ready(adapter("a1")));
         auto const changes = fixture.tracker.drain_changes();
@@ -374,13 +376,12 @@
         CHECK_FALSE(changes[0].resident);
         CHECK_FALSE(changes[1].resident);
     }
-    SUBCASE("who waits still waits, and orders count from the beginning") {
+    SUBCASE("load requests stay, and commands count from zero") {
         auto const again =
             fixture.expect_command(replica_command_kind::load_adapter, "a3");
         CHECK(again.expected_count == 0);
     }
-    SUBCASE(
-        "an order that the earlier one left unanswered is not given again") {
+    SUBCASE("a command unanswered before the restart is not repeated") {
         slot_tracker_fixture other;
         other.report.started_at = incarnation(milliseconds(1'000));
         other.tracker.apply_report(other.report, other.now);
@@ -396,7 +397,7 @@
         REQUIRE(next);
         CHECK(next->expected_count == 0);
     }
-    SUBCASE("a late report of the earlier one does not bring its slots back") {
+    SUBCASE("a late report from before the restart restores no slots") {
         replica_report late = fixture.report;
         late.started_at = incarnation(milliseconds(1'000));
         late.adapters = {adapter("a1", 1), adapter("a2", 1)};
@@ -407,7 +408,7 @@
     }
 }
 
-TEST_CASE("leases on partitions") {
+TEST_CASE("partition leases") {
     lease_times times;
     partition_leases leases(times);
     instant const start = instant() + seconds(100);
@@ -416,27 +417,27 @@
     leases.set_token(4, 17);
     instant const settled = start + times.settling;
 
-    SUBCASE("orders go out with the fencing number, once settled") {
+    SUBCASE("the fencing number is usable after the settling time") {
         CHECK_FALSE(leases.token(4, start));
         CHECK(leases.token(4, settled) == 17);
         CHECK_FALSE(leases.token(5, settled));
         CHECK(leases.partitions_without_token().size() == 1);
     }
-    SUBCASE("a partition that is taken away is not ordered for any more") {
+    SUBCASE("a partition that was reassigned is no longer commanded") {
         leases.on_renewal_granted(settled, 2, {5}, settled);
         CHECK_FALSE(leases.token(4, settled));
     }
 
-    // A holder is suspended for seven seconds. Another has taken its replicas
-    // over; it wakes, still believes that it holds them, and orders.
-    SUBCASE("a holder that wakes after its lease orders nothing") {
+    // A lease holder is suspended for seven seconds while another node takes
+    // its replicas over. When it resumes it must not send commands.
+    SUBCASE("a holder resumed after its lease sends no commands") {
         instant const woken = start + seconds(7);
         CHECK_FALSE(leases.token(4, woken));
         SUBCASE("also when its next renewal fails") {
             leases.on_renewal_failed(woken);
             CHECK_FALSE(leases.token(4, woken));
         }
-        SUBCASE("and after a renewal it needs a new fencing number") {
+        SUBCASE("after a renewal it needs a new fencing number") {
             auto const again =
                 leases.on_renewal_granted(woken, 3, {4, 5}, woken);
             CHECK(again.size() == 2);
@@ -444,9 +445,10 @@
         }
     }
 
-    // It is suspended between its look at the lease and the first byte of the
-    // order, while it connects. The order leaves when another orders there.
-    SUBCASE("the lease's end goes with the order to its first byte") {
+    // A holder is suspended after checking the lease and before the first byte
+    // of the command, while it connects. The command must not be sent after the
+    // lease has passed to another node.
+    SUBCASE("the fencing number is usable until the lease expires") {
         for (int step = 1; step <= 30; ++step) {
             instant const at = settled + step * milliseconds(100);
             CHECK(
@@ -461,18 +463,19 @@
         CHECK(leases.expires_at() <= start + times.outage_extension);
     }
 
-    // The store is down for eight seconds. Nobody can take anything over, yet
-    // all holders stop, and no adapter is loaded until it is back.
-    SUBCASE("an outage that began within the lease is bridged") {
+    // The store is down for eight seconds. No node can take a partition over,
+    // so holders must continue; otherwise no adapter is loaded until the store
+    // is back.
+    SUBCASE("the lease is extended over an outage that began within it") {
         for (int step = 1; step <= 10; ++step) {
             leases.on_renewal_failed(start + step * milliseconds(600));
         }
         CHECK(leases.token(4, start + seconds(6)) == 17);
-        SUBCASE("but not for ever") {
+        SUBCASE("but not without a limit") {
             CHECK_FALSE(leases.token(4, start + seconds(20)));
         }
     }
-    SUBCASE("where replicas check no fencing number it is not") {
+    SUBCASE("not extended where replicas do not check fencing numbers") {
         times.replicas_check_fencing = false;
         partition_leases strict(times);
         strict.on_renewal_granted(start, 1, {4}, start);
@@ -482,9 +485,10 @@
         CHECK_FALSE(strict.token(4, start + milliseconds(2'100)));
     }
 
-    // The store comes back from an older copy and gives the place of a claim
-    // out again. Two holders with one number are both believed by replicas.
-    SUBCASE("after the store has gone back each claim is made again") {
+    // After a rollback the store assigns the log position of a claim again.
+    // Replicas would accept the commands of two holders with the same fencing
+    // number.
+    SUBCASE("after a store rollback each partition is claimed again") {
         constexpr store_epoch next{1};
         leases.on_store_rollback(next);
         CHECK(leases.token(4, settled) == 17);
@@ -492,28 +496,29 @@
         CHECK(leases.set_token(4, fencing_number({next, 3})));
         CHECK(leases.partitions_without_token().size() == 1);
         CHECK(leases.token(4, settled) > 17);
-        SUBCASE("and one of the era before overtakes nobody") {
+        SUBCASE("a number of an earlier epoch has no effect") {
             leases.on_higher_token(4, fencing_number({store_epoch{}, 90'000}));
             CHECK(leases.token(4, settled));
         }
     }
-    // A holder that claims anew would else take all adapters for used just now.
-    SUBCASE("no other can have ordered since the partition was given") {
+    // A holder that claims a partition again would otherwise count all resident
+    // adapters as just used.
+    SUBCASE("exclusive since the partition was gained") {
         constexpr store_epoch next{1};
         auto const since = leases.exclusive_since(4);
         REQUIRE(since);
         CHECK_FALSE(leases.exclusive_since(95));
         leases.on_store_rollback(next);
-        SUBCASE("also in a new era, where the lease goes on") {
+        SUBCASE("also in a new epoch while the lease continues") {
             leases.on_renewal_granted(settled, 1, {4, 5}, settled);
             CHECK(leases.exclusive_since(4) == since);
         }
-        SUBCASE("but once it was over the store may have given it to another") {
+        SUBCASE("after expiry another node may have held it meanwhile") {
             instant const later = settled + times.lease;
             leases.on_renewal_granted(later, 1, {4, 5}, later);
             CHECK(leases.exclusive_since(4) == later);
         }
-        SUBCASE("also where an outage was bridged") {
+        SUBCASE("also when the lease was extended over an outage") {
             for (int step = 1; step <= 6; ++step) {
                 leases.on_renewal_failed(start + step * milliseconds(600));
             }
@@ -522,12 +527,12 @@
             CHECK(leases.token(4, later) == 17);
             CHECK(leases.exclusive_since(4) == later);
         }
-        SUBCASE("nor when another has shown a higher number") {
+        SUBCASE("not after another node's higher number") {
             leases.on_higher_token(4, fencing_number({next, 9}));
             CHECK_FALSE(leases.exclusive_since(4));
         }
     }
-    SUBCASE("a number that another has shown is not taken, but had again") {
+    SUBCASE("a number already seen is refused and claimed again") {
         leases.on_higher_token(6, 20);
         leases.on_renewal_granted(settled, 2, {4, 5, 6}, settled);
         CHECK_FALSE(leases.set_token(6, 20));
@@ -536,9 +541,9 @@
         CHECK(leases.token(6, settled + times.settling) == 21);
     }
 
-    // The store deals all partitions out anew without a word. Two nodes would
-    // order until the old holder's next renewal.
-    SUBCASE("a higher number seen elsewhere ends the holding") {
+    // The store reassigns all partitions without notifying the holders. Two
+    // nodes would send commands until the previous holder's next renewal.
+    SUBCASE("a higher number of another node ends the hold") {
         leases.on_higher_token(4, 16);
         CHECK(leases.token(4, settled) == 17);
         leases.on_higher_token(4, 18);
@@ -546,9 +551,9 @@
     }
 }
 
-// Guards against a holder that looks at its partitions at its renewals only:
-// requests waited up to half a second more for the first loads.
-TEST_CASE("a holder knows when its partitions have settled") {
+// Guards against a holder that checks its partitions only at its renewals:
+// requests waited up to half a second longer for the first loads.
+TEST_CASE("the end of the settling time is known") {
     constexpr instant begin{std::chrono::hours(1)};
     lease_times const times;
     partition_leases leases(times);
