--- a/src/Delivery/resend_budget.cpp
+++ b/src/Delivery/resend_budget.cpp
@@ -14,18 +14,18 @@
 
 } // namespace
 
-resend_budget::step& resend_budget::current(history& of, instant now) const {
+resend_budget::step& resend_budget::current(history& past, instant now) const {
     auto const width =
         std::chrono::duration_cast<duration>(limits_.window) / steps_per_window;
     std::int64_t const number = now.time_since_epoch() / width;
-    while (!of.steps.empty() &&
-           of.steps.front().number < number - steps_per_window) {
-        of.steps.pop_front();
+    while (!past.steps.empty() &&
+           past.steps.front().number < number - steps_per_window) {
+        past.steps.pop_front();
     }
-    if (of.steps.empty() || of.steps.back().number != number) {
-        of.steps.push_back({number, 0, 0});
+    if (past.steps.empty() || past.steps.back().number != number) {
+        past.steps.push_back({number, 0, 0});
     }
-    return of.steps.back();
+    return past.steps.back();
 }
 
 void resend_budget::on_request(service_id const& service, instant now) {
--- a/src/Delivery/resend_budget.hpp
+++ b/src/Delivery/resend_budget.hpp
@@ -56,7 +56,7 @@
     struct history {
         std::deque<step> steps;
     };
-    step& current(history& of, instant now) const;
+    step& current(history& past, instant now) const;
 
     resend_limits limits_;
     std::unordered_map<service_id, history> services_;
--- a/src/ReplicaControl/slot_tracker_requests.cpp
+++ b/src/ReplicaControl/slot_tracker_requests.cpp
@@ -40,13 +40,15 @@
 }
 
 unsigned slot_tracker::free_slots(instant now) const {
-    auto const used_slots = std::ranges::count_if(slots_, [&](auto const& at) {
-        slot const& entry = at.second;
-        bool const is_unloading = entry.state == slot_state::unloading;
-        bool const is_idle = entry.state == slot_state::resident &&
-                             idle(entry, now) && !requests_.contains(at.first);
-        return !is_unloading && !is_idle;
-    });
+    auto const used_slots =
+        std::ranges::count_if(slots_, [&](auto const& each) {
+            slot const& entry = each.second;
+            bool const is_unloading = entry.state == slot_state::unloading;
+            bool const is_idle = entry.state == slot_state::resident &&
+                                 idle(entry, now) &&
+                                 !requests_.contains(each.first);
+            return !is_unloading && !is_idle;
+        });
     return limits_.slots -
            std::min(limits_.slots, static_cast<unsigned>(used_slots));
 }
--- a/test/replica_control_test.cpp
+++ b/test/replica_control_test.cpp
@@ -412,8 +412,8 @@
     lease_times times;
     partition_leases leases(times);
     instant const start = instant() + seconds(100);
-    auto const fresh = leases.on_renewal_granted(start, 1, {4, 5}, start);
-    CHECK(fresh.size() == 2);
+    auto const gained = leases.on_renewal_granted(start, 1, {4, 5}, start);
+    CHECK(gained.size() == 2);
     leases.set_token(4, 17);
     instant const settled = start + times.settling;
 
@@ -431,17 +431,17 @@
     // A lease holder is suspended for seven seconds while another node takes
     // its replicas over. When it resumes it must not send commands.
     SUBCASE("a holder resumed after its lease sends no commands") {
-        instant const woken = start + seconds(7);
-        CHECK_FALSE(leases.token(4, woken));
+        instant const resumed = start + seconds(7);
+        CHECK_FALSE(leases.token(4, resumed));
         SUBCASE("also when its next renewal fails") {
-            leases.on_renewal_failed(woken);
-            CHECK_FALSE(leases.token(4, woken));
+            leases.on_renewal_failed(resumed);
+            CHECK_FALSE(leases.token(4, resumed));
         }
         SUBCASE("after a renewal it needs a new fencing number") {
             auto const again =
-                leases.on_renewal_granted(woken, 3, {4, 5}, woken);
+                leases.on_renewal_granted(resumed, 3, {4, 5}, resumed);
             CHECK(again.size() == 2);
-            CHECK_FALSE(leases.token(4, woken + seconds(1)));
+            CHECK_FALSE(leases.token(4, resumed + seconds(1)));
         }
     }
 
--- a/test/stream_events_test.cpp
+++ b/test/stream_events_test.cpp
@@ -199,12 +199,13 @@
     auto const run_attempt = [&](stream_caller& caller, std::size_t bytes,
                                  std::size_t piece) {
         attempt_stream attempt;
-        std::string_view rest = std::string_view(full_stream)
-                                    .substr(caller.last() * event_bytes, bytes);
-        while (!rest.empty()) {
-            std::string_view const part = rest.substr(0, piece);
+        std::string_view remaining =
+            std::string_view(full_stream)
+                .substr(caller.last() * event_bytes, bytes);
+        while (!remaining.empty()) {
+            std::string_view const part = remaining.substr(0, piece);
             CHECK(caller.push(attempt, part));
-            rest.remove_prefix(part.size());
+            remaining.remove_prefix(part.size());
         }
     };
     for (std::size_t piece = 1; piece <= full_stream.size(); ++piece) {
