--- a/src/Delivery/attempt_stream.cpp
+++ b/src/Delivery/attempt_stream.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// An event of a stream holds a few tokens; a longer one is malformed.
+/// Events hold a few tokens, so a longer one is invalid.
 constexpr std::size_t max_event_bytes = 256U << 10U;
 
 /// @returns the value of an id line if it is a number
