--- a/src/Delivery/quarantine_sync.hpp
+++ b/src/Delivery/quarantine_sync.hpp
@@ -6,34 +6,36 @@
 
 namespace camphorpoint {
 
-/// Whether a node knows which contents were held before it began. It does once
-/// it has heard for a while a node that knows, or has served for long enough to
-/// have met what comes again and again.
+/// Tracks whether this node knows the requests that were quarantined before it
+/// started. It does once it has received messages for some time from a node
+/// that knows them, or has itself served long enough to have observed repeated
+/// poison requests.
 class quarantine_sync {
 public:
-    /// This node serves from now on.
+    /// Records that this node serves requests from now on.
     void on_serving_started(instant now) {
-        served_from_ = std::min(served_from_, now);
+        serving_since_ = std::min(serving_since_, now);
     }
-    /// A node that knows was heard: it tells all within a second.
+    /// Records a message from a node whose knowledge is complete. Such a node
+    /// sends all its entries within a second.
     void on_message_from_synced_node(instant now) {
-        heard_from_ = std::min(heard_from_, now);
+        synced_node_since_ = std::min(synced_node_since_, now);
     }
-    /// @returns true when this node knows what others do
+    /// @returns true when this node knows the quarantined requests
     bool complete(instant now) const noexcept {
-        return past(heard_from_, all_told, now) ||
-               past(served_from_, all_met, now);
+        return elapsed(synced_node_since_, sync_duration, now) ||
+               elapsed(serving_since_, observation_duration, now);
     }
 
 private:
-    static constexpr duration all_told = std::chrono::seconds(1);
-    static constexpr duration all_met = std::chrono::seconds(20);
-    static bool past(instant from, duration time, instant now) noexcept {
+    static constexpr duration sync_duration = std::chrono::seconds(1);
+    static constexpr duration observation_duration = std::chrono::seconds(20);
+    static bool elapsed(instant from, duration time, instant now) noexcept {
         return from != instant::max() && now >= from + time;
     }
 
-    instant served_from_ = instant::max();
-    instant heard_from_ = instant::max();
+    instant serving_since_ = instant::max();
+    instant synced_node_since_ = instant::max();
 };
 
 } // namespace camphorpoint
--- a/src/Delivery/resend_budget.cpp
+++ b/src/Delivery/resend_budget.cpp
@@ -6,25 +6,26 @@
 
 namespace {
 
-constexpr int steps_of_window = 10;
-/// The part of the bound that is used: windows slide by less than a step, and a
-/// node that has just come shares the slack before the others know.
-constexpr double used_part = 0.85;
+constexpr int steps_per_window = 10;
+/// Usable fraction of the limit. The rest covers two inaccuracies: windows
+/// advance in steps, and a node that has just joined uses its part of the slack
+/// before the other nodes know of it.
+constexpr double usable_fraction = 0.85;
 
 } // namespace
 
-resend_budget::step& resend_budget::current(history& of, instant now) const {
+resend_budget::step& resend_budget::current(history& past, instant now) const {
     auto const width =
-        std::chrono::duration_cast<duration>(limits_.window) / steps_of_window;
+        std::chrono::duration_cast<duration>(limits_.window) / steps_per_window;
     std::int64_t const number = now.time_since_epoch() / width;
-    while (!of.steps.empty() &&
-           of.steps.front().number < number - steps_of_window) {
-        of.steps.pop_front();
+    while (!past.steps.empty() &&
+           past.steps.front().number < number - steps_per_window) {
+        past.steps.pop_front();
     }
-    if (of.steps.empty() || of.steps.back().number != number) {
-        of.steps.push_back({number, 0, 0});
+    if (past.steps.empty() || past.steps.back().number != number) {
+        past.steps.push_back({number, 0, 0});
     }
-    return of.steps.back();
+    return past.steps.back();
 }
 
 void resend_budget::on_request(service_id const& service, instant now) {
@@ -41,9 +42,10 @@
         requests += each.requests;
         sent += each.resends;
     }
-    double const share = limits_.slack / std::max(1U, nodes);
-    double const most = used_part * (limits_.ratio * requests + share);
-    return sent + 1 <= most;
+    double const quota_share = limits_.slack / std::max(1U, nodes);
+    double const allowed =
+        usable_fraction * (limits_.ratio * requests + quota_share);
+    return sent + 1 <= allowed;
 }
 
 bool resend_budget::try_consume(
