--- a/src/Fleet/adapter_demand.cpp
+++ b/src/Fleet/adapter_demand.cpp
@@ -10,15 +10,15 @@
 /// Copies beyond an adapter's even share of the replicas. With this factor the
 /// replicas of the busiest adapter are a third busy with it at the average, so
 /// that a clump of its prompts finds another with room.
-constexpr double spread = 3;
+constexpr double replication_factor = 3;
 /// With less than this an adapter's own prompts do not make a queue: a copy
 /// costs a load and a slot.
-constexpr double steady_copies = 0.5;
+constexpr double min_desired_replicas = 0.5;
 /// So many standard deviations of a count are taken off before it is believed.
-constexpr double doubt = 0.8;
+constexpr double sampling_margin = 0.8;
 /// Rates below this in tokens a second are as good as none.
-constexpr double least_rate = 1;
-constexpr duration forgetting_pause = std::chrono::seconds(10);
+constexpr double min_rate = 1;
+constexpr duration expiry_interval = std::chrono::seconds(10);
 
 } // namespace
 
@@ -26,50 +26,52 @@
     adapter_id const& adapter, unsigned prompt_tokens, instant now) {
     // A prompt of unknown length counts as a short one.
     double const tokens = std::max(1U, prompt_tokens);
-    measured& of = rates_[adapter];
-    of.tokens.add(now, tokens);
-    of.requests.add(now);
+    demand_rates& rates = rates_[adapter];
+    rates.tokens.add(now, tokens);
+    rates.requests.add(now);
     total_.add(now, tokens);
-    if (now >= looked_ + forgetting_pause) {
-        looked_ = now;
-        forget_idle(now);
+    if (now >= last_expiry_ + expiry_interval) {
+        last_expiry_ = now;
+        drop_idle(now);
     }
 }
 
-double adapter_demand::wanted_copies(
+double adapter_demand::desired_replicas(
     adapter_id const& adapter, std::size_t replicas, instant now) const {
     auto const found = rates_.find(adapter);
     double const all = total_.per_second(now);
-    if (found == rates_.end() || all < least_rate) {
+    if (found == rates_.end() || all < min_rate) {
         return 0;
     }
     // One node of many sees few requests, and two of one adapter by chance look
     // like a large share: copies are made for what is sure of it.
     std::chrono::duration<double> const window = half_life;
-    double const seen =
+    double const sampled_requests =
         found->second.requests.per_second(now) * window.count() / std::log(2.0);
-    double const sure =
-        std::max(0.0, 1.0 - doubt / std::sqrt(std::max(seen, least_rate)));
-    double const share = found->second.tokens.per_second(now) / all;
-    return share * sure * static_cast<double>(replicas) * spread;
+    double const confidence = std::max(
+        0.0, 1.0 - sampling_margin /
+                       std::sqrt(std::max(sampled_requests, min_rate)));
+    double const fraction = found->second.tokens.per_second(now) / all;
+    return fraction * confidence * static_cast<double>(replicas) *
+           replication_factor;
 }
 
 std::size_t adapter_demand::target_replica_count(
     adapter_id const& adapter, std::size_t replicas, instant now) const {
     auto const rounded = static_cast<std::size_t>(
-        std::lround(wanted_copies(adapter, replicas, now)));
+        std::lround(desired_replicas(adapter, replicas, now)));
     return std::clamp<std::size_t>(
         rounded, 1, std::max<std::size_t>(1, replicas));
 }
 
 bool adapter_demand::warrants_replication(
     adapter_id const& adapter, std::size_t replicas, instant now) const {
-    return wanted_copies(adapter, replicas, now) >= steady_copies;
+    return desired_replicas(adapter, replicas, now) >= min_desired_replicas;
 }
 
-void adapter_demand::forget_idle(instant now) {
+void adapter_demand::drop_idle(instant now) {
     std::erase_if(rates_, [&](auto const& each) {
-        return each.second.tokens.per_second(now) < least_rate;
+        return each.second.tokens.per_second(now) < min_rate;
     });
 }
 
--- a/src/Fleet/adapter_demand.hpp
+++ b/src/Fleet/adapter_demand.hpp
@@ -31,18 +31,18 @@
     /// does not yet make copies.
     static constexpr duration half_life = std::chrono::seconds(4);
 
-    double wanted_copies(
+    double desired_replicas(
         adapter_id const& adapter, std::size_t replicas, instant now) const;
-    void forget_idle(instant now);
+    void drop_idle(instant now);
 
-    struct measured {
+    struct demand_rates {
         decayed_rate tokens{half_life};
         decayed_rate requests{half_life};
     };
 
-    std::unordered_map<adapter_id, measured> rates_;
+    std::unordered_map<adapter_id, demand_rates> rates_;
     decayed_rate total_{half_life};
-    instant looked_;
+    instant last_expiry_;
 };
 
 } // namespace camphorpoint
--- a/src/Fleet/fleet.cpp
+++ b/src/Fleet/fleet.cpp
@@ -11,14 +11,14 @@
 
 /// How long word from an orderer counts more than the list: an entry is
 /// written about every 1.2 s and read up to a second later.
-constexpr duration word_outlasts_list = std::chrono::milliseconds(2'500);
+constexpr duration registry_override_period = std::chrono::milliseconds(2'500);
 /// Replicas keep copies of a hundred adapters and more in their memory; those
 /// that lie there now are not counted here.
-constexpr std::size_t most_kept = 100;
+constexpr std::size_t max_cached_adapters = 100;
 /// A gone replica is remembered for as long as requests may still run there.
-constexpr duration memory_of_gone = std::chrono::seconds(60);
+constexpr duration removed_retention = std::chrono::seconds(60);
 /// Streams take one to three seconds: older word says nothing of what runs now.
-constexpr duration telling_ends = std::chrono::seconds(4);
+constexpr duration remote_usage_lifetime = std::chrono::seconds(4);
 
 } // namespace
 
@@ -26,36 +26,36 @@
     return hash_text(id.str());
 }
 
-void fleet::index() {
+void fleet::rebuild_indexes() {
     by_service_.clear();
-    by_short_name_.clear();
+    by_hash_.clear();
     for (auto& [id, each] : all_) {
         by_service_[each.record.service].push_back(&each);
-        by_short_name_[id_hash(id)] = &each;
+        by_hash_[id_hash(id)] = &each;
     }
 }
 
-void fleet::take_adapters(
+void fleet::apply_adapters(
     replica& target, replica_record const& record, instant now) {
-    std::unordered_map<adapter_id, resident_adapter> next;
+    std::unordered_map<adapter_id, resident_adapter> updated;
     for (adapter_ref const& each : record.adapters) {
-        next[each.id] = {each.version, {}, false};
+        updated[each.id] = {each.version, {}, false};
     }
-    for (auto const& [id, held] : target.adapters) {
-        if (held.confirmed_at != instant{} &&
-            now < held.confirmed_at + word_outlasts_list) {
-            next[id] = held;
+    for (auto const& [id, resident] : target.adapters) {
+        if (resident.confirmed_at != instant{} &&
+            now < resident.confirmed_at + registry_override_period) {
+            updated[id] = resident;
         }
     }
-    target.adapters = std::move(next);
+    target.adapters = std::move(updated);
 }
 
-bool fleet::started_again(replica const& known, replica_record const& now) {
-    return known.record.started_at && now.started_at &&
-           known.record.started_at != now.started_at;
+bool fleet::has_restarted(replica const& known, replica_record const& record) {
+    return known.record.started_at && record.started_at &&
+           known.record.started_at != record.started_at;
 }
 
-void fleet::begin_anew(replica& target) {
+void fleet::reset_after_restart(replica& target) {
     // This node's requests there end by themselves, as their connections break.
     unsigned const running = target.running_local;
     replica_record record = std::move(target.record);
@@ -68,29 +68,32 @@
 // Guards against a replica that has gone and stands in the list again, since
 // the store has come back from a copy of before: it would get requests until
 // its entry lapses a second time. One that is there writes its entry anew.
-bool fleet::written_before(replica const& known, replica_record const& now) {
-    bool const away = known.missing || known.missing_since != instant::max();
-    return away && now.heartbeat != 0 &&
-           now.heartbeat <= known.record.heartbeat;
+bool fleet::is_stale_record(
+    replica const& known, replica_record const& record) {
+    bool const unlisted =
+        known.missing || known.missing_since != instant::max();
+    return unlisted && record.heartbeat != 0 &&
+           record.heartbeat <= known.record.heartbeat;
 }
 
 fleet_change fleet::apply(replica_record const& record, instant now) {
-    auto [place, fresh] = all_.try_emplace(record.id);
-    replica& target = place->second;
-    bool const again = started_again(target, record);
-    if (!fresh && !again && written_before(target, record)) {
+    auto [entry, inserted] = all_.try_emplace(record.id);
+    replica& target = entry->second;
+    bool const restarted = has_restarted(target, record);
+    if (!inserted && !restarted && is_stale_record(target, record)) {
         return fleet_change::none;
     }
-    if (again) {
-        begin_anew(target);
+    if (restarted) {
+        reset_after_restart(target);
     }
     bool const was_leaving = target.record.leaving;
-    bool const moved = fresh || target.record.service != record.service;
-    take_adapters(target, record, now);
-    std::optional<incarnation> const born =
+    bool const service_changed =
+        inserted || target.record.service != record.service;
+    apply_adapters(target, record, now);
+    std::optional<incarnation> const started =
         record.started_at ? record.started_at : target.record.started_at;
     target.record = record;
-    target.record.started_at = born;
+    target.record.started_at = started;
     // A replica that has said that it leaves never stays after all.
     target.record.leaving = record.leaving || was_leaving;
     target.missing = false;
@@ -99,10 +102,10 @@
         target.shutdown_at =
             std::min(target.shutdown_at, now + *record.remaining);
     }
-    if (moved) {
-        index();
+    if (service_changed) {
+        rebuild_indexes();
     }
-    if (fresh || again) {
+    if (inserted || restarted) {
         return record.leaving ? fleet_change::leaving : fleet_change::joined;
     }
     return target.record.leaving && !was_leaving ? fleet_change::leaving
@@ -110,7 +113,7 @@
 }
 
 fleet_change
-fleet::mark_unlisted(endpoint_id const& id, bool keep, instant now) {
+fleet::mark_unlisted(endpoint_id const& id, bool keep_in_use, instant now) {
     replica* const target = find(id);
     if (target == nullptr || target->missing) {
         return fleet_change::none;
@@ -118,7 +121,7 @@
     if (target->missing_since == instant::max()) {
         target->missing_since = now;
     }
-    if (keep) {
+    if (keep_in_use) {
         return fleet_change::none;
     }
     target->missing = true;
@@ -126,11 +129,11 @@
 }
 
 std::vector<endpoint_id> fleet::mark_unlisted_except(
-    std::vector<endpoint_id> const& listed, bool keep, instant now) {
+    std::vector<endpoint_id> const& listed, bool keep_in_use, instant now) {
     std::vector<endpoint_id> gone;
     for (auto const& [id, each] : all_) {
         if (std::ranges::find(listed, id) == listed.end() &&
-            mark_unlisted(id, keep, now) == fleet_change::removed) {
+            mark_unlisted(id, keep_in_use, now) == fleet_change::removed) {
             gone.push_back(id);
         }
     }
@@ -149,7 +152,7 @@
             gone.push_back(id);
         }
         if (each.missing && each.running_local == 0 &&
-            now >= each.missing_since + memory_of_gone) {
+            now >= each.missing_since + removed_retention) {
             forgotten.push_back(id);
         }
     }
@@ -157,7 +160,7 @@
         all_.erase(id);
     }
     if (!forgotten.empty()) {
-        index();
+        rebuild_indexes();
     }
     return gone;
 }
@@ -169,10 +172,10 @@
     }
 }
 
-void fleet::keep(replica& target, adapter_id const& adapter) {
+void fleet::add_cached(replica& target, adapter_id const& adapter) {
     std::erase(target.cached_adapters, adapter);
     target.cached_adapters.push_back(adapter);
-    if (target.cached_adapters.size() > most_kept) {
+    if (target.cached_adapters.size() > max_cached_adapters) {
         target.cached_adapters.erase(target.cached_adapters.begin());
     }
 }
@@ -180,23 +183,24 @@
 void fleet::mark_unloading(
     endpoint_id const& id, adapter_id const& adapter, instant now) {
     if (replica* const target = find(id)) {
-        keep(*target, adapter);
-        resident_adapter& held = target->adapters[adapter];
-        held.confirmed_at = now;
-        held.unloading = true;
+        add_cached(*target, adapter);
+        resident_adapter& resident = target->adapters[adapter];
+        resident.confirmed_at = now;
+        resident.unloading = true;
     }
 }
 
 void fleet::update_usage(
-    std::uint64_t id_hash, replica_usage const& total, instant now) {
-    replica* const target = find_by_hash(id_hash);
+    std::uint64_t replica_hash, replica_usage const& total, instant now) {
+    replica* const target = find_by_hash(replica_hash);
     if (target == nullptr) {
         return;
     }
     target->running_remote =
         total.running - std::min(total.running, target->running_local);
-    double const here = target->local_backlog.remaining_tokens(now);
-    target->remote_backlog.set(std::max(0.0, total.backlog_tokens - here), now);
+    double const local_tokens = target->local_backlog.remaining_tokens(now);
+    target->remote_backlog.set(
+        std::max(0.0, total.backlog_tokens - local_tokens), now);
     target->free_slots = total.free_slots;
     target->usage_received_at = now;
 }
@@ -206,7 +210,7 @@
         std::erase_if(each.denials, [&](auto const& denied) {
             return now >= denied.second.until;
         });
-        if (now >= each.usage_received_at + telling_ends) {
+        if (now >= each.usage_received_at + remote_usage_lifetime) {
             each.running_remote = 0;
             each.remote_backlog = {};
         }
@@ -242,9 +246,9 @@
     return by_service_[service];
 }
 
-replica* fleet::find_by_hash(std::uint64_t name) {
-    auto const found = by_short_name_.find(name);
-    return found == by_short_name_.end() ? nullptr : found->second;
+replica* fleet::find_by_hash(std::uint64_t hash) {
+    auto const found = by_hash_.find(hash);
+    return found == by_hash_.end() ? nullptr : found->second;
 }
 
 } // namespace camphorpoint
--- a/src/Fleet/fleet.hpp
+++ b/src/Fleet/fleet.hpp
@@ -19,7 +19,7 @@
 struct resident_adapter {
     std::uint32_t version = 0;
     /// When the belief was formed from word that is newer than the list; the
-    /// list may not take it back before `word_outlasts_list` has passed.
+    /// list may not take it back before `registry_override_period` has passed.
     instant confirmed_at;
     /// The replica was ordered to drop or replace it.
     bool unloading = false;
@@ -76,8 +76,9 @@
     /// @returns the denial of the adapter that counts now, or null
     load_denial const* denial(adapter_id const& adapter, instant now) const {
         auto const found = denials.find(adapter);
-        bool const counts = found != denials.end() && now < found->second.until;
-        return counts ? &found->second : nullptr;
+        bool const is_valid =
+            found != denials.end() && now < found->second.until;
+        return is_valid ? &found->second : nullptr;
     }
     /// @returns requests that are there
     unsigned running() const noexcept { return running_local + running_remote; }
@@ -115,10 +116,11 @@
     /// The list has lost the entry. During a store's outage entries lapse that
     /// come back after it, so the replica stays in use then.
     /// @param keep true while the store is or was just disturbed
-    fleet_change mark_unlisted(endpoint_id const& id, bool keep, instant now);
+    fleet_change
+    mark_unlisted(endpoint_id const& id, bool keep_in_use, instant now);
     /// The list was read whole: entries that are not in it are lost.
     std::vector<endpoint_id> mark_unlisted_except(
-        std::vector<endpoint_id> const& listed, bool keep, instant now);
+        std::vector<endpoint_id> const& listed, bool keep_in_use, instant now);
     /// Forgets replicas whose entry stayed away until the store was calm again,
     /// and those that are long gone. Entries that lapsed in an outage are back
     /// within two seconds of the store's return, whenever they were missed.
@@ -136,7 +138,7 @@
     /// What all nodes have at a replica, this one included, by the word of the
     /// node that orders for it.
     void update_usage(
-        std::uint64_t id_hash, replica_usage const& total, instant now);
+        std::uint64_t replica_hash, replica_usage const& total, instant now);
     /// Takes nobody's requests for there where the last word is old: whoever
     /// counted has stopped.
     void expire_usage(instant now);
@@ -157,20 +159,22 @@
     /// @returns a short name of a replica for messages between nodes
     static std::uint64_t id_hash(endpoint_id const& id);
     /// @returns the replica of a short name, or null
-    replica* find_by_hash(std::uint64_t name);
+    replica* find_by_hash(std::uint64_t hash);
 
 private:
-    void index();
-    static bool started_again(replica const& known, replica_record const& now);
-    static bool written_before(replica const& known, replica_record const& now);
-    static void begin_anew(replica& target);
-    static void keep(replica& target, adapter_id const& adapter);
+    void rebuild_indexes();
+    static bool
+    has_restarted(replica const& known, replica_record const& record);
+    static bool
+    is_stale_record(replica const& known, replica_record const& record);
+    static void reset_after_restart(replica& target);
+    static void add_cached(replica& target, adapter_id const& adapter);
     static void
-    take_adapters(replica& target, replica_record const& record, instant now);
+    apply_adapters(replica& target, replica_record const& record, instant now);
 
     std::map<endpoint_id, replica> all_;
     std::unordered_map<service_id, std::vector<replica*>> by_service_;
-    std::unordered_map<std::uint64_t, replica*> by_short_name_;
+    std::unordered_map<std::uint64_t, replica*> by_hash_;
 };
 
 } // namespace camphorpoint
--- a/src/Fleet/prompt_backlog.hpp
+++ b/src/Fleet/prompt_backlog.hpp
@@ -13,18 +13,19 @@
 public:
     /// A prompt was sent there.
     void add(unsigned tokens, instant now) {
-        left_ = remaining_tokens(now) + tokens;
-        at_ = now;
+        tokens_ = remaining_tokens(now) + tokens;
+        updated_at_ = now;
     }
     /// Takes over what another node tells.
     void set(double tokens, instant now) {
-        left_ = tokens;
-        at_ = now;
+        tokens_ = tokens;
+        updated_at_ = now;
     }
     /// @returns the prompt tokens that it has still to read
     double remaining_tokens(instant now) const {
-        std::chrono::duration<double, std::milli> const passed = now - at_;
-        return std::max(0.0, left_ - passed.count() * tokens_per_ms);
+        std::chrono::duration<double, std::milli> const passed =
+            now - updated_at_;
+        return std::max(0.0, tokens_ - passed.count() * tokens_per_ms);
     }
 
 private:
@@ -34,8 +35,8 @@
     /// which is longer than callers take for good.
     static constexpr double tokens_per_ms = 20;
 
-    double left_ = 0;
-    instant at_;
+    double tokens_ = 0;
+    instant updated_at_;
 };
 
 } // namespace camphorpoint
--- a/src/Fleet/registry_poll_schedule.cpp
+++ b/src/Fleet/registry_poll_schedule.cpp
@@ -2,56 +2,58 @@
 
 namespace camphorpoint {
 
-void registry_poll_schedule::poll_completed(store_position next, instant now) {
-    if (next.epoch < epoch_) {
+void registry_poll_schedule::poll_completed(store_position end, instant now) {
+    if (end.epoch < epoch_) {
         // The answer was on its way when the store went back.
         return;
     }
-    next_ = next;
-    epoch_ = next.epoch;
-    known_ = true;
+    position_ = end;
+    epoch_ = end.epoch;
+    polled_once_ = true;
     gap_ = false;
-    whole_ = false;
-    since_ = now;
+    full_poll_needed_ = false;
+    last_poll_at_ = now;
 }
 
-void registry_poll_schedule::enter_epoch(store_epoch epoch, instant at) {
+void registry_poll_schedule::enter_epoch(store_epoch epoch, instant poll_at) {
     if (epoch > epoch_) {
         epoch_ = epoch;
-        epoch_poll_at_ = at;
+        epoch_poll_at_ = poll_at;
     }
 }
 
 registry_update_fit registry_poll_schedule::handle_update(
     store_position from, store_position to, instant now) {
-    if (known_ && to.epoch > epoch_) {
+    if (polled_once_ && to.epoch > epoch_) {
         return registry_update_fit::later_epoch;
     }
-    if (!known_ || outdated() || to.epoch != next_.epoch ||
-        is_ahead(next_, to)) {
+    if (!polled_once_ || epoch_outdated() || to.epoch != position_.epoch ||
+        is_ahead(position_, to)) {
         return registry_update_fit::nothing_new;
     }
-    if (is_ahead(from, next_)) {
+    if (is_ahead(from, position_)) {
         gap_ = true;
         return registry_update_fit::gap;
     }
-    bool const fresh = is_ahead(to, next_);
-    next_ = to;
-    since_ = now;
+    bool const has_new_records = is_ahead(to, position_);
+    position_ = to;
+    last_poll_at_ = now;
     gap_ = false;
-    return fresh ? registry_update_fit::applies
-                 : registry_update_fit::nothing_new;
+    return has_new_records ? registry_update_fit::applies
+                           : registry_update_fit::nothing_new;
 }
 
-instant registry_poll_schedule::next_poll_time(double draw) const {
-    if (outdated()) {
+instant registry_poll_schedule::next_poll_time(double random_fraction) const {
+    if (epoch_outdated()) {
         return epoch_poll_at_;
     }
-    if (gap_ || whole_) {
-        return since_;
+    if (gap_ || full_poll_needed_) {
+        return last_poll_at_;
     }
-    double const part = least_part + (1 - least_part) * draw;
-    return since_ + std::chrono::duration_cast<duration>(longest_ * part);
+    double const fraction =
+        min_interval_fraction + (1 - min_interval_fraction) * random_fraction;
+    return last_poll_at_ +
+           std::chrono::duration_cast<duration>(max_interval_ * fraction);
 }
 
 } // namespace camphorpoint
--- a/src/Fleet/registry_poll_schedule.hpp
+++ b/src/Fleet/registry_poll_schedule.hpp
@@ -33,11 +33,11 @@
 class registry_poll_schedule {
 public:
     /// @param longest a node that hears nothing reads after this
-    explicit registry_poll_schedule(duration longest)
-        : longest_(longest) {}
+    explicit registry_poll_schedule(duration max_interval)
+        : max_interval_(max_interval) {}
 
     /// This node has read up to a place.
-    void poll_completed(store_position next, instant now);
+    void poll_completed(store_position end, instant now);
     /// @param whole what was asked for: all, else what was written from a place
     /// @param from  the place that was asked for
     /// @param next  where the answer ends
@@ -45,44 +45,46 @@
     /// answer
     ///          is of other records than those that were asked for
     bool is_valid_answer(
-        bool whole, store_position from, store_position next) const noexcept {
-        return next.epoch >= epoch_ && (whole || next.epoch == from.epoch);
+        bool full, store_position from, store_position end) const noexcept {
+        return end.epoch >= epoch_ && (full || end.epoch == from.epoch);
     }
     /// Another node has read the records from one place to another of one era.
     registry_update_fit
     handle_update(store_position from, store_position to, instant now);
     /// The place to read from is gone from the store's history.
-    void position_expired() noexcept { whole_ = true; }
+    void position_expired() noexcept { full_poll_needed_ = true; }
     /// The list is to be read whole at the next turn.
-    void require_full_poll() noexcept { whole_ = true; }
+    void require_full_poll() noexcept { full_poll_needed_ = true; }
     /// The store is in a later era than was read in.
     /// @param at when this node reads the list whole, another time on each node
-    void enter_epoch(store_epoch epoch, instant at);
+    void enter_epoch(store_epoch epoch, instant poll_at);
 
     /// @param draw 0 to 1, another one after each reading
     /// @returns when this node reads next
-    instant next_poll_time(double draw) const;
+    instant next_poll_time(double random_fraction) const;
     /// @returns true when it reads the list whole then
-    bool needs_full_poll() const noexcept { return whole_ || outdated(); }
+    bool needs_full_poll() const noexcept {
+        return full_poll_needed_ || epoch_outdated();
+    }
     /// @returns where it reads on
-    store_position position() const noexcept { return next_; }
+    store_position position() const noexcept { return position_; }
 
 private:
     /// Pauses are from this part of the longest on. The wider they lie apart,
     /// the fewer nodes read before the first one's word has come; the longer,
     /// the later a leaving is known.
-    static constexpr double least_part = 0.7;
+    static constexpr double min_interval_fraction = 0.7;
 
-    bool outdated() const noexcept { return epoch_ > next_.epoch; }
+    bool epoch_outdated() const noexcept { return epoch_ > position_.epoch; }
 
-    duration longest_;
-    store_position next_;
+    duration max_interval_;
+    store_position position_;
     store_epoch epoch_{};
     instant epoch_poll_at_;
-    bool whole_ = true;
-    bool known_ = false;
+    bool full_poll_needed_ = true;
+    bool polled_once_ = false;
     bool gap_ = false;
-    instant since_;
+    instant last_poll_at_;
 };
 
 } // namespace camphorpoint
--- a/src/Fleet/replica_health.hpp
+++ b/src/Fleet/replica_health.hpp
@@ -23,26 +23,28 @@
 public:
     /// Takes up how an attempt ended.
     /// @returns true when the replica has become suspected by this
-    bool add_outcome(health_signal what, instant now);
+    bool add_outcome(health_signal signal, instant now);
     /// Another node suspects the replica.
     void adopt_suspicion(instant until);
 
     /// @returns true while no request should go there unless all others are
     ///          out as well
-    bool suspected(instant now) const noexcept { return now < until_; }
+    bool suspected(instant now) const noexcept {
+        return now < suspected_until_;
+    }
     /// @returns until when it is suspected
-    instant suspected_until() const noexcept { return until_; }
+    instant suspected_until() const noexcept { return suspected_until_; }
     /// @returns the share of recent attempts that failed, 0 to 1; it fades with
     ///          time, so that a replica which nobody uses is tried again
     double failure_fraction(instant now) const;
 
 private:
     double failures_ = 0;
-    instant noted_;
-    unsigned silences_ = 0;
+    instant updated_at_;
+    unsigned suspicions_ = 0;
     /// Broken off one after the other, with no answer between.
-    unsigned broken_ = 0;
-    instant until_;
+    unsigned truncated_in_row_ = 0;
+    instant suspected_until_;
 };
 
 } // namespace camphorpoint
--- a/src/Fleet/replica_selector.cpp
+++ b/src/Fleet/replica_selector.cpp
@@ -18,34 +18,34 @@
 
 /// Prompt tokens still to be read that count as much as a full batch: they
 /// make all its streams pause for as long as callers take for good.
-constexpr double backlog_as_full = 8'000;
+constexpr double full_backlog_tokens = 8'000;
 /// Holders of an adapter that are compared.
-constexpr std::size_t most_looks = 3;
+constexpr std::size_t max_compared = 3;
 
 /// A rare adapter may have so many homes, of which one with a free slot is
 /// taken: with one, some replicas have adapters waiting while others have
 /// slots free; with all, each node would find another.
 /// Reference: Y. Azar, A. Broder, A. Karlin, E. Upfal, "Balanced allocations",
 /// SIAM Journal on Computing 29(1), 1999.
-constexpr std::size_t home_choices = 2;
+constexpr std::size_t max_preferred_replicas = 2;
 /// Replicas that are fuller are compared only when all are.
-constexpr double compared_below = 0.9;
+constexpr double max_compared_utilization = 0.9;
 
 /// A replica with so much for each slot, requests that wait for a load
 /// included, turns further ones away: each would wait for a place after its
 /// load.
-constexpr double full_at = 1;
+constexpr double full_utilization = 1;
 /// Smaller differences of failures are chance.
-constexpr double noticed_failures = 0.02;
+constexpr double min_noticed_excess = 0.02;
 
 /// Only whether a slot is free counts: nodes hear of loads at other times, and
 /// by them would have a rare adapter loaded at several replicas.
 /// @returns true when an adapter should rather be loaded at `left`
-bool freer(replica const& left, replica const& right) {
+bool has_more_capacity(replica const& left, replica const& right) {
     return left.free_slots > 0 && right.free_slots <= 0;
 }
 
-bool holds_model(replica const& each, model_id const& model) {
+bool has_model(replica const& each, model_id const& model) {
     return model.empty() || std::ranges::find(each.record.models, model) !=
                                 each.record.models.end();
 }
@@ -53,53 +53,55 @@
 } // namespace
 
 double replica_selector::utilization(replica const& each, instant now) {
-    return each.load() + each.backlog(now) / backlog_as_full;
+    return each.load() + each.backlog(now) / full_backlog_tokens;
 }
 
 double
 replica_selector::utilization(replica_usage const& total, unsigned slots) {
     double const load = total.running / std::max(1.0, 1.0 * slots);
-    return load + total.backlog_tokens / backlog_as_full;
+    return load + total.backlog_tokens / full_backlog_tokens;
 }
 
 bool replica_selector::has_capacity(
     replica_usage const& total, unsigned slots) {
-    return utilization(total, slots) < full_at;
+    return utilization(total, slots) < full_utilization;
 }
 
-bool replica_selector::holds(
-    replica const& each, replica_requirements const& need) const {
-    if (need.adapter.empty()) {
-        return holds_model(each, need.model);
+bool replica_selector::satisfies(
+    replica const& each, replica_requirements const& requirements) const {
+    if (requirements.adapter.empty()) {
+        return has_model(each, requirements.model);
     }
-    auto const found = each.adapters.find(need.adapter);
+    auto const found = each.adapters.find(requirements.adapter);
     return found != each.adapters.end() && !found->second.unloading &&
-           found->second.version >= need.min_version;
+           found->second.version >= requirements.min_version;
 }
 
-bool replica_selector::usable(
-    replica const& each, replica_requirements const& need, instant now) const {
+bool replica_selector::is_eligible(
+    replica const& each, replica_requirements const& requirements,
+    instant now) const {
     return each.accepts_requests() &&
-           each.shutdown_at > now + need.expected_time &&
-           std::ranges::find(need.tried_replicas, each.record.id) ==
-               need.tried_replicas.end();
+           each.shutdown_at > now + requirements.expected_time &&
+           std::ranges::find(requirements.tried_replicas, each.record.id) ==
+               requirements.tried_replicas.end();
 }
 
 double replica_selector::cost(
-    replica const& each, replica_requirements const& need, double mean,
+    replica const& each, replica_requirements const& requirements, double mean,
     instant now) const {
-    double const more = each.health.failure_fraction(now) - mean;
-    double const excess = more < noticed_failures ? 0 : more;
+    double const above_mean = each.health.failure_fraction(now) - mean;
+    double const excess = above_mean < min_noticed_excess ? 0 : above_mean;
     double result = excess * failure_cost;
     result += each.health.suspected(now) ? suspicion_cost : 0;
     return result + utilization(each, now);
 }
 
 std::vector<replica*> replica_selector::candidates(
-    replica_requirements const& need, instant now) const {
+    replica_requirements const& requirements, instant now) const {
     std::vector<replica*> found;
-    for (replica* const each : fleet_->of_service(need.service)) {
-        if (usable(*each, need, now) && holds(*each, need)) {
+    for (replica* const each : fleet_->of_service(requirements.service)) {
+        if (is_eligible(*each, requirements, now) &&
+            satisfies(*each, requirements)) {
             found.push_back(each);
         }
     }
@@ -107,12 +109,12 @@
 }
 
 std::vector<replica*> replica_selector::compared_replicas(
-    replica_requirements const& need, instant now) const {
-    auto all = candidates(need, now);
+    replica_requirements const& requirements, instant now) const {
+    auto all = candidates(requirements, now);
     auto const others =
         std::partition(all.begin(), all.end(), [&](replica* each) {
             return !each->health.suspected(now) &&
-                   utilization(*each, now) < compared_below;
+                   utilization(*each, now) < max_compared_utilization;
         });
     if (others != all.begin()) {
         all.erase(others, all.end());
@@ -122,21 +124,22 @@
     // one; the better of some drawn at random spreads as well as fresh word.
     // Reference: M. Mitzenmacher, "How useful is old information?", IEEE
     // Transactions on Parallel and Distributed Systems 11(1), 2000.
-    std::size_t const looks =
-        need.adapter.empty() ? all.size() : std::min(all.size(), most_looks);
-    std::uint64_t rest = need.random_sample;
-    for (std::size_t look = 0; look < looks; ++look) {
-        std::size_t const left = all.size() - look;
-        std::swap(all[look], all[look + rest % left]);
-        rest /= left;
+    std::size_t const compared_count = requirements.adapter.empty()
+                                           ? all.size()
+                                           : std::min(all.size(), max_compared);
+    std::uint64_t random_left = requirements.random_sample;
+    for (std::size_t index = 0; index < compared_count; ++index) {
+        std::size_t const remaining = all.size() - index;
+        std::swap(all[index], all[index + random_left % remaining]);
+        random_left /= remaining;
     }
-    all.resize(looks);
+    all.resize(compared_count);
     return all;
 }
 
-replica*
-replica_selector::best(replica_requirements const& need, instant now) const {
-    auto const all = compared_replicas(need, now);
+replica* replica_selector::best(
+    replica_requirements const& requirements, instant now) const {
+    auto const all = compared_replicas(requirements, now);
     if (all.empty()) {
         return nullptr;
     }
@@ -146,22 +149,23 @@
     }
     double const mean = failures / static_cast<double>(all.size());
     return *std::ranges::min_element(all, {}, [&](replica const* each) {
-        return cost(*each, need, mean, now);
+        return cost(*each, requirements, mean, now);
     });
 }
 
 replica* replica_selector::next_preferred_replica(
-    replica_requirements const& need, instant now) const {
-    std::vector<endpoint_id> open;
-    for (replica const* const each : fleet_->of_service(need.service)) {
+    replica_requirements const& requirements, instant now) const {
+    std::vector<endpoint_id> eligible;
+    for (replica const* const each : fleet_->of_service(requirements.service)) {
         // One that holds an older version would have to end its runs first.
-        auto const held = each->adapters.find(need.adapter);
-        bool const lies_there =
-            held != each->adapters.end() && !held->second.unloading;
-        if (usable(*each, need, now) && !each->denial(need.adapter, now) &&
-            !lies_there && holds_model(*each, need.model) &&
+        auto const entry = each->adapters.find(requirements.adapter);
+        bool const is_resident =
+            entry != each->adapters.end() && !entry->second.unloading;
+        if (is_eligible(*each, requirements, now) &&
+            !each->denial(requirements.adapter, now) && !is_resident &&
+            has_model(*each, requirements.model) &&
             !each->health.suspected(now)) {
-            open.push_back(each->record.id);
+            eligible.push_back(each->record.id);
         }
     }
     // The order alone decides, so that all nodes ask for a rare adapter at the
@@ -169,45 +173,50 @@
     // turns requests away beyond; by what each node has heard of the crowding
     // they would load it at several, and from the store though its own home
     // still keeps a copy.
-    auto const ranked = rendezvous_top(need.adapter.str(), open, open.size());
-    replica* keeper = nullptr;
-    replica* freest = nullptr;
-    std::size_t looked_at = 0;
+    auto const ranked =
+        rendezvous_top(requirements.adapter.str(), eligible, eligible.size());
+    replica* with_cached = nullptr;
+    replica* with_free_slot = nullptr;
+    std::size_t visited = 0;
     for (endpoint_id const& id : ranked) {
         replica* const each = fleet_->find(id);
-        if (each->has_cached(need.adapter) &&
-            (keeper == nullptr || freer(*each, *keeper))) {
-            keeper = each;
+        if (each->has_cached(requirements.adapter) &&
+            (with_cached == nullptr ||
+             has_more_capacity(*each, *with_cached))) {
+            with_cached = each;
         }
-        if (looked_at < home_choices &&
-            (freest == nullptr || freer(*each, *freest))) {
-            freest = each;
+        if (visited < max_preferred_replicas &&
+            (with_free_slot == nullptr ||
+             has_more_capacity(*each, *with_free_slot))) {
+            with_free_slot = each;
         }
-        ++looked_at;
+        ++visited;
     }
-    return keeper != nullptr ? keeper : freest;
+    return with_cached != nullptr ? with_cached : with_free_slot;
 }
 
 replica* replica_selector::soonest_ready_replica(
-    replica_requirements const& need, instant now) const {
+    replica_requirements const& requirements, instant now) const {
     replica* soonest = nullptr;
-    instant first = instant::max();
-    for (replica* const each : fleet_->of_service(need.service)) {
-        load_denial const* const denied = each->denial(need.adapter, now);
-        if (denied != nullptr && usable(*each, need, now) &&
-            denied->ready_at < first) {
+    instant earliest = instant::max();
+    for (replica* const each : fleet_->of_service(requirements.service)) {
+        load_denial const* const denied =
+            each->denial(requirements.adapter, now);
+        if (denied != nullptr && is_eligible(*each, requirements, now) &&
+            denied->ready_at < earliest) {
             soonest = each;
-            first = denied->ready_at;
+            earliest = denied->ready_at;
         }
     }
     return soonest;
 }
 
 std::size_t replica_selector::resident_count(
-    replica_requirements const& need, instant now) const {
+    replica_requirements const& requirements, instant now) const {
     return static_cast<std::size_t>(std::ranges::count_if(
-        fleet_->of_service(need.service), [&](replica const* each) {
-            return usable(*each, need, now) && holds(*each, need);
+        fleet_->of_service(requirements.service), [&](replica const* each) {
+            return is_eligible(*each, requirements, now) &&
+                   satisfies(*each, requirements);
         }));
 }
 
--- a/src/Fleet/replica_selector.hpp
+++ b/src/Fleet/replica_selector.hpp
@@ -39,20 +39,20 @@
     /// @returns the replica that should run the request now: for an adapter the
     ///          less loaded of two that hold it, for a plain service the one
     ///          that should answer first; null when none can
-    replica* best(replica_requirements const& need, instant now) const;
+    replica* best(replica_requirements const& requirements, instant now) const;
     /// @returns the replicas that `best` compares: word of their loads should
     ///          be fresh
-    std::vector<replica*>
-    compared_replicas(replica_requirements const& need, instant now) const;
+    std::vector<replica*> compared_replicas(
+        replica_requirements const& requirements, instant now) const;
     /// @returns the replica that should be made to hold the adapter next: the
     ///          first in the adapter's own order that has not turned requests
     ///          away just now; null when there is none
-    replica*
-    next_preferred_replica(replica_requirements const& need, instant now) const;
+    replica* next_preferred_replica(
+        replica_requirements const& requirements, instant now) const;
     /// @returns of the replicas that turned the adapter away just now the one
     ///          where it would be ready first; null when there is none
-    replica*
-    soonest_ready_replica(replica_requirements const& need, instant now) const;
+    replica* soonest_ready_replica(
+        replica_requirements const& requirements, instant now) const;
     /// @returns how full the replica is, by its batch and by what it has to
     ///          read; 1 is full
     static double utilization(replica const& each, instant now);
@@ -63,22 +63,23 @@
     static bool has_capacity(replica_usage const& total, unsigned slots);
     /// @returns how many open replicas hold the adapter
     std::size_t
-    resident_count(replica_requirements const& need, instant now) const;
+    resident_count(replica_requirements const& requirements, instant now) const;
     /// @returns true when new requests may be sent to some replica
     bool any_accepts_requests(service_id const& service) const;
     /// @returns how crowded the open replicas of a service are in the mean
     double mean_utilization(service_id const& service, instant now) const;
 
 private:
-    bool holds(replica const& each, replica_requirements const& need) const;
-    bool usable(
-        replica const& each, replica_requirements const& need,
+    bool satisfies(
+        replica const& each, replica_requirements const& requirements) const;
+    bool is_eligible(
+        replica const& each, replica_requirements const& requirements,
         instant now) const;
     double cost(
-        replica const& each, replica_requirements const& need, double mean,
-        instant now) const;
+        replica const& each, replica_requirements const& requirements,
+        double mean, instant now) const;
     std::vector<replica*>
-    candidates(replica_requirements const& need, instant now) const;
+    candidates(replica_requirements const& requirements, instant now) const;
 
     fleet* fleet_;
 };
--- a/src/Fleet/running_request_tracker.cpp
+++ b/src/Fleet/running_request_tracker.cpp
@@ -9,78 +9,79 @@
 
 /// A node repeats its counts every 200 ms while it has runs. One that tells
 /// nothing for so long has stopped, and its runs are over.
-constexpr duration telling_ends = std::chrono::seconds(3);
+constexpr duration node_timeout = std::chrono::seconds(3);
 /// Between an answer and the word of the run that follows from it lie two ways
 /// between nodes and the sender's own work.
-constexpr duration answer_fades = std::chrono::milliseconds(20);
+constexpr duration expected_half_life = std::chrono::milliseconds(20);
 /// Loads take about this long, and those who wait for one send then.
-constexpr duration wait_fades = std::chrono::milliseconds(300);
+constexpr duration waiting_half_life = std::chrono::milliseconds(300);
 /// Less than this is nothing.
-constexpr double least_left = 0.05;
+constexpr double negligible_count = 0.05;
 
 } // namespace
 
-void running_request_tracker::fading::add(
-    double more, duration half_life, instant now) {
-    sum_ = left(half_life, now) + more;
-    at_ = now;
+void running_request_tracker::decaying_count::add(
+    double amount, duration half_life, instant now) {
+    sum_ = value(half_life, now) + amount;
+    updated_at_ = now;
 }
 
-double
-running_request_tracker::fading::left(duration half_life, instant now) const {
-    std::chrono::duration<double> const passed = now - at_;
+double running_request_tracker::decaying_count::value(
+    duration half_life, instant now) const {
+    std::chrono::duration<double> const passed = now - updated_at_;
     std::chrono::duration<double> const half = half_life;
     return sum_ * std::exp2(-passed.count() / half.count());
 }
 
-void running_request_tracker::change(
-    at_replica& at, adapter_id const& adapter, unsigned from, unsigned to) {
-    at.running = at.running - from + to;
-    unsigned& of_adapter = at.by_adapter[adapter];
+void running_request_tracker::adjust(
+    replica_state& state, adapter_id const& adapter, unsigned from,
+    unsigned to) {
+    state.running = state.running - from + to;
+    unsigned& of_adapter = state.by_adapter[adapter];
     of_adapter = of_adapter - from + to;
     if (of_adapter == 0) {
-        at.by_adapter.erase(adapter);
+        state.by_adapter.erase(adapter);
     }
 }
 
 void running_request_tracker::update(
     std::string const& node, std::uint64_t replica, adapter_id const& adapter,
     unsigned running, unsigned prompt_tokens, instant now) {
-    at_replica& at = replicas_[replica];
+    replica_state& state = replicas_[replica];
     if (prompt_tokens > 0) {
-        at.backlog.add(prompt_tokens, now);
+        state.backlog.add(prompt_tokens, now);
     }
-    auto const place = at.runs.try_emplace({node, adapter}).first;
-    change(at, adapter, place->second.running, running);
-    place->second = {running, now};
+    auto const entry = state.requests.try_emplace({node, adapter}).first;
+    adjust(state, adapter, entry->second.running, running);
+    entry->second = {running, now};
     if (running == 0) {
-        at.runs.erase(place);
+        state.requests.erase(entry);
     }
 }
 
 void running_request_tracker::add_expected_request(
     std::uint64_t replica, double probability, instant now) {
-    replicas_[replica].answers.add(probability, answer_fades, now);
+    replicas_[replica].expected.add(probability, expected_half_life, now);
 }
 
 void running_request_tracker::add_waiting_request(
     std::uint64_t replica, instant now) {
-    replicas_[replica].waits.add(1, wait_fades, now);
+    replicas_[replica].waiting.add(1, waiting_half_life, now);
 }
 
 replica_usage
 running_request_tracker::usage(std::uint64_t replica, instant now) const {
-    replica_usage sum;
+    replica_usage result;
     auto const found = replicas_.find(replica);
     if (found == replicas_.end()) {
-        return sum;
+        return result;
     }
-    at_replica const& at = found->second;
-    double const coming =
-        at.answers.left(answer_fades, now) + at.waits.left(wait_fades, now);
-    sum.running = at.running + static_cast<unsigned>(coming);
-    sum.backlog_tokens = at.backlog.remaining_tokens(now);
-    return sum;
+    replica_state const& state = found->second;
+    double const upcoming = state.expected.value(expected_half_life, now) +
+                            state.waiting.value(waiting_half_life, now);
+    result.running = state.running + static_cast<unsigned>(upcoming);
+    result.backlog_tokens = state.backlog.remaining_tokens(now);
+    return result;
 }
 
 bool running_request_tracker::in_use(
@@ -92,18 +93,20 @@
 
 void running_request_tracker::drop_timed_out_nodes(instant now) {
     for (auto each = replicas_.begin(); each != replicas_.end();) {
-        at_replica& at = each->second;
-        for (auto runs = at.runs.begin(); runs != at.runs.end();) {
-            if (now < runs->second.when + telling_ends) {
-                ++runs;
+        replica_state& state = each->second;
+        for (auto requests = state.requests.begin();
+             requests != state.requests.end();) {
+            if (now < requests->second.reported_at + node_timeout) {
+                ++requests;
                 continue;
             }
-            change(at, runs->first.second, runs->second.running, 0);
-            runs = at.runs.erase(runs);
+            adjust(state, requests->first.second, requests->second.running, 0);
+            requests = state.requests.erase(requests);
         }
-        bool const idle = at.runs.empty() &&
-                          at.backlog.remaining_tokens(now) <= 0 &&
-                          at.waits.left(wait_fades, now) < least_left;
+        bool const idle =
+            state.requests.empty() &&
+            state.backlog.remaining_tokens(now) <= 0 &&
+            state.waiting.value(waiting_half_life, now) < negligible_count;
         each = idle ? replicas_.erase(each) : std::next(each);
     }
 }
--- a/src/Fleet/running_request_tracker.hpp
+++ b/src/Fleet/running_request_tracker.hpp
@@ -56,34 +56,35 @@
     void drop_timed_out_nodes(instant now);
 
 private:
-    struct told_runs {
+    struct node_requests {
         unsigned running = 0;
-        instant when;
+        instant reported_at;
     };
-    using teller = std::pair<std::string, adapter_id>;
+    using reporter = std::pair<std::string, adapter_id>;
     /// A count of what is about to come, which fades as it comes.
-    class fading {
+    class decaying_count {
     public:
-        void add(double more, duration half_life, instant now);
-        double left(duration half_life, instant now) const;
+        void add(double amount, duration half_life, instant now);
+        double value(duration half_life, instant now) const;
 
     private:
         double sum_ = 0;
-        instant at_;
+        instant updated_at_;
     };
-    struct at_replica {
-        std::map<teller, told_runs> runs;
+    struct replica_state {
+        std::map<reporter, node_requests> requests;
         std::unordered_map<adapter_id, unsigned> by_adapter;
         unsigned running = 0;
         prompt_backlog backlog;
-        fading answers;
-        fading waits;
+        decaying_count expected;
+        decaying_count waiting;
     };
 
-    static void change(
-        at_replica& at, adapter_id const& adapter, unsigned from, unsigned to);
+    static void adjust(
+        replica_state& state, adapter_id const& adapter, unsigned from,
+        unsigned to);
 
-    std::unordered_map<std::uint64_t, at_replica> replicas_;
+    std::unordered_map<std::uint64_t, replica_state> replicas_;
 };
 
 } // namespace camphorpoint
