--- a/src/Routing/declaration_poll_schedule.cpp
+++ b/src/Routing/declaration_poll_schedule.cpp
@@ -10,89 +10,91 @@
 
 /// @returns the time, doubled so often, within its bound
 milliseconds
-doubled(milliseconds time, unsigned times, milliseconds most) noexcept {
+backed_off(milliseconds time, unsigned doublings, milliseconds limit) noexcept {
     // Four doublings pass every bound.
-    constexpr unsigned enough = 4;
-    return std::min(most, time * (1U << std::min(times, enough)));
+    constexpr unsigned max_doublings = 4;
+    return std::min(limit, time * (1U << std::min(doublings, max_doublings)));
 }
 
 } // namespace
 
 declaration_poll_schedule::declaration_poll_schedule(
-    declaration_poll_settings times, double draw)
-    : times_(times)
-    , draw_(draw) {}
+    declaration_poll_settings settings, double random_fraction)
+    : settings_(settings)
+    , random_fraction_(random_fraction) {}
 
-instant declaration_poll_schedule::check_due(unsigned nodes) const {
-    if (read_whole_ < doubted_until_) {
-        return read_whole_ + times_.stale_history_poll_interval;
+instant declaration_poll_schedule::next_full_poll_time(unsigned nodes) const {
+    if (last_full_poll_at_ < history_stale_until_) {
+        return last_full_poll_at_ + settings_.stale_history_poll_interval;
     }
     // Between half and one and a half of the pause, so that nodes which began
     // together do not read together.
-    double const part = 0.5 + draw_;
-    return read_whole_ + std::chrono::duration_cast<duration>(
-                             times_.full_poll_interval * nodes * part);
+    double const fraction = 0.5 + random_fraction_;
+    return last_full_poll_at_ +
+           std::chrono::duration_cast<duration>(
+               settings_.full_poll_interval * nodes * fraction);
 }
 
-bool declaration_poll_schedule::misses_something() const noexcept {
-    return !is_ahead(told_place_, position_) && told_total_ > known_ &&
-           told_total_ > looked_for_;
+bool declaration_poll_schedule::missed_declarations() const noexcept {
+    return !is_ahead(peer_position_, position_) && peer_total_ > known_total_ &&
+           peer_total_ > searched_total_;
 }
 
 bool declaration_poll_schedule::is_behind() const noexcept {
-    return outdated() || is_ahead(told_place_, position_) ||
-           misses_something() || wait_distrusted_;
+    return epoch_outdated() || is_ahead(peer_position_, position_) ||
+           missed_declarations() || long_poll_distrusted_;
 }
 
 declaration_poll
 declaration_poll_schedule::next_poll(instant now, unsigned nodes) const {
-    declaration_poll reading;
-    reading.full =
-        whole_ || outdated() || misses_something() || now >= check_due(nodes);
-    reading.from = position_;
+    declaration_poll poll;
+    poll.full = full_poll_needed_ || epoch_outdated() ||
+                missed_declarations() || now >= next_full_poll_time(nodes);
+    poll.from = position_;
     // What others have read already is there: nothing to wait for.
-    reading.long_poll = !reading.full && !is_ahead(told_place_, position_);
-    reading.response_timeout = doubled(
-        times_.response_timeout, failures_, times_.max_response_timeout);
-    if (outdated() && now < epoch_poll_at_) {
-        reading.delay = std::chrono::ceil<milliseconds>(epoch_poll_at_ - now);
+    poll.long_poll = !poll.full && !is_ahead(peer_position_, position_);
+    poll.response_timeout = backed_off(
+        settings_.response_timeout, failures_, settings_.max_response_timeout);
+    if (epoch_outdated() && now < epoch_poll_at_) {
+        poll.delay = std::chrono::ceil<milliseconds>(epoch_poll_at_ - now);
     } else if (failures_ > 0) {
-        reading.delay =
-            doubled(times_.retry_delay, failures_ - 1, times_.max_retry_delay);
-    } else if (forgettings_ > 1) {
+        poll.delay = backed_off(
+            settings_.retry_delay, failures_ - 1, settings_.max_retry_delay);
+    } else if (expirations_ > 1) {
         // What was read whole was older than the history that is left.
-        reading.delay = times_.retry_delay;
-    } else if (empty_) {
-        reading.delay = times_.unconfigured_delay;
+        poll.delay = settings_.retry_delay;
+    } else if (answered_empty_) {
+        poll.delay = settings_.unconfigured_delay;
     }
-    return reading;
+    return poll;
 }
 
 void declaration_poll_schedule::poll_succeeded(
-    declaration_poll const& asked, store_position place, instant now) {
+    declaration_poll const& poll, store_position end_position, instant now) {
     failures_ = 0;
-    wait_distrusted_ = false;
-    bool const of_place = asked.full || place.epoch == asked.from.epoch;
-    if (place.epoch < epoch_ || !of_place) {
+    long_poll_distrusted_ = false;
+    bool const is_valid = poll.full || end_position.epoch == poll.from.epoch;
+    if (end_position.epoch < epoch_ || !is_valid) {
         // The store has gone back meanwhile: it says nothing of what is there.
-        epoch_ = std::max(epoch_, place.epoch);
+        epoch_ = std::max(epoch_, end_position.epoch);
         return;
     }
-    epoch_ = place.epoch;
+    epoch_ = end_position.epoch;
     // A store that does not name its era may have lost the place too.
-    bool const gone_back = asked.full && forgettings_ > 0;
-    position_ = gone_back ? place : max_position(position_, place);
-    empty_ = !configured_;
-    if (asked.full) {
-        whole_ = !configured_;
-        read_whole_ = now;
-        looked_for_ = told_total_;
+    bool const rolled_back = poll.full && expirations_ > 0;
+    position_ =
+        rolled_back ? end_position : max_position(position_, end_position);
+    answered_empty_ = !configured_;
+    if (poll.full) {
+        full_poll_needed_ = !configured_;
+        last_full_poll_at_ = now;
+        searched_total_ = peer_total_;
     } else {
-        forgettings_ = 0;
+        expirations_ = 0;
     }
-    if (!asked.long_poll) {
+    if (!poll.long_poll) {
         // The store has nothing beyond: the word was of something else.
-        told_place_ = position_;
+        peer_position_ = position_;
     }
 }
 
@@ -102,27 +104,27 @@
 
 void declaration_poll_schedule::position_expired(instant now) {
     failures_ = 0;
-    ++forgettings_;
-    whole_ = true;
-    doubted_until_ = now + times_.stale_history_period;
+    ++expirations_;
+    full_poll_needed_ = true;
+    history_stale_until_ = now + settings_.stale_history_period;
 }
 
 void declaration_poll_schedule::enter_epoch(
-    store_epoch epoch, instant at) noexcept {
+    store_epoch epoch, instant poll_at) noexcept {
     if (epoch > epoch_) {
         epoch_ = epoch;
-        epoch_poll_at_ = at;
+        epoch_poll_at_ = poll_at;
     }
 }
 
 void declaration_poll_schedule::handle_peer_progress(
-    store_position place, std::uint64_t total) noexcept {
-    told_place_ = max_position(told_place_, place);
-    told_total_ = std::max(told_total_, total);
+    store_position end_position, std::uint64_t total) noexcept {
+    peer_position_ = max_position(peer_position_, end_position);
+    peer_total_ = std::max(peer_total_, total);
 }
 
 void declaration_poll_schedule::long_poll_cancelled() noexcept {
-    wait_distrusted_ = false;
+    long_poll_distrusted_ = false;
 }
 
 } // namespace camphorpoint
--- a/src/Routing/declaration_poll_schedule.hpp
+++ b/src/Routing/declaration_poll_schedule.hpp
@@ -50,7 +50,7 @@
     /// @param times by which it reads
     /// @param draw  0 to 1, another one on each node
     explicit declaration_poll_schedule(
-        declaration_poll_settings times = {}, double draw = 0.5);
+        declaration_poll_settings settings = {}, double random_fraction = 0.5);
 
     /// @param nodes how many nodes share the checks
     /// @returns the reading to begin now
@@ -58,7 +58,7 @@
     /// A reading has been answered.
     /// @param place where what is written next will stand
     void poll_succeeded(
-        declaration_poll const& asked, store_position place, instant now);
+        declaration_poll const& poll, store_position end_position, instant now);
     /// A reading has brought nothing.
     void poll_failed();
     /// The place to read from is gone from the store's history.
@@ -66,16 +66,16 @@
     /// There is a configuration.
     void mark_configured() noexcept { configured_ = true; }
     /// How much is known: the sum of all versions, which only rises.
-    void set_known_total(std::uint64_t total) noexcept { known_ = total; }
+    void set_known_total(std::uint64_t total) noexcept { known_total_ = total; }
 
     /// Another node has read so far, and knows so much.
-    void
-    handle_peer_progress(store_position place, std::uint64_t total) noexcept;
+    void handle_peer_progress(
+        store_position end_position, std::uint64_t total) noexcept;
     /// The store has come back from an older copy, in this era.
     /// @param at when this node reads everything, another time on each node
-    void enter_epoch(store_epoch epoch, instant at) noexcept;
+    void enter_epoch(store_epoch epoch, instant poll_at) noexcept;
     /// The connection that a wait uses may have died with the store's outage.
-    void distrust_long_poll() noexcept { wait_distrusted_ = true; }
+    void distrust_long_poll() noexcept { long_poll_distrusted_ = true; }
     /// The store answers again: the failures were its outage's.
     void store_recovered() noexcept {
         distrust_long_poll();
@@ -92,29 +92,29 @@
     store_epoch epoch() const noexcept { return epoch_; }
 
 private:
-    instant check_due(unsigned nodes) const;
-    bool misses_something() const noexcept;
-    bool outdated() const noexcept { return epoch_ > position_.epoch; }
+    instant next_full_poll_time(unsigned nodes) const;
+    bool missed_declarations() const noexcept;
+    bool epoch_outdated() const noexcept { return epoch_ > position_.epoch; }
 
-    declaration_poll_settings times_;
-    double draw_;
+    declaration_poll_settings settings_;
+    double random_fraction_;
     store_position position_;
     store_epoch epoch_{};
     instant epoch_poll_at_;
-    std::uint64_t known_ = 0;
-    store_position told_place_;
-    std::uint64_t told_total_ = 0;
+    std::uint64_t known_total_ = 0;
+    store_position peer_position_;
+    std::uint64_t peer_total_ = 0;
     /// What others know has been looked for up to this total.
-    std::uint64_t looked_for_ = 0;
-    bool whole_ = true;
+    std::uint64_t searched_total_ = 0;
+    bool full_poll_needed_ = true;
     bool configured_ = false;
-    bool wait_distrusted_ = false;
+    bool long_poll_distrusted_ = false;
     /// The last reading was answered, and there is no configuration yet.
-    bool empty_ = false;
+    bool answered_empty_ = false;
     unsigned failures_ = 0;
-    unsigned forgettings_ = 0;
-    instant read_whole_;
-    instant doubted_until_;
+    unsigned expirations_ = 0;
+    instant last_full_poll_at_;
+    instant history_stale_until_;
 };
 
 } // namespace camphorpoint
--- a/src/Routing/declared_versions.cpp
+++ b/src/Routing/declared_versions.cpp
@@ -7,27 +7,26 @@
 
 bool declared_versions::declare(
     adapter_ref const& adapter, instant now, duration grace) {
-    auto const [place, fresh] = versions_.try_emplace(adapter.id);
-    adapter_versions& of = place->second;
-    if (fresh) {
-        of.place = all_.size();
+    auto const [position, inserted] = versions_.try_emplace(adapter.id);
+    adapter_versions& entry = position->second;
+    if (inserted) {
+        entry.index = all_.size();
         all_.push_back({adapter.id, 0});
     }
-    adapter_ref& newest = all_[of.place];
+    adapter_ref& newest = all_[entry.index];
     if (adapter.version <= newest.version) {
         return false;
     }
     // Guards against a version that never binds, as each new one before its
     // time would put the others off: requests would begin on one that was
     // replaced long ago.
-    std::vector<named>& row = of.named_so_far;
-    row.push_back({adapter.version, now + grace});
-    auto const binds =
-        std::find_if(row.rbegin(), row.rend(), [&](named const& each) {
-            return now >= each.binds_at;
-        });
-    if (binds != row.rend()) {
-        row.erase(row.begin(), std::prev(binds.base()));
+    std::vector<declared_version>& declared = entry.declared;
+    declared.push_back({adapter.version, now + grace});
+    auto const effective = std::find_if(
+        declared.rbegin(), declared.rend(),
+        [&](declared_version const& each) { return now >= each.effective_at; });
+    if (effective != declared.rend()) {
+        declared.erase(declared.begin(), std::prev(effective.base()));
     }
     total_ += adapter.version - newest.version;
     newest.version = adapter.version;
@@ -37,13 +36,13 @@
 std::uint32_t
 declared_versions::min_version(adapter_id const& adapter, instant now) const {
     auto const found = versions_.find(adapter);
-    std::uint32_t bound = 0;
+    std::uint32_t result = 0;
     if (found != versions_.end()) {
-        for (named const& each : found->second.named_so_far) {
-            bound = now >= each.binds_at ? each.version : bound;
+        for (declared_version const& each : found->second.declared) {
+            result = now >= each.effective_at ? each.version : result;
         }
     }
-    return bound;
+    return result;
 }
 
 std::optional<std::uint32_t>
@@ -52,7 +51,7 @@
     if (found == versions_.end()) {
         return std::nullopt;
     }
-    return all_[found->second.place].version;
+    return all_[found->second.index].version;
 }
 
 } // namespace camphorpoint
--- a/src/Routing/declared_versions.hpp
+++ b/src/Routing/declared_versions.hpp
@@ -30,16 +30,16 @@
     std::uint64_t total() const noexcept { return total_; }
 
 private:
-    struct named {
+    struct declared_version {
         std::uint32_t version = 0;
-        instant binds_at;
+        instant effective_at;
     };
     struct adapter_versions {
         /// In the order of their versions: the newest that binds, and those
         /// that do not yet.
-        std::vector<named> named_so_far;
+        std::vector<declared_version> declared;
         /// Where its newest stands among all.
-        std::size_t place = 0;
+        std::size_t index = 0;
     };
 
     std::unordered_map<adapter_id, adapter_versions> versions_;
--- a/src/Routing/route_table.cpp
+++ b/src/Routing/route_table.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// A host holds no line break, so that the two parts can't run together.
-std::string place_key(std::string_view host, std::string_view prefix) {
+std::string route_key(std::string_view host, std::string_view prefix) {
     std::string key;
     key.reserve(host.size() + prefix.size() + 1);
     key.append(host);
@@ -21,17 +21,17 @@
 } // namespace
 
 service_definition const*
-routing_configuration::find_service(service_id const& wanted) const noexcept {
+routing_configuration::find_service(service_id const& name) const noexcept {
     auto const found =
-        std::ranges::find(services, wanted, &service_definition::name);
+        std::ranges::find(services, name, &service_definition::name);
     return found == services.end() ? nullptr : &*found;
 }
 
 route_table::route_table(routing_configuration const& configuration)
     : routes_(configuration.routes) {
-    for (std::size_t place = 0; place < routes_.size(); ++place) {
-        service_route const& each = routes_[place];
-        places_.emplace(place_key(each.host, each.path_prefix), place);
+    for (std::size_t index = 0; index < routes_.size(); ++index) {
+        service_route const& each = routes_[index];
+        index_by_key_.emplace(route_key(each.host, each.path_prefix), index);
     }
 }
 
@@ -42,8 +42,8 @@
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
         auto const found =
-            places_.find(place_key(host, path.substr(0, slash + 1)));
-        if (found != places_.end()) {
+            index_by_key_.find(route_key(host, path.substr(0, slash + 1)));
+        if (found != index_by_key_.end()) {
             return &routes_[found->second];
         }
         slash =
@@ -52,17 +52,19 @@
     return nullptr;
 }
 
-service_id const& pick_service(service_route const& route, std::uint64_t draw) {
+service_id const&
+pick_service(service_route const& route, std::uint64_t request_hash) {
     assert(!route.weighted_services.empty() && "a route leads to a service");
     double total = 0;
     for (weighted_service const& each : route.weighted_services) {
         total += each.weight;
     }
-    constexpr auto most = std::numeric_limits<std::uint64_t>::max();
-    double left = total * static_cast<double>(draw) / static_cast<double>(most);
+    constexpr auto max_hash = std::numeric_limits<std::uint64_t>::max();
+    double remaining = total * static_cast<double>(request_hash) /
+                       static_cast<double>(max_hash);
     for (weighted_service const& each : route.weighted_services) {
-        left -= each.weight;
-        if (left < 0) {
+        remaining -= each.weight;
+        if (remaining < 0) {
             return each.service;
         }
     }
--- a/src/Routing/route_table.hpp
+++ b/src/Routing/route_table.hpp
@@ -29,13 +29,14 @@
 
 private:
     std::vector<service_route> routes_;
-    std::unordered_map<std::string, std::size_t> places_;
+    std::unordered_map<std::string, std::size_t> index_by_key_;
 };
 
 /// Picks one of a route's services by their weights; one request always gets
 /// the same one.
 /// @param route a route with at least one share
 /// @param draw  a hash of the request
-service_id const& pick_service(service_route const& route, std::uint64_t draw);
+service_id const&
+pick_service(service_route const& route, std::uint64_t request_hash);
 
 } // namespace camphorpoint
--- a/src/Routing/startup_gate.cpp
+++ b/src/Routing/startup_gate.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 /// Any node that has run on knows as much as all others within seconds.
-constexpr std::size_t most_asked = 8;
+constexpr std::size_t max_peers_asked = 8;
 
 } // namespace
 
-startup_gate::startup_gate(startup_gate_timeouts times)
-    : times_(times) {}
+startup_gate::startup_gate(startup_gate_timeouts timeouts)
+    : timeouts_(timeouts) {}
 
 void startup_gate::mark_configured(instant now) {
     configured_at_ = configured_at_.value_or(now);
@@ -29,15 +29,15 @@
     }
     // Each node asks others than the rest: where all begin at once, nobody is
     // asked by all.
-    std::multimap<std::uint64_t, std::string> drawn;
+    std::multimap<std::uint64_t, std::string> ranked;
     for (std::string const& each : others) {
-        drawn.emplace(combine_hashes(hash_text(own), hash_text(each)), each);
+        ranked.emplace(combine_hashes(hash_text(own), hash_text(each)), each);
     }
-    listed_ = true;
-    asked_.clear();
-    for (auto const& [draw, name] : drawn) {
-        if (asked_.size() < most_asked) {
-            asked_.insert(name);
+    peers_known_ = true;
+    peers_to_ask_.clear();
+    for (auto const& [rank, name] : ranked) {
+        if (peers_to_ask_.size() < max_peers_asked) {
+            peers_to_ask_.insert(name);
         }
     }
 }
@@ -45,24 +45,26 @@
 void startup_gate::handle_peer_total(
     std::string const& from, std::uint64_t total) {
     if (!done_) {
-        heard_.insert(from);
-        told_ = std::max(told_, total);
+        reported_peers_.insert(from);
+        reported_total_ = std::max(reported_total_, total);
     }
 }
 
-bool startup_gate::heard_all() const {
-    return listed_ && std::ranges::includes(heard_, asked_);
+bool startup_gate::all_reported() const {
+    return peers_known_ &&
+           std::ranges::includes(reported_peers_, peers_to_ask_);
 }
 
 bool startup_gate::passed(std::uint64_t known, instant now) {
     if (done_ || !configured_at_) {
         return done_;
     }
-    bool const heard_in_time =
-        heard_all() || now >= *configured_at_ + times_.peer_report_timeout;
-    bool const has_all =
-        known >= told_ || now >= *configured_at_ + times_.catch_up_timeout;
-    done_ = heard_in_time && has_all;
+    bool const peers_reported =
+        all_reported() ||
+        now >= *configured_at_ + timeouts_.peer_report_timeout;
+    bool const caught_up = known >= reported_total_ ||
+                           now >= *configured_at_ + timeouts_.catch_up_timeout;
+    done_ = peers_reported && caught_up;
     return done_;
 }
 
--- a/src/Routing/startup_gate.hpp
+++ b/src/Routing/startup_gate.hpp
@@ -31,7 +31,7 @@
 class startup_gate {
 public:
     /// @param times how long it waits
-    explicit startup_gate(startup_gate_timeouts times = {});
+    explicit startup_gate(startup_gate_timeouts timeouts = {});
 
     /// There is a configuration.
     void mark_configured(instant now);
@@ -50,20 +50,20 @@
     bool done() const noexcept { return done_; }
     /// @returns the nodes that are to be asked
     std::set<std::string> const& peers_to_ask() const noexcept {
-        return asked_;
+        return peers_to_ask_;
     }
     /// @returns the most that others have said so far
-    std::uint64_t reported_total() const noexcept { return told_; }
+    std::uint64_t reported_total() const noexcept { return reported_total_; }
 
 private:
-    bool heard_all() const;
+    bool all_reported() const;
 
-    startup_gate_timeouts times_;
+    startup_gate_timeouts timeouts_;
     std::optional<instant> configured_at_;
-    bool listed_ = false;
-    std::set<std::string> asked_;
-    std::set<std::string> heard_;
-    std::uint64_t told_ = 0;
+    bool peers_known_ = false;
+    std::set<std::string> peers_to_ask_;
+    std::set<std::string> reported_peers_;
+    std::uint64_t reported_total_ = 0;
     bool done_ = false;
 };
 
