--- a/test/fleet_test.cpp
+++ b/test/fleet_test.cpp
@@ -28,21 +28,21 @@
     return {adapter_id("m/hot"), version};
 }
 
-struct fleet_world {
+struct fleet_fixture {
     fleet replicas;
-    replica_selector choice{replicas};
+    replica_selector selector{replicas};
     instant now = instant() + seconds(100);
 
-    replica_requirements need(std::uint32_t version = 0) const {
-        replica_requirements asked;
-        asked.service = service_id("llm");
-        asked.adapter = hot().id;
-        asked.model = model_id("m");
-        asked.min_version = version;
-        return asked;
+    replica_requirements make_requirements(std::uint32_t version = 0) const {
+        replica_requirements requirements;
+        requirements.service = service_id("llm");
+        requirements.adapter = hot().id;
+        requirements.model = model_id("m");
+        requirements.min_version = version;
+        return requirements;
     }
-    std::string best(replica_requirements const& asked) const {
-        replica const* const found = choice.best(asked, now);
+    std::string best(replica_requirements const& requirements) const {
+        replica const* const found = selector.best(requirements, now);
         return found == nullptr ? "none" : found->record.id.str();
     }
 };
@@ -50,117 +50,125 @@
 } // namespace
 
 TEST_CASE("a request goes to a replica that holds its adapter") {
-    fleet_world world;
-    world.replicas.apply(entry("r1"), world.now);
-    world.replicas.apply(entry("r2", {hot()}), world.now);
-    CHECK(world.best(world.need()) == "r2");
+    fleet_fixture fixture;
+    fixture.replicas.apply(entry("r1"), fixture.now);
+    fixture.replicas.apply(entry("r2", {hot()}), fixture.now);
+    CHECK(fixture.best(fixture.make_requirements()) == "r2");
 
     SUBCASE("not to one that it has been at") {
-        replica_requirements asked = world.need();
-        asked.tried_replicas.emplace_back("r2");
-        CHECK(world.best(asked) == "none");
+        replica_requirements requirements = fixture.make_requirements();
+        requirements.tried_replicas.emplace_back("r2");
+        CHECK(fixture.best(requirements) == "none");
     }
     SUBCASE("not to an older version than it must run on") {
-        CHECK(world.best(world.need(2)) == "none");
-        world.replicas.mark_resident(endpoint_id("r1"), hot(2), world.now);
-        CHECK(world.best(world.need(2)) == "r1");
+        CHECK(fixture.best(fixture.make_requirements(2)) == "none");
+        fixture.replicas.mark_resident(endpoint_id("r1"), hot(2), fixture.now);
+        CHECK(fixture.best(fixture.make_requirements(2)) == "r1");
     }
     SUBCASE("not where the adapter is about to go") {
-        world.replicas.mark_unloading(endpoint_id("r2"), hot().id, world.now);
-        CHECK(world.best(world.need()) == "none");
+        fixture.replicas.mark_unloading(
+            endpoint_id("r2"), hot().id, fixture.now);
+        CHECK(fixture.best(fixture.make_requirements()) == "none");
     }
     SUBCASE("the list, which is older, takes newer word back only later") {
-        world.replicas.mark_resident(endpoint_id("r1"), hot(), world.now);
-        world.replicas.apply(entry("r1"), world.now + seconds(1));
-        CHECK(world.choice.resident_count(world.need(), world.now) == 2);
-        world.replicas.apply(entry("r1"), world.now + seconds(3));
-        CHECK(world.choice.resident_count(world.need(), world.now) == 1);
+        fixture.replicas.mark_resident(endpoint_id("r1"), hot(), fixture.now);
+        fixture.replicas.apply(entry("r1"), fixture.now + seconds(1));
+        CHECK(
+            fixture.selector.resident_count(
+                fixture.make_requirements(), fixture.now) == 2);
+        fixture.replicas.apply(entry("r1"), fixture.now + seconds(3));
+        CHECK(
+            fixture.selector.resident_count(
+                fixture.make_requirements(), fixture.now) == 1);
     }
 }
 
 TEST_CASE("the home of an adapter that nobody holds") {
-    fleet_world world;
+    fleet_fixture fixture;
     for (std::string const name : {"r1", "r2", "r3", "r4"}) {
-        world.replicas.apply(entry(name), world.now);
+        fixture.replicas.apply(entry(name), fixture.now);
     }
-    replica* const home =
-        world.choice.next_preferred_replica(world.need(), world.now);
-    REQUIRE(home != nullptr);
+    replica* const preferred = fixture.selector.next_preferred_replica(
+        fixture.make_requirements(), fixture.now);
+    REQUIRE(preferred != nullptr);
     SUBCASE("stays the same from request to request") {
         CHECK(
-            world.choice.next_preferred_replica(world.need(), world.now) ==
-            home);
+            fixture.selector.next_preferred_replica(
+                fixture.make_requirements(), fixture.now) == preferred);
     }
     SUBCASE("is another while the first is crowded") {
         // Its orderer counts, and says so to each that asks.
-        running_request_tracker counted;
-        std::uint64_t const name = fleet::id_hash(home->record.id);
+        running_request_tracker tracker;
+        std::uint64_t const hash = fleet::id_hash(preferred->record.id);
         for (int each = 0; each < 9; ++each) {
-            counted.update(
-                "n" + std::to_string(each), name, hot().id, 1, 0, world.now);
+            tracker.update(
+                "n" + std::to_string(each), hash, hot().id, 1, 0, fixture.now);
         }
         CHECK(replica_selector::has_capacity(
-            counted.usage(name, world.now), home->record.slots));
-        counted.update("n10", name, hot().id, 1, 0, world.now);
+            tracker.usage(hash, fixture.now), preferred->record.slots));
+        tracker.update("n10", hash, hot().id, 1, 0, fixture.now);
         CHECK_FALSE(replica_selector::has_capacity(
-            counted.usage(name, world.now), home->record.slots));
-        home->denials[hot().id] = {
-            world.now + milliseconds(400), world.now + seconds(1)};
+            tracker.usage(hash, fixture.now), preferred->record.slots));
+        preferred->denials[hot().id] = {
+            fixture.now + milliseconds(400), fixture.now + seconds(1)};
         CHECK(
-            world.choice.next_preferred_replica(world.need(), world.now) !=
-            home);
+            fixture.selector.next_preferred_replica(
+                fixture.make_requirements(), fixture.now) != preferred);
     }
     SUBCASE("is its second one while only that has a slot free") {
         // Told by the nodes that order, so that all choose alike.
-        std::uint64_t const name = fleet::id_hash(home->record.id);
-        world.replicas.update_usage(name, {0, 0, -2}, world.now);
+        std::uint64_t const hash = fleet::id_hash(preferred->record.id);
+        fixture.replicas.update_usage(hash, {0, 0, -2}, fixture.now);
         replica* second = nullptr;
         for (std::string const other : {"r1", "r2", "r3", "r4"}) {
-            world.replicas.find(endpoint_id(other))->free_slots =
-                other == home->record.id.str() ? -2 : 1;
+            fixture.replicas.find(endpoint_id(other))->free_slots =
+                other == preferred->record.id.str() ? -2 : 1;
         }
-        second = world.choice.next_preferred_replica(world.need(), world.now);
-        CHECK(second != home);
+        second = fixture.selector.next_preferred_replica(
+            fixture.make_requirements(), fixture.now);
+        CHECK(second != preferred);
         CHECK(
-            world.choice.next_preferred_replica(world.need(), world.now) ==
-            second);
+            fixture.selector.next_preferred_replica(
+                fixture.make_requirements(), fixture.now) == second);
         second->free_slots = 0;
         CHECK(
-            world.choice.next_preferred_replica(world.need(), world.now) ==
-            home);
+            fixture.selector.next_preferred_replica(
+                fixture.make_requirements(), fixture.now) == preferred);
     }
     SUBCASE("is not one that holds an older version, which would have to wait "
             "for its runs") {
-        world.replicas.mark_resident(home->record.id, hot(1), world.now);
+        fixture.replicas.mark_resident(
+            preferred->record.id, hot(1), fixture.now);
         CHECK(
-            world.choice.next_preferred_replica(world.need(2), world.now) !=
-            home);
+            fixture.selector.next_preferred_replica(
+                fixture.make_requirements(2), fixture.now) != preferred);
     }
 }
 
 // A replica leaves; its list entry says so. Requests that reach it after its
 // two seconds are cut off with it.
 TEST_CASE("a leaving replica gets nothing new") {
-    fleet_world world;
-    world.replicas.apply(entry("r1", {hot()}), world.now);
+    fleet_fixture fixture;
+    fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
     replica_record leaving = entry("r1", {hot()});
     leaving.leaving = true;
-    CHECK(world.replicas.apply(leaving, world.now) == fleet_change::leaving);
-    CHECK(world.best(world.need()) == "none");
+    CHECK(
+        fixture.replicas.apply(leaving, fixture.now) == fleet_change::leaving);
+    CHECK(fixture.best(fixture.make_requirements()) == "none");
 
     SUBCASE("also when an older entry is read afterwards") {
-        world.replicas.apply(entry("r1", {hot()}), world.now);
-        CHECK(world.best(world.need()) == "none");
+        fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
+        CHECK(fixture.best(fixture.make_requirements()) == "none");
     }
     SUBCASE("one that leaves at short notice gets nothing that outlasts it") {
         replica_record soon = entry("r2", {hot()});
         soon.remaining = milliseconds(500);
-        world.replicas.apply(soon, world.now);
-        replica_requirements asked = world.need();
-        asked.expected_time = seconds(1);
-        CHECK(world.best(asked) == "none");
-        asked.expected_time = milliseconds(100);
-        CHECK(world.best(asked) == "r2");
+        fixture.replicas.apply(soon, fixture.now);
+        replica_requirements requirements = fixture.make_requirements();
+        requirements.expected_time = seconds(1);
+        CHECK(fixture.best(requirements) == "none");
+        requirements.expected_time = milliseconds(100);
+        CHECK(fixture.best(requirements) == "r2");
     }
 }
 
@@ -170,99 +178,106 @@
 // earlier one send it requests for adapters that it no longer holds, and one
 // that was about to leave is never used again.
 TEST_CASE("a replica that starts again under its id is another one") {
-    fleet_world world;
-    auto const listed = [&](int born, std::vector<adapter_ref> adapters) {
+    fleet_fixture fixture;
+    auto const record_of = [&](int started, std::vector<adapter_ref> adapters) {
         replica_record record = entry("r1", std::move(adapters));
-        record.started_at = incarnation(milliseconds(born));
+        record.started_at = incarnation(milliseconds(started));
         return record;
     };
     endpoint_id const id("r1");
-    world.replicas.apply(listed(1'000, {hot()}), world.now);
-    world.replicas.mark_resident(id, {adapter_id("m/warm"), 1}, world.now);
-    REQUIRE(world.best(world.need()) == "r1");
+    fixture.replicas.apply(record_of(1'000, {hot()}), fixture.now);
+    fixture.replicas.mark_resident(id, {adapter_id("m/warm"), 1}, fixture.now);
+    REQUIRE(fixture.best(fixture.make_requirements()) == "r1");
 
     SUBCASE("what was told of the earlier one counts no longer") {
-        world.replicas.mark_unloading(id, adapter_id("m/cold"), world.now);
+        fixture.replicas.mark_unloading(id, adapter_id("m/cold"), fixture.now);
         CHECK(
-            world.replicas.apply(listed(2'000, {}), world.now) ==
+            fixture.replicas.apply(record_of(2'000, {}), fixture.now) ==
             fleet_change::joined);
-        CHECK(world.best(world.need()) == "none");
-        CHECK(world.replicas.find(id)->adapters.empty());
-        CHECK_FALSE(world.replicas.find(id)->has_cached(adapter_id("m/cold")));
+        CHECK(fixture.best(fixture.make_requirements()) == "none");
+        CHECK(fixture.replicas.find(id)->adapters.empty());
+        CHECK_FALSE(
+            fixture.replicas.find(id)->has_cached(adapter_id("m/cold")));
     }
     SUBCASE("nor that the earlier one was leaving") {
-        replica_record leaving = listed(1'000, {hot()});
+        replica_record leaving = record_of(1'000, {hot()});
         leaving.leaving = true;
-        world.replicas.apply(leaving, world.now);
-        REQUIRE_FALSE(world.replicas.find(id)->accepts_requests());
-        world.replicas.apply(listed(2'000, {}), world.now);
-        CHECK(world.replicas.find(id)->accepts_requests());
+        fixture.replicas.apply(leaving, fixture.now);
+        REQUIRE_FALSE(fixture.replicas.find(id)->accepts_requests());
+        fixture.replicas.apply(record_of(2'000, {}), fixture.now);
+        CHECK(fixture.replicas.find(id)->accepts_requests());
     }
     SUBCASE("nor that the earlier one was to be gone by now") {
-        replica_record noticed = listed(1'000, {hot()});
+        replica_record noticed = record_of(1'000, {hot()});
         noticed.remaining = milliseconds(10);
-        world.replicas.apply(noticed, world.now);
-        world.replicas.apply(listed(2'000, {hot()}), world.now);
-        CHECK(world.replicas.find(id)->shutdown_at == instant::max());
+        fixture.replicas.apply(noticed, fixture.now);
+        fixture.replicas.apply(record_of(2'000, {hot()}), fixture.now);
+        CHECK(fixture.replicas.find(id)->shutdown_at == instant::max());
     }
     SUBCASE("requests of this node that run there end by themselves") {
-        world.replicas.request_started(id, 100, world.now);
-        world.replicas.apply(listed(2'000, {}), world.now);
-        CHECK(world.replicas.find(id)->running_local == 1);
-        world.replicas.request_finished(id);
-        CHECK(world.replicas.find(id)->running_local == 0);
+        fixture.replicas.request_started(id, 100, fixture.now);
+        fixture.replicas.apply(record_of(2'000, {}), fixture.now);
+        CHECK(fixture.replicas.find(id)->running_local == 1);
+        fixture.replicas.request_finished(id);
+        CHECK(fixture.replicas.find(id)->running_local == 0);
     }
     SUBCASE("a clock that was set back makes it no older") {
-        world.replicas.apply(listed(500, {}), world.now);
-        CHECK(world.best(world.need()) == "none");
+        fixture.replicas.apply(record_of(500, {}), fixture.now);
+        CHECK(fixture.best(fixture.make_requirements()) == "none");
     }
     SUBCASE("an entry that does not say is the same one's") {
-        world.replicas.apply(entry("r1", {}), world.now);
-        CHECK(world.replicas.find(id)->adapters.contains(adapter_id("m/warm")));
+        fixture.replicas.apply(entry("r1", {}), fixture.now);
+        CHECK(
+            fixture.replicas.find(id)->adapters.contains(adapter_id("m/warm")));
     }
 }
 
 TEST_CASE("entries that lapse with the store stay in use") {
-    fleet_world world;
-    world.replicas.apply(entry("r1", {hot()}), world.now);
-    world.replicas.apply(entry("r2", {hot()}), world.now);
-    world.replicas.mark_unlisted_except({}, true, world.now);
-    CHECK(world.choice.resident_count(world.need(), world.now) == 2);
+    fleet_fixture fixture;
+    fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
+    fixture.replicas.apply(entry("r2", {hot()}), fixture.now);
+    fixture.replicas.mark_unlisted_except({}, true, fixture.now);
+    CHECK(
+        fixture.selector.resident_count(
+            fixture.make_requirements(), fixture.now) == 2);
 
     SUBCASE("those that come back are as before") {
-        world.replicas.apply(entry("r1", {hot()}), world.now + seconds(1));
+        fixture.replicas.apply(entry("r1", {hot()}), fixture.now + seconds(1));
         auto const gone =
-            world.replicas.expire_missing(true, world.now + seconds(3));
+            fixture.replicas.expire_missing(true, fixture.now + seconds(3));
         REQUIRE(gone.size() == 1);
         CHECK(gone.front().str() == "r2");
-        CHECK(world.best(world.need()) == "r1");
+        CHECK(fixture.best(fixture.make_requirements()) == "r1");
     }
     SUBCASE("none is given up before the store is calm") {
-        CHECK(world.replicas.expire_missing(false, world.now + seconds(9))
+        CHECK(fixture.replicas.expire_missing(false, fixture.now + seconds(9))
                   .empty());
-        CHECK(world.choice.resident_count(world.need(), world.now) == 2);
+        CHECK(
+            fixture.selector.resident_count(
+                fixture.make_requirements(), fixture.now) == 2);
     }
     // A replica leaves 0.8 s after the store's return, without a word before.
     // Its entry was waited for as long as one that had lapsed in the outage,
     // and callers were sent there when it had ended.
     SUBCASE("one that is lost after the store's return is not waited for "
             "longer") {
-        world.replicas.apply(entry("r1", {hot()}), world.now);
-        world.replicas.apply(entry("r2", {hot()}), world.now);
-        world.now += seconds(2);
+        fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
+        fixture.replicas.apply(entry("r2", {hot()}), fixture.now);
+        fixture.now += seconds(2);
         CHECK(
-            world.replicas.mark_unlisted(endpoint_id("r2"), true, world.now) ==
-            fleet_change::none);
-        auto const gone =
-            world.replicas.expire_missing(true, world.now + milliseconds(10));
+            fixture.replicas.mark_unlisted(
+                endpoint_id("r2"), true, fixture.now) == fleet_change::none);
+        auto const gone = fixture.replicas.expire_missing(
+            true, fixture.now + milliseconds(10));
         REQUIRE(gone.size() == 1);
         CHECK(gone.front().str() == "r2");
     }
     SUBCASE("in a calm time an entry that is lost is gone at once") {
         CHECK(
-            world.replicas.mark_unlisted(endpoint_id("r2"), false, world.now) ==
+            fixture.replicas.mark_unlisted(
+                endpoint_id("r2"), false, fixture.now) ==
             fleet_change::removed);
-        CHECK(world.best(world.need()) == "r1");
+        CHECK(fixture.best(fixture.make_requirements()) == "r1");
     }
 }
 
@@ -313,64 +328,66 @@
 }
 
 TEST_CASE("nodes tell each other of their requests") {
-    fleet_world world;
-    world.replicas.apply(entry("r1", {hot()}), world.now);
-    world.replicas.apply(entry("r2", {hot()}), world.now);
+    fleet_fixture fixture;
+    fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
+    fixture.replicas.apply(entry("r2", {hot()}), fixture.now);
     std::uint64_t const first = fleet::id_hash(endpoint_id("r1"));
-    world.replicas.update_usage(first, {8, 0}, world.now);
+    fixture.replicas.update_usage(first, {8, 0}, fixture.now);
     for (std::uint64_t draw = 0; draw < 4; ++draw) {
-        replica_requirements asked = world.need();
-        asked.random_sample = draw;
-        CHECK(world.best(asked) == "r2");
+        replica_requirements requirements = fixture.make_requirements();
+        requirements.random_sample = draw;
+        CHECK(fixture.best(requirements) == "r2");
     }
 
     SUBCASE("prompts still to be read count like requests") {
-        world.replicas.update_usage(first, {0, 8'000}, world.now);
-        CHECK(world.best(world.need()) == "r2");
-        CHECK(world.replicas.find(endpoint_id("r1"))->backlog(world.now) > 0);
+        fixture.replicas.update_usage(first, {0, 8'000}, fixture.now);
+        CHECK(fixture.best(fixture.make_requirements()) == "r2");
         CHECK(
-            world.replicas.find(endpoint_id("r1"))
-                ->backlog(world.now + seconds(1)) == 0);
+            fixture.replicas.find(endpoint_id("r1"))->backlog(fixture.now) > 0);
+        CHECK(
+            fixture.replicas.find(endpoint_id("r1"))
+                ->backlog(fixture.now + seconds(1)) == 0);
     }
     SUBCASE("what a node told that has fallen silent is forgotten") {
-        instant const later = world.now + seconds(5);
-        world.replicas.expire_usage(later);
-        CHECK(world.replicas.find(endpoint_id("r1"))->running() == 0);
+        instant const later = fixture.now + seconds(5);
+        fixture.replicas.expire_usage(later);
+        CHECK(fixture.replicas.find(endpoint_id("r1"))->running() == 0);
     }
 }
 
 // A replica answers its health check and fails two in five of its requests; or
 // it goes dark. Callers of one replica in three would see it for seconds.
 TEST_CASE("health is judged by use") {
-    fleet_world world;
+    fleet_fixture fixture;
     for (std::string const name : {"r1", "r2", "r3"}) {
-        world.replicas.apply(entry(name, {hot()}), world.now);
+        fixture.replicas.apply(entry(name, {hot()}), fixture.now);
     }
-    replica* const bad = world.replicas.find(endpoint_id("r1"));
+    replica* const failing = fixture.replicas.find(endpoint_id("r1"));
     auto const times_chosen = [&] {
         int count = 0;
         for (std::uint64_t draw = 0; draw < 12; ++draw) {
-            replica_requirements asked = world.need();
-            asked.random_sample = draw;
-            count += world.best(asked) == "r1" ? 1 : 0;
+            replica_requirements requirements = fixture.make_requirements();
+            requirements.random_sample = draw;
+            count += fixture.best(requirements) == "r1" ? 1 : 0;
         }
         return count;
     };
 
     SUBCASE("silence rests it at once, and longer each time") {
-        CHECK(bad->health.add_outcome(health_signal::no_response, world.now));
+        CHECK(failing->health.add_outcome(
+            health_signal::no_response, fixture.now));
         CHECK(times_chosen() == 0);
-        duration const first = bad->health.suspected_until() - world.now;
-        CHECK_FALSE(
-            bad->health.add_outcome(health_signal::no_response, world.now));
-        world.now = bad->health.suspected_until();
-        bad->health.add_outcome(health_signal::no_response, world.now);
-        CHECK(bad->health.suspected_until() - world.now > first);
+        duration const first = failing->health.suspected_until() - fixture.now;
+        CHECK_FALSE(failing->health.add_outcome(
+            health_signal::no_response, fixture.now));
+        fixture.now = failing->health.suspected_until();
+        failing->health.add_outcome(health_signal::no_response, fixture.now);
+        CHECK(failing->health.suspected_until() - fixture.now > first);
         SUBCASE("one answer clears it") {
-            bad->health.add_outcome(health_signal::answered, world.now);
-            CHECK_FALSE(bad->health.suspected(world.now));
+            failing->health.add_outcome(health_signal::answered, fixture.now);
+            CHECK_FALSE(failing->health.suspected(fixture.now));
             SUBCASE("and after some seconds it takes its part") {
-                world.now += seconds(20);
+                fixture.now += seconds(20);
                 CHECK(times_chosen() > 0);
             }
         }
@@ -380,104 +397,107 @@
     // the places were free.
     SUBCASE("one answer that breaks off rests nobody") {
         CHECK_FALSE(
-            bad->health.add_outcome(health_signal::truncated, world.now));
-        CHECK_FALSE(bad->health.suspected(world.now));
+            failing->health.add_outcome(health_signal::truncated, fixture.now));
+        CHECK_FALSE(failing->health.suspected(fixture.now));
         SUBCASE("two in a row do") {
-            CHECK(bad->health.add_outcome(health_signal::truncated, world.now));
-            CHECK(bad->health.suspected(world.now));
+            CHECK(failing->health.add_outcome(
+                health_signal::truncated, fixture.now));
+            CHECK(failing->health.suspected(fixture.now));
         }
         SUBCASE("an answer between them starts the row anew") {
-            bad->health.add_outcome(health_signal::answered, world.now);
-            CHECK_FALSE(
-                bad->health.add_outcome(health_signal::truncated, world.now));
+            failing->health.add_outcome(health_signal::answered, fixture.now);
+            CHECK_FALSE(failing->health.add_outcome(
+                health_signal::truncated, fixture.now));
         }
     }
     SUBCASE("failures beyond its peers' push requests away") {
         for (int each = 0; each < 20; ++each) {
-            bad->health.add_outcome(
+            failing->health.add_outcome(
                 each % 5 < 2 ? health_signal::failed : health_signal::answered,
-                world.now);
+                fixture.now);
         }
         CHECK(times_chosen() == 0);
     }
     SUBCASE("failures that all have count for nothing") {
         for (std::string const name : {"r1", "r2", "r3"}) {
             for (int each = 0; each < 20; ++each) {
-                world.replicas.find(endpoint_id(name))
-                    ->health.add_outcome(health_signal::failed, world.now);
+                fixture.replicas.find(endpoint_id(name))
+                    ->health.add_outcome(health_signal::failed, fixture.now);
             }
         }
         CHECK(times_chosen() > 0);
     }
     SUBCASE("when all are suspected one is still tried") {
         for (std::string const name : {"r1", "r2", "r3"}) {
-            world.replicas.find(endpoint_id(name))
-                ->health.add_outcome(health_signal::no_response, world.now);
+            fixture.replicas.find(endpoint_id(name))
+                ->health.add_outcome(health_signal::no_response, fixture.now);
         }
-        CHECK(world.best(world.need()) != "none");
+        CHECK(fixture.best(fixture.make_requirements()) != "none");
     }
 }
 
 // A rare adapter is asked for at two nodes at once. They have heard different
 // things of the crowding, choose different replicas, and it is loaded twice.
 TEST_CASE("an adapter's home is the same for all nodes") {
-    fleet_world world;
+    fleet_fixture fixture;
     for (std::string const name : {"r1", "r2", "r3"}) {
-        world.replicas.apply(entry(name), world.now);
+        fixture.replicas.apply(entry(name), fixture.now);
     }
-    replica* const home =
-        world.choice.next_preferred_replica(world.need(), world.now);
-    REQUIRE(home != nullptr);
-    std::uint64_t const name = fleet::id_hash(home->record.id);
+    replica* const preferred = fixture.selector.next_preferred_replica(
+        fixture.make_requirements(), fixture.now);
+    REQUIRE(preferred != nullptr);
+    std::uint64_t const hash = fleet::id_hash(preferred->record.id);
 
     SUBCASE("whatever they have heard of its load") {
-        world.replicas.update_usage(name, {12, 0}, world.now);
+        fixture.replicas.update_usage(hash, {12, 0}, fixture.now);
         CHECK(
-            world.choice.next_preferred_replica(world.need(), world.now) ==
-            home);
+            fixture.selector.next_preferred_replica(
+                fixture.make_requirements(), fixture.now) == preferred);
     }
     SUBCASE("until it turns them away") {
-        home->denials[hot().id] = {
-            world.now + seconds(1), world.now + seconds(2)};
-        replica* const next =
-            world.choice.next_preferred_replica(world.need(), world.now);
-        CHECK(next != home);
+        preferred->denials[hot().id] = {
+            fixture.now + seconds(1), fixture.now + seconds(2)};
+        replica* const next = fixture.selector.next_preferred_replica(
+            fixture.make_requirements(), fixture.now);
+        CHECK(next != preferred);
         SUBCASE("and for a while, when all do, there is none") {
             for (std::string const each : {"r1", "r2", "r3"}) {
-                world.replicas.find(endpoint_id(each))->denials[hot().id] = {
-                    world.now + seconds(1), world.now + seconds(2)};
+                fixture.replicas.find(endpoint_id(each))->denials[hot().id] = {
+                    fixture.now + seconds(1), fixture.now + seconds(2)};
             }
             CHECK(
-                world.choice.next_preferred_replica(world.need(), world.now) ==
-                nullptr);
+                fixture.selector.next_preferred_replica(
+                    fixture.make_requirements(), fixture.now) == nullptr);
             SUBCASE("but the soonest of them is known") {
-                next->denials[hot().id].ready_at = world.now + seconds(1);
+                next->denials[hot().id].ready_at = fixture.now + seconds(1);
                 CHECK(
-                    world.choice.soonest_ready_replica(
-                        world.need(), world.now) == next);
+                    fixture.selector.soonest_ready_replica(
+                        fixture.make_requirements(), fixture.now) == next);
             }
         }
         SUBCASE("which holds for this adapter alone") {
-            replica_requirements other = world.need();
+            replica_requirements other = fixture.make_requirements();
             other.adapter = adapter_id("m/other");
-            CHECK(home->denial(other.adapter, world.now) == nullptr);
+            CHECK(preferred->denial(other.adapter, fixture.now) == nullptr);
         }
         SUBCASE("and where it has just been dropped it comes back as well") {
-            world.replicas.mark_resident(next->record.id, hot(), world.now);
-            world.replicas.mark_unloading(next->record.id, hot().id, world.now);
+            fixture.replicas.mark_resident(next->record.id, hot(), fixture.now);
+            fixture.replicas.mark_unloading(
+                next->record.id, hot().id, fixture.now);
             CHECK(
-                world.choice.next_preferred_replica(world.need(), world.now) ==
-                next);
+                fixture.selector.next_preferred_replica(
+                    fixture.make_requirements(), fixture.now) == next);
         }
         SUBCASE("and where it lay in the meantime it comes back at once") {
             endpoint_id const other = next->record.id;
-            world.replicas.mark_resident(other, hot(), world.now);
-            world.replicas.mark_unloading(other, hot().id, world.now);
-            world.now += seconds(20);
-            world.replicas.apply(entry(other.str()), world.now);
+            fixture.replicas.mark_resident(other, hot(), fixture.now);
+            fixture.replicas.mark_unloading(other, hot().id, fixture.now);
+            fixture.now += seconds(20);
+            fixture.replicas.apply(entry(other.str()), fixture.now);
             CHECK(
-                world.choice.next_preferred_replica(world.need(), world.now) ==
-                world.replicas.find(other));
+                fixture.selector.next_preferred_replica(
+                    fixture.make_requirements(), fixture.now) ==
+                fixture.replicas.find(other));
         }
     }
 }
@@ -485,14 +505,14 @@
 // The node that counts for a replica is silent. All others take the replica for
 // empty and send there.
 TEST_CASE("a replica without a count is told from an empty one") {
-    fleet_world world;
-    world.replicas.apply(entry("r1", {hot()}), world.now);
-    replica* const only = world.replicas.find(endpoint_id("r1"));
-    CHECK_FALSE(only->usage_known(world.now));
-    world.replicas.update_usage(
-        fleet::id_hash(only->record.id), {0, 0}, world.now);
-    CHECK(only->usage_known(world.now));
-    CHECK_FALSE(only->usage_known(world.now + seconds(3)));
+    fleet_fixture fixture;
+    fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
+    replica* const only = fixture.replicas.find(endpoint_id("r1"));
+    CHECK_FALSE(only->usage_known(fixture.now));
+    fixture.replicas.update_usage(
+        fleet::id_hash(only->record.id), {0, 0}, fixture.now);
+    CHECK(only->usage_known(fixture.now));
+    CHECK_FALSE(only->usage_known(fixture.now + seconds(3)));
 }
 
 // One adapter is a quarter of the work, and lies on one of twelve replicas. All
@@ -527,21 +547,23 @@
 // waited for two loads where one would do.
 TEST_CASE("an adapter has one home, whatever the prompt's length") {
     adapter_demand demand;
-    fleet_world world;
+    fleet_fixture fixture;
     for (std::string const name : {"r1", "r2", "r3", "r4", "r5", "r6"}) {
-        world.replicas.apply(entry(name), world.now);
+        fixture.replicas.apply(entry(name), fixture.now);
     }
-    replica* const home =
-        world.choice.next_preferred_replica(world.need(), world.now);
-    REQUIRE(home != nullptr);
+    replica* const preferred = fixture.selector.next_preferred_replica(
+        fixture.make_requirements(), fixture.now);
+    REQUIRE(preferred != nullptr);
     for (unsigned const prompt : {200U, 7'000U, 300U, 6'000U}) {
-        demand.add(hot().id, prompt, world.now);
+        demand.add(hot().id, prompt, fixture.now);
         CHECK(
-            world.choice.next_preferred_replica(world.need(), world.now) ==
-            home);
+            fixture.selector.next_preferred_replica(
+                fixture.make_requirements(), fixture.now) == preferred);
     }
-    world.replicas.mark_resident(home->record.id, hot(), world.now);
-    CHECK(world.best(world.need()) == home->record.id.str());
+    fixture.replicas.mark_resident(preferred->record.id, hot(), fixture.now);
+    CHECK(
+        fixture.best(fixture.make_requirements()) ==
+        preferred->record.id.str());
 }
 
 } // namespace camphorpoint
--- a/test/registry_poll_schedule_test.cpp
+++ b/test/registry_poll_schedule_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr milliseconds longest{1'000};
+constexpr milliseconds max_interval{1'000};
 
 /// @returns a place in the first era
 constexpr store_position at(std::uint64_t offset) {
@@ -23,45 +23,45 @@
 }
 
 /// @returns a place after the store has come back from an older copy
-constexpr store_position later(std::uint64_t offset) {
+constexpr store_position after_rollback(std::uint64_t offset) {
     return {store_epoch{2}, offset};
 }
 
 } // namespace
 
 TEST_CASE("a node reads the list when nobody else has read it lately") {
-    registry_poll_schedule turns(longest);
+    registry_poll_schedule schedule(max_interval);
     instant const now = instant() + seconds(100);
-    turns.poll_completed(at(40), now);
-    CHECK(turns.next_poll_time(1) == now + longest);
-    CHECK(turns.next_poll_time(0) < turns.next_poll_time(1));
+    schedule.poll_completed(at(40), now);
+    CHECK(schedule.next_poll_time(1) == now + max_interval);
+    CHECK(schedule.next_poll_time(0) < schedule.next_poll_time(1));
 
     SUBCASE("another's word that goes on from here puts it off") {
         instant const then = now + milliseconds(600);
         CHECK(
-            turns.handle_update(at(40), at(50), then) ==
+            schedule.handle_update(at(40), at(50), then) ==
             registry_update_fit::applies);
-        CHECK(turns.position() == at(50));
-        CHECK(turns.next_poll_time(1) == then + longest);
+        CHECK(schedule.position() == at(50));
+        CHECK(schedule.next_poll_time(1) == then + max_interval);
         SUBCASE("so does one that nothing has changed") {
             instant const last = then + milliseconds(600);
             CHECK(
-                turns.handle_update(at(50), at(50), last) ==
+                schedule.handle_update(at(50), at(50), last) ==
                 registry_update_fit::nothing_new);
-            CHECK(turns.next_poll_time(1) == last + longest);
+            CHECK(schedule.next_poll_time(1) == last + max_interval);
         }
     }
     SUBCASE("what overlaps goes on as well") {
         CHECK(
-            turns.handle_update(at(30), at(45), now) ==
+            schedule.handle_update(at(30), at(45), now) ==
             registry_update_fit::applies);
-        CHECK(turns.position() == at(45));
+        CHECK(schedule.position() == at(45));
     }
     SUBCASE("old word, as of a node that reads behind, changes nothing") {
         CHECK(
-            turns.handle_update(at(10), at(39), now + milliseconds(900)) ==
+            schedule.handle_update(at(10), at(39), now + milliseconds(900)) ==
             registry_update_fit::nothing_new);
-        CHECK(turns.next_poll_time(1) == now + longest);
+        CHECK(schedule.next_poll_time(1) == now + max_interval);
     }
 }
 
@@ -69,131 +69,136 @@
 // node. It hears the next one, relies on it, and sends to the replica until
 // that is gone.
 TEST_CASE("a lost word is read at once") {
-    registry_poll_schedule turns(longest);
+    registry_poll_schedule schedule(max_interval);
     instant const now = instant() + seconds(100);
-    turns.poll_completed(at(40), now);
+    schedule.poll_completed(at(40), now);
     instant const then = now + milliseconds(700);
     CHECK(
-        turns.handle_update(at(45), at(50), then) == registry_update_fit::gap);
-    CHECK(turns.position() == at(40));
-    CHECK(turns.next_poll_time(1) <= then);
+        schedule.handle_update(at(45), at(50), then) ==
+        registry_update_fit::gap);
+    CHECK(schedule.position() == at(40));
+    CHECK(schedule.next_poll_time(1) <= then);
 
     SUBCASE("and the reading closes the gap") {
-        turns.poll_completed(at(52), then);
+        schedule.poll_completed(at(52), then);
         CHECK(
-            turns.handle_update(at(50), at(55), then) ==
+            schedule.handle_update(at(50), at(55), then) ==
             registry_update_fit::applies);
-        CHECK(turns.next_poll_time(1) == then + longest);
+        CHECK(schedule.next_poll_time(1) == then + max_interval);
     }
 }
 
 TEST_CASE("a node that has not read anything yet relies on nobody") {
-    registry_poll_schedule turns(longest);
+    registry_poll_schedule schedule(max_interval);
     instant const now = instant() + seconds(100);
     CHECK(
-        turns.handle_update(at(0), at(50), now) ==
+        schedule.handle_update(at(0), at(50), now) ==
         registry_update_fit::nothing_new);
-    CHECK(turns.position() == store_position{});
+    CHECK(schedule.position() == store_position{});
 }
 
 // Ninety nodes that each read the list every second make ninety calls a second
 // on a store whose every call is paid.
 TEST_CASE("many nodes read hardly more often than a few") {
     constexpr std::size_t nodes = 90;
-    constexpr milliseconds word_takes{10};
+    constexpr milliseconds message_delay{10};
     std::vector<registry_poll_schedule> all(
-        nodes, registry_poll_schedule(longest));
+        nodes, registry_poll_schedule(max_interval));
     std::mt19937_64 random(7);
-    std::uniform_real_distribution<double> part(0, 1);
+    std::uniform_real_distribution<double> random_fraction(0, 1);
     instant now = instant() + seconds(100);
     instant const end = now + seconds(60);
-    std::vector<double> draws(nodes);
+    std::vector<double> random_fractions(nodes);
     for (std::size_t each = 0; each < nodes; ++each) {
         all[each].poll_completed(at(1), now);
-        draws[each] = part(random);
+        random_fractions[each] = random_fraction(random);
     }
-    std::size_t readings = 0;
+    std::size_t polls = 0;
     duration longest_gap{0};
     while (now < end) {
         instant first = instant::max();
         for (std::size_t each = 0; each < nodes; ++each) {
-            first = std::min(first, all[each].next_poll_time(draws[each]));
+            first = std::min(
+                first, all[each].next_poll_time(random_fractions[each]));
         }
         longest_gap = std::max(longest_gap, first - now);
         // All whose pause ends before the first one's word has come read too.
-        std::uint64_t const place = all.front().position().offset + 1;
+        std::uint64_t const next_offset = all.front().position().offset + 1;
         for (std::size_t each = 0; each < nodes; ++each) {
-            if (all[each].next_poll_time(draws[each]) <= first + word_takes) {
-                ++readings;
-                draws[each] = part(random);
+            if (all[each].next_poll_time(random_fractions[each]) <=
+                first + message_delay) {
+                ++polls;
+                random_fractions[each] = random_fraction(random);
             }
         }
-        now = first + word_takes;
+        now = first + message_delay;
         for (registry_poll_schedule& each : all) {
-            each.poll_completed(at(place), now);
+            each.poll_completed(at(next_offset), now);
         }
     }
-    CHECK(longest_gap <= longest);
-    CHECK(readings < 60 * 8);
+    CHECK(longest_gap <= max_interval);
+    CHECK(polls < 60 * 8);
 }
 
 // The store comes back from a copy of some seconds ago. A replica that begins
 // to leave is written below the place that this node goes on from: it sends to
 // the replica until that is gone.
 TEST_CASE("after the store has gone back nothing is read from an old place") {
-    registry_poll_schedule turns(longest);
+    registry_poll_schedule schedule(max_interval);
     instant const now = instant() + seconds(100);
-    instant const own_time = now + milliseconds(300);
-    turns.poll_completed(at(40), now);
-    CHECK_FALSE(turns.needs_full_poll());
+    instant const own_poll_time = now + milliseconds(300);
+    schedule.poll_completed(at(40), now);
+    CHECK_FALSE(schedule.needs_full_poll());
 
     SUBCASE("the list is read whole, at a time of this node's own") {
-        turns.enter_epoch(store_epoch{2}, own_time);
-        CHECK(turns.needs_full_poll());
-        CHECK(turns.next_poll_time(1) == own_time);
-        turns.poll_completed(later(31), own_time);
-        CHECK_FALSE(turns.needs_full_poll());
-        CHECK(turns.position() == later(31));
-        CHECK(turns.next_poll_time(1) == own_time + longest);
+        schedule.enter_epoch(store_epoch{2}, own_poll_time);
+        CHECK(schedule.needs_full_poll());
+        CHECK(schedule.next_poll_time(1) == own_poll_time);
+        schedule.poll_completed(after_rollback(31), own_poll_time);
+        CHECK_FALSE(schedule.needs_full_poll());
+        CHECK(schedule.position() == after_rollback(31));
+        CHECK(schedule.next_poll_time(1) == own_poll_time + max_interval);
     }
     SUBCASE("another's word of the later era says that it has gone back") {
         CHECK(
-            turns.handle_update(later(30), later(35), now) ==
+            schedule.handle_update(
+                after_rollback(30), after_rollback(35), now) ==
             registry_update_fit::later_epoch);
-        CHECK(turns.position() == at(40));
+        CHECK(schedule.position() == at(40));
     }
     SUBCASE("and none puts the reading off, or takes its place") {
-        turns.enter_epoch(store_epoch{2}, own_time);
+        schedule.enter_epoch(store_epoch{2}, own_poll_time);
         CHECK(
-            turns.handle_update(at(40), at(50), now) ==
+            schedule.handle_update(at(40), at(50), now) ==
             registry_update_fit::nothing_new);
         CHECK(
-            turns.handle_update(later(0), later(50), now) ==
+            schedule.handle_update(
+                after_rollback(0), after_rollback(50), now) ==
             registry_update_fit::nothing_new);
-        CHECK(turns.next_poll_time(1) == own_time);
+        CHECK(schedule.next_poll_time(1) == own_poll_time);
     }
     SUBCASE("word of the era before means nothing") {
-        turns.enter_epoch(store_epoch{2}, own_time);
-        turns.poll_completed(later(31), own_time);
+        schedule.enter_epoch(store_epoch{2}, own_poll_time);
+        schedule.poll_completed(after_rollback(31), own_poll_time);
         CHECK(
-            turns.handle_update(at(31), at(90), own_time) ==
+            schedule.handle_update(at(31), at(90), own_poll_time) ==
             registry_update_fit::nothing_new);
         CHECK(
-            turns.handle_update(at(50), at(90), own_time) ==
+            schedule.handle_update(at(50), at(90), own_poll_time) ==
             registry_update_fit::nothing_new);
-        CHECK(turns.position() == later(31));
-        CHECK(turns.next_poll_time(1) == own_time + longest);
+        CHECK(schedule.position() == after_rollback(31));
+        CHECK(schedule.next_poll_time(1) == own_poll_time + max_interval);
     }
     SUBCASE("an answer that was on its way is not gone on from") {
-        turns.enter_epoch(store_epoch{2}, own_time);
-        turns.poll_completed(at(60), now);
-        CHECK(turns.needs_full_poll());
+        schedule.enter_epoch(store_epoch{2}, own_poll_time);
+        schedule.poll_completed(at(60), now);
+        CHECK(schedule.needs_full_poll());
     }
     SUBCASE("a store that names no era has forgotten the place") {
-        turns.position_expired();
-        CHECK(turns.needs_full_poll());
-        turns.poll_completed(at(31), now);
-        CHECK(turns.position() == at(31));
+        schedule.position_expired();
+        CHECK(schedule.needs_full_poll());
+        schedule.poll_completed(at(31), now);
+        CHECK(schedule.position() == at(31));
     }
 }
 
--- a/test/running_request_tracker_test.cpp
+++ b/test/running_request_tracker_test.cpp
@@ -22,74 +22,75 @@
 // of 16 slots has 9 requests and send there: callers wait two seconds for a
 // first event while the next replica is half empty.
 TEST_CASE("one node counts the runs of all at a replica") {
-    running_request_tracker ledger;
+    running_request_tracker tracker;
     instant now = instant() + seconds(100);
-    ledger.update("n1", at_r1, hot, 1, 500, now);
-    ledger.update("n2", at_r1, hot, 2, 700, now);
-    ledger.update("n2", at_r2, hot, 1, 0, now);
-    CHECK(ledger.usage(at_r1, now).running == 3);
-    CHECK(ledger.usage(at_r1, now).backlog_tokens == 1'200);
-    CHECK(ledger.usage(at_r2, now).running == 1);
-    CHECK(ledger.in_use(at_r1, hot));
+    tracker.update("n1", at_r1, hot, 1, 500, now);
+    tracker.update("n2", at_r1, hot, 2, 700, now);
+    tracker.update("n2", at_r2, hot, 1, 0, now);
+    CHECK(tracker.usage(at_r1, now).running == 3);
+    CHECK(tracker.usage(at_r1, now).backlog_tokens == 1'200);
+    CHECK(tracker.usage(at_r2, now).running == 1);
+    CHECK(tracker.in_use(at_r1, hot));
 
     SUBCASE("a repeated word counts once") {
-        ledger.update("n2", at_r1, hot, 2, 0, now);
-        CHECK(ledger.usage(at_r1, now).running == 3);
+        tracker.update("n2", at_r1, hot, 2, 0, now);
+        CHECK(tracker.usage(at_r1, now).running == 3);
     }
     SUBCASE("an adapter is in use until the last node's run has ended") {
-        ledger.update("n1", at_r1, hot, 0, 0, now);
-        CHECK(ledger.in_use(at_r1, hot));
-        ledger.update("n2", at_r1, hot, 0, 0, now);
-        CHECK_FALSE(ledger.in_use(at_r1, hot));
-        CHECK(ledger.usage(at_r1, now).running == 0);
+        tracker.update("n1", at_r1, hot, 0, 0, now);
+        CHECK(tracker.in_use(at_r1, hot));
+        tracker.update("n2", at_r1, hot, 0, 0, now);
+        CHECK_FALSE(tracker.in_use(at_r1, hot));
+        CHECK(tracker.usage(at_r1, now).running == 0);
     }
     SUBCASE("a node that fell silent has no runs there any more") {
         now += seconds(2);
-        ledger.update("n1", at_r1, hot, 1, 0, now);
+        tracker.update("n1", at_r1, hot, 1, 0, now);
         now += seconds(2);
-        ledger.drop_timed_out_nodes(now);
-        CHECK(ledger.usage(at_r1, now).running == 1);
-        CHECK(ledger.usage(at_r2, now).running == 0);
+        tracker.drop_timed_out_nodes(now);
+        CHECK(tracker.usage(at_r1, now).running == 1);
+        CHECK(tracker.usage(at_r2, now).running == 0);
     }
 }
 
 // An adapter becomes busy at once. Two hundred requests at ninety nodes wait
 // for its load, are woken together, and all go to the one replica.
 TEST_CASE("what is about to come counts as well") {
-    running_request_tracker ledger;
+    running_request_tracker tracker;
     instant now = instant() + seconds(100);
 
     SUBCASE("those who asked at the same moment hear of each other") {
         for (int each = 0; each < 9; ++each) {
-            ledger.add_expected_request(at_r1, 1.0 / 3, now);
+            tracker.add_expected_request(at_r1, 1.0 / 3, now);
         }
-        CHECK(ledger.usage(at_r1, now).running >= 2);
+        CHECK(tracker.usage(at_r1, now).running >= 2);
         SUBCASE("until their runs have been told") {
             now += milliseconds(200);
-            CHECK(ledger.usage(at_r1, now).running == 0);
+            CHECK(tracker.usage(at_r1, now).running == 0);
         }
     }
     SUBCASE("those who wait for a load take places") {
         for (int each = 0; each < 12; ++each) {
-            ledger.add_waiting_request(at_r1, now);
+            tracker.add_waiting_request(at_r1, now);
         }
-        CHECK(ledger.usage(at_r1, now).running == 12);
+        CHECK(tracker.usage(at_r1, now).running == 12);
         CHECK(
-            replica_selector::utilization(ledger.usage(at_r1, now), 12) >= 1.0);
+            replica_selector::utilization(tracker.usage(at_r1, now), 12) >=
+            1.0);
         SUBCASE("while the load may still come") {
             now += seconds(3);
-            CHECK(ledger.usage(at_r1, now).running == 0);
+            CHECK(tracker.usage(at_r1, now).running == 0);
         }
     }
 }
 
 TEST_CASE("a ledger forgets replicas with nothing to count") {
-    running_request_tracker ledger;
+    running_request_tracker tracker;
     instant const now = instant() + seconds(100);
-    ledger.add_waiting_request(at_r1, now);
-    ledger.drop_timed_out_nodes(now + seconds(5));
-    CHECK(ledger.usage(at_r1, now + seconds(5)).running == 0);
-    CHECK(ledger.usage(at_r2, now).running == 0);
+    tracker.add_waiting_request(at_r1, now);
+    tracker.drop_timed_out_nodes(now + seconds(5));
+    CHECK(tracker.usage(at_r1, now + seconds(5)).running == 0);
+    CHECK(tracker.usage(at_r2, now).running == 0);
 }
 
 } // namespace camphorpoint
--- a/test/startup_gate_test.cpp
+++ b/test/startup_gate_test.cpp
@@ -16,60 +16,60 @@
 namespace {
 
 constexpr instant start = instant() + seconds(100);
-constexpr startup_gate_timeouts times;
+constexpr startup_gate_timeouts timeouts;
 
 } // namespace
 
 // Guards against a node that serves by an older copy of the store, as it has
 // not heard yet that others know more.
 TEST_CASE("a node that begins serves when it knows what the others know") {
-    startup_gate check;
-    CHECK_FALSE(check.passed(0, start));
-    check.mark_configured(start);
-    CHECK_FALSE(check.passed(1, start));
-    check.set_peers("own", {"a", "b"});
-    check.handle_peer_total("a", 1);
-    CHECK_FALSE(check.passed(1, start));
+    startup_gate gate;
+    CHECK_FALSE(gate.passed(0, start));
+    gate.mark_configured(start);
+    CHECK_FALSE(gate.passed(1, start));
+    gate.set_peers("own", {"a", "b"});
+    gate.handle_peer_total("a", 1);
+    CHECK_FALSE(gate.passed(1, start));
 
     SUBCASE("at once when all have said that they know no more") {
-        check.handle_peer_total("b", 0);
-        CHECK(check.passed(1, start));
+        gate.handle_peer_total("b", 0);
+        CHECK(gate.passed(1, start));
     }
     SUBCASE("when it has read what one of them knows more") {
-        check.handle_peer_total("b", 5);
-        CHECK_FALSE(check.passed(4, start + seconds(1)));
-        CHECK(check.passed(5, start + seconds(1)));
+        gate.handle_peer_total("b", 5);
+        CHECK_FALSE(gate.passed(4, start + seconds(1)));
+        CHECK(gate.passed(5, start + seconds(1)));
     }
     SUBCASE("after a bounded time when the store never has it") {
-        check.handle_peer_total("b", 5);
-        instant const bound = start + times.catch_up_timeout;
-        CHECK_FALSE(check.passed(1, bound - milliseconds(1)));
-        CHECK(check.passed(1, bound));
+        gate.handle_peer_total("b", 5);
+        instant const bound = start + timeouts.catch_up_timeout;
+        CHECK_FALSE(gate.passed(1, bound - milliseconds(1)));
+        CHECK(gate.passed(1, bound));
     }
     SUBCASE("after a short time when one of them says nothing") {
-        instant const bound = start + times.peer_report_timeout;
-        CHECK_FALSE(check.passed(1, bound - milliseconds(1)));
-        CHECK(check.passed(1, bound));
+        instant const bound = start + timeouts.peer_report_timeout;
+        CHECK_FALSE(gate.passed(1, bound - milliseconds(1)));
+        CHECK(gate.passed(1, bound));
     }
     SUBCASE("and from then on, whatever others say") {
-        check.handle_peer_total("b", 1);
-        CHECK(check.passed(1, start));
-        check.handle_peer_total("b", 9);
-        CHECK(check.passed(1, start));
+        gate.handle_peer_total("b", 1);
+        CHECK(gate.passed(1, start));
+        gate.handle_peer_total("b", 9);
+        CHECK(gate.passed(1, start));
     }
 }
 
 // Guards against a node that waits for others though there are none.
 TEST_CASE("a node that is alone serves as soon as it knows that") {
-    startup_gate check;
-    check.mark_configured(start);
+    startup_gate gate;
+    gate.mark_configured(start);
     SUBCASE("by the group's list") {
-        check.set_peers("own", {});
-        CHECK(check.passed(1, start));
+        gate.set_peers("own", {});
+        CHECK(gate.passed(1, start));
     }
     SUBCASE("after a short time when the list can't be read") {
-        CHECK_FALSE(check.passed(1, start));
-        CHECK(check.passed(1, start + times.peer_report_timeout));
+        CHECK_FALSE(gate.passed(1, start));
+        CHECK(gate.passed(1, start + timeouts.peer_report_timeout));
     }
 }
 
@@ -86,15 +86,15 @@
     for (std::string const& own : all) {
         std::set<std::string> others = all;
         others.erase(own);
-        startup_gate check;
-        check.set_peers(own, others);
-        REQUIRE(check.peers_to_ask().size() == few);
-        for (std::string const& each : check.peers_to_ask()) {
+        startup_gate gate;
+        gate.set_peers(own, others);
+        REQUIRE(gate.peers_to_ask().size() == few);
+        for (std::string const& each : gate.peers_to_ask()) {
             ++asked[each];
         }
     }
-    for (auto const& [name, times] : asked) {
-        CHECK(times < 4 * few);
+    for (auto const& [name, count] : asked) {
+        CHECK(count < 4 * few);
     }
 }
 
