--- a/src/Fleet/adapter_demand.cpp
+++ b/src/Fleet/adapter_demand.cpp
@@ -7,16 +7,18 @@
 
 namespace {
 
-/// Copies beyond an adapter's even share of the replicas. With this factor the
-/// replicas of the busiest adapter are a third busy with it at the average, so
-/// that a clump of its prompts finds another with room.
+/// Factor by which an adapter gets more replicas than its fraction of the
+/// demand alone would give it. With this factor the replicas of the busiest
+/// adapter spend a third of their time on it on average, so that a burst of its
+/// prompts finds another replica with spare capacity.
 constexpr double replication_factor = 3;
-/// With less than this an adapter's own prompts do not make a queue: a copy
-/// costs a load and a slot.
+/// Below this value an adapter's own prompts do not queue, and a further
+/// replica would cost a load and a slot for nothing.
 constexpr double min_desired_replicas = 0.5;
-/// So many standard deviations of a count are taken off before it is believed.
+/// Number of standard deviations that are subtracted from a request count
+/// before the count is used.
 constexpr double sampling_margin = 0.8;
-/// Rates below this in tokens a second are as good as none.
+/// In tokens per second. Lower rates are treated as zero.
 constexpr double min_rate = 1;
 constexpr duration expiry_interval = std::chrono::seconds(10);
 
@@ -43,8 +45,9 @@
     if (found == rates_.end() || all < min_rate) {
         return 0;
     }
-    // One node of many sees few requests, and two of one adapter by chance look
-    // like a large share: copies are made for what is sure of it.
+    // One node of many sees only few requests. Two requests for one adapter
+    // that arrive together by chance look like a large fraction of the demand,
+    // so only the statistically certain part of the fraction counts.
     std::chrono::duration<double> const window = half_life;
     double const sampled_requests =
         found->second.requests.per_second(now) * window.count() / std::log(2.0);
--- a/src/Fleet/adapter_demand.hpp
+++ b/src/Fleet/adapter_demand.hpp
@@ -10,25 +10,27 @@
 
 namespace camphorpoint {
 
-/// How much of a service's work each adapter is, measured by the prompt tokens
-/// of this node's own requests. The balancer spreads callers over nodes by a
-/// hash, so one node's sample stands for all.
+/// Measures each adapter's fraction of a service's demand by the prompt tokens
+/// of this node's own requests. The balancer spreads callers over the nodes by
+/// a hash, so the sample of one node represents all nodes.
 class adapter_demand {
 public:
-    /// A request for the adapter has come.
+    /// Records a request for the adapter.
+    /// @param prompt_tokens length of the prompt; 0 when it is unknown
     void add(adapter_id const& adapter, unsigned prompt_tokens, instant now);
-    /// @returns how many replicas should hold the adapter
-    /// @param replicas how many there are
+    /// @returns the number of replicas on which the adapter should be resident,
+    ///          between 1 and `replicas`
+    /// @param replicas number of replicas of the service
     std::size_t target_replica_count(
         adapter_id const& adapter, std::size_t replicas, instant now) const;
-    /// @returns true when the adapter is asked for often enough that a further
-    ///          copy of it would take work off its replicas
+    /// @returns true when the adapter is requested often enough that a further
+    ///          replica with it would take load off its current replicas
     bool warrants_replication(
         adapter_id const& adapter, std::size_t replicas, instant now) const;
 
 private:
-    /// A shift of demand shows within seconds, and a burst of a few requests
-    /// does not yet make copies.
+    /// Short enough that a shift of demand shows within seconds, long enough
+    /// that a burst of a few requests does not yet add replicas.
     static constexpr duration half_life = std::chrono::seconds(4);
 
     double desired_replicas(
--- a/src/Fleet/fleet.cpp
+++ b/src/Fleet/fleet.cpp
@@ -9,15 +9,17 @@
 
 namespace {
 
-/// How long word from an orderer counts more than the list: an entry is
-/// written about every 1.2 s and read up to a second later.
+/// How long a message from a replica's controller takes precedence over the
+/// replica registry: a registry entry is written about every 1.2 s and read up
+/// to a second later.
 constexpr duration registry_override_period = std::chrono::milliseconds(2'500);
-/// Replicas keep copies of a hundred adapters and more in their memory; those
-/// that lie there now are not counted here.
+/// Replicas keep a hundred or more unloaded adapters in their memory. The
+/// resident adapters are not part of this number.
 constexpr std::size_t max_cached_adapters = 100;
-/// A gone replica is remembered for as long as requests may still run there.
+/// A removed replica is remembered for as long as requests may still run there.
 constexpr duration removed_retention = std::chrono::seconds(60);
-/// Streams take one to three seconds: older word says nothing of what runs now.
+/// Streams take one to three seconds, so an older message does not describe the
+/// requests that run now.
 constexpr duration remote_usage_lifetime = std::chrono::seconds(4);
 
 } // namespace
@@ -56,7 +58,8 @@
 }
 
 void fleet::reset_after_restart(replica& target) {
-    // This node's requests there end by themselves, as their connections break.
+    // This node's requests at the earlier process complete on their own when
+    // their connections break.
     unsigned const running = target.running_local;
     replica_record record = std::move(target.record);
     record.leaving = false;
@@ -65,9 +68,9 @@
     target.running_local = running;
 }
 
-// Guards against a replica that has gone and stands in the list again, since
-// the store has come back from a copy of before: it would get requests until
-// its entry lapses a second time. One that is there writes its entry anew.
+// Guards against a replica that is gone but listed again because the store was
+// restored from an older snapshot: it would get requests until its entry
+// expires a second time. A replica that is still there writes a newer entry.
 bool fleet::is_stale_record(
     replica const& known, replica_record const& record) {
     bool const unlisted =
@@ -94,7 +97,7 @@
         record.started_at ? record.started_at : target.record.started_at;
     target.record = record;
     target.record.started_at = started;
-    // A replica that has said that it leaves never stays after all.
+    // A replica that has announced its shutdown never withdraws it.
     target.record.leaving = record.leaving || was_leaving;
     target.missing = false;
     target.missing_since = instant::max();
--- a/src/Fleet/fleet.hpp
+++ b/src/Fleet/fleet.hpp
@@ -15,150 +15,165 @@
 
 namespace camphorpoint {
 
-/// An adapter as a node believes it to lie on a replica.
+/// This node's view of an adapter on a replica.
 struct resident_adapter {
     std::uint32_t version = 0;
-    /// When the belief was formed from word that is newer than the list; the
-    /// list may not take it back before `registry_override_period` has passed.
+    /// When a message that is newer than the registry last changed this entry.
+    /// A registry update does not override it before `registry_override_period`
+    /// has passed.
     instant confirmed_at;
-    /// The replica was ordered to drop or replace it.
+    /// The replica was commanded to unload or replace the adapter.
     bool unloading = false;
 };
 
-/// Whoever orders for a replica has turned a request for an adapter away.
+/// A load request that the replica's controller has denied.
 struct load_denial {
-    /// Until then it counts.
+    /// The denial is valid until then.
     instant until;
     /// When the adapter would have been ready.
     instant ready_at;
 };
 
-/// Word of a replica's load is told again within a second by each of up to 90
-/// nodes; two of these words may be lost.
+/// Each of up to 90 nodes repeats a replica's usage within a second; two of
+/// these messages may be lost.
 inline constexpr duration usage_report_lifetime =
     std::chrono::milliseconds(2'500);
 
-/// One replica as a node believes it to be.
+/// This node's view of one replica.
 struct replica {
     replica_record record;
     replica_health health;
     std::unordered_map<adapter_id, resident_adapter> adapters;
-    /// Adapters that lay here, the newest last: the replica keeps copies, from
-    /// which they come back in a tenth of the time and for nothing.
+    /// Adapters that were unloaded, the latest last. The replica keeps them in
+    /// its memory, from which a load takes a tenth of the time and does not
+    /// read the weight store.
     std::vector<adapter_id> cached_adapters;
-    /// Requests of this node that are at the replica now.
+    /// Requests of this node that are running at the replica.
     unsigned running_local = 0;
-    /// Requests of all other nodes there, as the node that orders for it told
-    /// last, and when that was.
+    /// Requests of all other nodes there, as last reported by the replica's
+    /// controller, and when that report was received.
     unsigned running_remote = 0;
     instant usage_received_at;
-    /// Adapters that could be loaded there at once, less those that wait, by
-    /// the same word.
+    /// Adapters that could be loaded there at once, less those that wait for a
+    /// load, from the same report. Negative when more adapters wait.
     int free_slots = 0;
-    /// Prompts that this node and all others have sent there.
+    /// Prompts that this node and all other nodes have sent there.
     prompt_backlog local_backlog;
     prompt_backlog remote_backlog;
 
-    /// When the list no longer had it.
+    /// When the entry disappeared from the registry.
     instant missing_since = instant::max();
     bool missing = false;
-    /// Adapters that would be ready here too late, and how late, by the word
-    /// of the node that orders for it.
+    /// Load requests that the replica's controller denied since the adapters
+    /// would be ready too late, with the time at which they would be ready.
     std::unordered_map<adapter_id, load_denial> denials;
-    /// When it leaves at short notice.
+    /// When the replica shuts down, if it announced this at short notice.
     instant shutdown_at = instant::max();
 
-    /// @returns true when it should still keep a copy
+    /// @returns true when the replica should still have the adapter cached
     bool has_cached(adapter_id const& adapter) const {
         return std::ranges::find(cached_adapters, adapter) !=
                cached_adapters.end();
     }
-    /// @returns the denial of the adapter that counts now, or null
+    /// @returns the denial of the adapter that is valid now, or null
     load_denial const* denial(adapter_id const& adapter, instant now) const {
         auto const found = denials.find(adapter);
         bool const is_valid =
             found != denials.end() && now < found->second.until;
         return is_valid ? &found->second : nullptr;
     }
-    /// @returns requests that are there
+    /// @returns the number of requests of all nodes that are running there
     unsigned running() const noexcept { return running_local + running_remote; }
-    /// @returns true when the word of others' requests there is not old.
-    ///          Guards against a node that takes a replica for empty, as all
-    ///          others do, because whoever counts for it is silent.
+    /// @returns true when the usage by other nodes was reported recently.
+    ///          Guards against a replica that every node takes for idle because
+    ///          its controller sends no reports.
     bool usage_known(instant now) const noexcept {
         return now < usage_received_at + usage_report_lifetime;
     }
-    /// @returns requests there for each slot
+    /// @returns running requests per slot
     double load() const noexcept {
         return static_cast<double>(running()) / std::max(1U, record.slots);
     }
-    /// @returns prompt tokens that it has still to read
+    /// @returns prompt tokens that the replica has yet to process
     double backlog(instant now) const {
         return local_backlog.remaining_tokens(now) +
                remote_backlog.remaining_tokens(now);
     }
-    /// @returns true when new requests may be sent there
+    /// @returns true when new requests may be sent to the replica
     bool accepts_requests() const noexcept {
         return !record.leaving && !missing;
     }
 };
 
-/// A change in a node's belief about a replica, for the log.
+/// A change in this node's view of a replica, for the log.
 enum class fleet_change : std::uint8_t { none, joined, leaving, removed };
 
-/// What a node believes about all replicas: the list's word, corrected by
-/// newer word from the nodes that order loads and by this node's own use.
+/// This node's view of all replicas: the entries of the replica registry,
+/// corrected by newer messages from the replicas' controllers and by this
+/// node's own requests.
 class fleet {
 public:
-    /// Takes up a replica's entry in the list.
-    /// @returns what has changed; one that has started again is seen anew
+    /// Applies a replica's registry entry. A replica whose process has
+    /// restarted counts as joined.
+    /// @returns what has changed
     fleet_change apply(replica_record const& record, instant now);
-    /// The list has lost the entry. During a store's outage entries lapse that
-    /// come back after it, so the replica stays in use then.
-    /// @param keep true while the store is or was just disturbed
+    /// Marks a replica whose entry has disappeared from the registry. It is
+    /// removed at once, unless `keep_in_use` is set, since entries that expire
+    /// during a store outage reappear after it.
+    /// @param keep_in_use true while the store is unstable or has just
+    ///                    recovered
     fleet_change
     mark_unlisted(endpoint_id const& id, bool keep_in_use, instant now);
-    /// The list was read whole: entries that are not in it are lost.
+    /// Marks all replicas that a full poll of the registry did not return.
+    /// @param listed the replicas that the poll returned
+    /// @returns the replicas that are removed by this
     std::vector<endpoint_id> mark_unlisted_except(
         std::vector<endpoint_id> const& listed, bool keep_in_use, instant now);
-    /// Forgets replicas whose entry stayed away until the store was calm again,
-    /// and those that are long gone. Entries that lapsed in an outage are back
-    /// within two seconds of the store's return, whenever they were missed.
-    /// Guards against a replica that leaves just after the return and gets
-    /// requests until it is gone, as if its entry might still come back.
-    /// @returns those that are to be treated as gone from now on
+    /// Removes replicas whose entry is still missing when the store is stable
+    /// again, and forgets those that were removed long ago. Entries that
+    /// expired in an outage reappear within two seconds of the store's
+    /// recovery, no matter when they were found missing. Guards against a
+    /// replica that leaves just after the recovery and gets requests until it
+    /// is gone, as if its entry might still reappear.
+    /// @returns the replicas that count as removed from now on
     std::vector<endpoint_id> expire_missing(bool store_stable, instant now);
 
-    /// Newer word than the list's: the adapter lies there, ready.
+    /// Applies a message that is newer than the registry: the adapter is
+    /// resident there and ready.
     void mark_resident(
         endpoint_id const& id, adapter_ref const& adapter, instant now);
-    /// Newer word: the adapter is about to go from there.
+    /// Applies a message that is newer than the registry: the adapter is about
+    /// to be unloaded there.
     void mark_unloading(
         endpoint_id const& id, adapter_id const& adapter, instant now);
-    /// What all nodes have at a replica, this one included, by the word of the
-    /// node that orders for it.
+    /// Applies a report by the replica's controller of what all nodes, this one
+    /// included, have running there.
+    /// @param replica_hash `id_hash` of the replica; unknown replicas are
+    ///                     ignored
     void update_usage(
         std::uint64_t replica_hash, replica_usage const& total, instant now);
-    /// Takes nobody's requests for there where the last word is old: whoever
-    /// counted has stopped.
+    /// Resets the usage by other nodes where the last report is too old, since
+    /// the controller that counted has stopped, and drops denials that are no
+    /// longer valid.
     void expire_usage(instant now);
 
-    /// A request was sent, with a prompt of so many tokens.
+    /// Counts a request of this node that was sent to the replica.
+    /// @param prompt_tokens length of its prompt
     void
     request_started(endpoint_id const& id, unsigned prompt_tokens, instant now);
-    /// A request has ended there.
+    /// Counts the completion of a request of this node.
     void request_finished(endpoint_id const& id);
 
     /// @returns the replica, or null
     replica* find(endpoint_id const& id);
     replica const* find(endpoint_id const& id) const;
-    /// @returns all replicas of a service, in the order of their ids
+    /// @returns all replicas of a service, ordered by id
     std::vector<replica*> const& of_service(service_id const& service);
     /// @returns every replica
     std::map<endpoint_id, replica> const& all() const noexcept { return all_; }
-    /// @returns a short name of a replica for messages between nodes
+    /// @returns the hash that identifies a replica in messages between nodes
     static std::uint64_t id_hash(endpoint_id const& id);
-    /// @returns the replica of a short name, or null
+    /// @returns the replica with this hash, or null
     replica* find_by_hash(std::uint64_t hash);
 
 private:
--- a/src/Fleet/prompt_backlog.hpp
+++ b/src/Fleet/prompt_backlog.hpp
@@ -6,22 +6,23 @@
 
 namespace camphorpoint {
 
-/// How much of the prompts sent to a replica it has still to read. While it
-/// reads, every stream of its batch pauses: the pause that callers take for
-/// good is soon used up when a few long prompts come together.
+/// Estimates how many of the prompt tokens sent to a replica it has yet to
+/// process. While the replica processes a prompt, every stream of its batch
+/// pauses. A few long prompts that arrive together soon exceed the pause that
+/// callers accept as good service.
 class prompt_backlog {
 public:
-    /// A prompt was sent there.
+    /// Adds a prompt that was sent to the replica.
     void add(unsigned tokens, instant now) {
         tokens_ = remaining_tokens(now) + tokens;
         updated_at_ = now;
     }
-    /// Takes over what another node tells.
+    /// Replaces the estimate by one that another node reported.
     void set(double tokens, instant now) {
         tokens_ = tokens;
         updated_at_ = now;
     }
-    /// @returns the prompt tokens that it has still to read
+    /// @returns the prompt tokens that the replica has yet to process
     double remaining_tokens(instant now) const {
         std::chrono::duration<double, std::milli> const passed =
             now - updated_at_;
@@ -29,10 +30,11 @@
     }
 
 private:
-    /// Two thirds of what the slower of today's engines reads (29 a ms, from
-    /// the users' sheets). The rest is for the streams that go on meanwhile: at
-    /// the full speed an event of five tokens takes five steps full of prompt,
-    /// which is longer than callers take for good.
+    /// Two thirds of the rate of the slower of today's engines (29 tokens per
+    /// ms, from the engines' data sheets). The remaining third is for the
+    /// streams that continue meanwhile: at the full rate, an event of five
+    /// tokens would take five steps full of prompt tokens, which is longer than
+    /// callers accept as good service.
     static constexpr double tokens_per_ms = 20;
 
     double tokens_ = 0;
--- a/src/Fleet/registry_poll_schedule.cpp
+++ b/src/Fleet/registry_poll_schedule.cpp
@@ -4,7 +4,7 @@
 
 void registry_poll_schedule::poll_completed(store_position end, instant now) {
     if (end.epoch < epoch_) {
-        // The answer was on its way when the store went back.
+        // The poll was in progress when the store rolled back.
         return;
     }
     position_ = end;
--- a/src/Fleet/registry_poll_schedule.hpp
+++ b/src/Fleet/registry_poll_schedule.hpp
@@ -7,72 +7,82 @@
 
 namespace camphorpoint {
 
-/// What another node's word of its reading of the list means for this node.
+/// How a registry update received from another node relates to this node's
+/// position in the registry's log.
 enum class registry_update_fit : std::uint8_t {
-    /// It goes on where this node stands: its records are to be applied.
+    /// The update continues from this node's position; its records are to be
+    /// applied.
     applies,
-    /// Nothing in it is new.
+    /// The update contains nothing new.
     nothing_new,
-    /// Records before it were missed: this node reads them itself, at once.
+    /// Records before the update were missed; this node polls at once.
     gap,
-    /// It is of a later era of the store than this node has read in.
+    /// The update is from a later epoch of the store than this node has polled
+    /// in.
     later_epoch
 };
 
-/// Whose turn it is to read the list of replicas. Each node waits for a pause
-/// of its own length; the first that reads tells all what it read, and the
-/// others' pauses begin anew. So some calls a second do for any number of
-/// nodes, and nobody has to be chosen: when the reader is gone, cut off or
-/// turned away, the next one's pause ends a little later.
+/// Decides when this node polls the replica registry. Each node waits for an
+/// interval of its own random length. The first node to poll broadcasts what it
+/// read, and all other nodes restart their intervals. So a few calls per second
+/// are enough for any number of nodes, and no node has to be elected: when the
+/// polling node stops, is cut off or has its calls refused, the interval of
+/// another one ends a little later.
 ///
-/// Guards against a leaving that one node misses while it relies on others:
-/// a word names the places that it covers, a lost one shows as a gap in the
-/// next, and without any word the node reads for itself. When the store has
-/// come back from an older copy, places mean something else: each node reads
-/// the list whole, and nothing from a place of the era before.
+/// Guards against a leaving replica that one node misses while it relies on
+/// other nodes' updates: each update contains the range of positions that it
+/// covers, so a lost update shows as a gap in the next one, and without any
+/// update the node polls by itself. After a store rollback the positions refer
+/// to other records: each node does a full poll and never continues from a
+/// position of an earlier epoch.
 class registry_poll_schedule {
 public:
-    /// @param longest a node that hears nothing reads after this
+    /// @param max_interval a node that receives no updates polls after this
+    ///                     time at the latest
     explicit registry_poll_schedule(duration max_interval)
         : max_interval_(max_interval) {}
 
-    /// This node has read up to a place.
+    /// Records a successful poll by this node.
+    /// @param end position up to which the poll has read
     void poll_completed(store_position end, instant now);
-    /// @param whole what was asked for: all, else what was written from a place
-    /// @param from  the place that was asked for
-    /// @param next  where the answer ends
-    /// @returns false when the store has gone back meanwhile, so that the
-    /// answer
-    ///          is of other records than those that were asked for
+    /// @param full true when the full registry was requested, false when the
+    ///             records from a position on were
+    /// @param from position that was requested
+    /// @param end position at which the answer ends
+    /// @returns false when the store rolled back during the poll, so that the
+    ///          answer contains other records than were requested
     bool is_valid_answer(
         bool full, store_position from, store_position end) const noexcept {
         return end.epoch >= epoch_ && (full || end.epoch == from.epoch);
     }
-    /// Another node has read the records from one place to another of one era.
+    /// Processes a registry update by another node, which covers the records
+    /// between two positions of one epoch.
+    /// @returns whether the records of the update are to be applied
     registry_update_fit
     handle_update(store_position from, store_position to, instant now);
-    /// The place to read from is gone from the store's history.
+    /// Records that the store's log no longer contains this node's position.
     void position_expired() noexcept { full_poll_needed_ = true; }
-    /// The list is to be read whole at the next turn.
+    /// Makes the next poll a full one.
     void require_full_poll() noexcept { full_poll_needed_ = true; }
-    /// The store is in a later era than was read in.
-    /// @param at when this node reads the list whole, another time on each node
+    /// Records that the store is in a later epoch than this node has polled in.
+    /// @param poll_at when this node does its full poll; a different time on
+    ///                each node
     void enter_epoch(store_epoch epoch, instant poll_at);
 
-    /// @param draw 0 to 1, another one after each reading
-    /// @returns when this node reads next
+    /// @param random_fraction 0 to 1, drawn again after each poll
+    /// @returns when this node polls next
     instant next_poll_time(double random_fraction) const;
-    /// @returns true when it reads the list whole then
+    /// @returns true when the next poll has to read the full registry
     bool needs_full_poll() const noexcept {
         return full_poll_needed_ || epoch_outdated();
     }
-    /// @returns where it reads on
+    /// @returns the position from which the next poll continues
     store_position position() const noexcept { return position_; }
 
 private:
-    /// Pauses are from this part of the longest on. The wider they lie apart,
-    /// the fewer nodes read before the first one's word has come; the longer,
-    /// the later a leaving is known.
+    /// Shortest interval as a fraction of the longest. The wider the range, the
+    /// fewer nodes poll before the update of the first one reaches them; the
+    /// longer the intervals, the later a leaving replica is noticed.
     static constexpr double min_interval_fraction = 0.7;
 
     bool epoch_outdated() const noexcept { return epoch_ > position_.epoch; }
--- a/src/Fleet/replica_health.cpp
+++ b/src/Fleet/replica_health.cpp
@@ -7,20 +7,22 @@
 
 namespace {
 
-/// A share over about the last sixteen attempts: less jumps with each failure,
-/// more lets a failing replica take dozens of requests before it shows.
+/// Averages over about the last sixteen attempts. With fewer the fraction jumps
+/// with each failure; with more a failing replica gets dozens of requests
+/// before it shows.
 constexpr double newest_weight = 1.0 / 16;
-/// Failures count for half after this: long enough that a replica which fails
-/// four in ten is tried only now and then, short enough that one which is well
-/// again takes its part within seconds.
+/// Long enough that a replica which fails four in ten requests is tried only
+/// now and then, short enough that a replica which has recovered gets its
+/// normal load within seconds.
 constexpr duration failure_half_life = std::chrono::seconds(4);
-/// The first silence rests a replica for as long as two polls of the list take,
-/// in which a crashed one leaves it.
+/// The time of two registry polls, within which a crashed replica is removed
+/// from the registry.
 constexpr duration first_suspicion_period = std::chrono::milliseconds(1'500);
-/// Of replicas that lose three answers in a hundred one in a thousand loses two
-/// in a row; one that has ended breaks off all.
+/// Of the replicas that truncate three answers in a hundred, one in a thousand
+/// truncates two in a row; a crashed replica truncates all of them.
 constexpr unsigned truncations_to_suspect = 2;
-/// Longer than any restart takes nobody waits before asking again.
+/// As long as the slowest restart takes; after this time the replica is tried
+/// again.
 constexpr duration max_suspicion_period = std::chrono::seconds(6);
 
 } // namespace
@@ -42,15 +44,15 @@
         suspected_until_ = {};
         return false;
     }
-    // Guards against replicas that all rest because each has lost a few answers
-    // in a hundred: too few are left for the load, and callers are refused
-    // though half of the places are free.
+    // Guards against all replicas being suspected because each has truncated a
+    // few answers in a hundred: too few replicas would be left for the load,
+    // and callers would be refused although half of the slots are free.
     if (signal == health_signal::truncated &&
         ++truncated_in_row_ < truncations_to_suspect) {
         return false;
     }
     if (suspected(now)) {
-        // Attempts that were under way together tell of one failure.
+        // Attempts that were running at the same time report the same failure.
         return false;
     }
     duration const period =
--- a/src/Fleet/replica_health.hpp
+++ b/src/Fleet/replica_health.hpp
@@ -4,45 +4,47 @@
 
 namespace camphorpoint {
 
-/// How an attempt at a replica ended, as far as the replica's health goes.
+/// Outcome of an attempt at a replica, as far as it concerns the replica's
+/// health.
 enum class health_signal : unsigned char {
-    /// It answered as it should.
+    /// The replica answered correctly.
     answered,
-    /// It answered that it failed. Some services do so now and then in health.
+    /// The replica answered with an error. Some services do so now and then
+    /// while they are healthy.
     failed,
-    /// It broke an answer off. A replica that has ended does so with all of
-    /// them, one that loses some answers with few.
+    /// The replica broke off an answer. A crashed replica truncates all of its
+    /// answers, a lossy one only a few.
     truncated,
-    /// It could not be reached or fell silent.
+    /// The replica was unreachable, or no data was received in time.
     no_response
 };
 
-/// What one node has seen of one replica's health. Judges by use alone, since a
-/// health check can be good while requests fail.
+/// Health of one replica as seen by one node. Only the outcomes of attempts
+/// count, since a health check can succeed while requests fail.
 class replica_health {
 public:
-    /// Takes up how an attempt ended.
-    /// @returns true when the replica has become suspected by this
+    /// Records the outcome of an attempt.
+    /// @returns true when this outcome has made the replica suspected
     bool add_outcome(health_signal signal, instant now);
-    /// Another node suspects the replica.
+    /// Adopts another node's suspicion of the replica.
     void adopt_suspicion(instant until);
 
-    /// @returns true while no request should go there unless all others are
-    ///          out as well
+    /// @returns true while no request should be sent there unless all other
+    ///          replicas are unavailable as well
     bool suspected(instant now) const noexcept {
         return now < suspected_until_;
     }
-    /// @returns until when it is suspected
+    /// @returns the time until which the replica is suspected
     instant suspected_until() const noexcept { return suspected_until_; }
-    /// @returns the share of recent attempts that failed, 0 to 1; it fades with
-    ///          time, so that a replica which nobody uses is tried again
+    /// @returns the fraction of recent attempts that failed, 0 to 1. It decays
+    ///          over time, so that a replica that no node uses is tried again.
     double failure_fraction(instant now) const;
 
 private:
     double failures_ = 0;
     instant updated_at_;
     unsigned suspicions_ = 0;
-    /// Broken off one after the other, with no answer between.
+    /// Truncated answers in a row, with no complete answer between them.
     unsigned truncated_in_row_ = 0;
     instant suspected_until_;
 };
--- a/src/Fleet/replica_record.hpp
+++ b/src/Fleet/replica_record.hpp
@@ -12,52 +12,53 @@
 
 namespace camphorpoint {
 
-/// When a replica started, by its own clock. Guards against one that starts
-/// again under the id that it had: it is empty and counts its orders anew, and
-/// who takes it for the earlier one sends requests for adapters that are gone
-/// and orders beyond its slots. Two that differ are two, whichever is later:
+/// Start time of a replica's process, by its own clock. Guards against a
+/// replica that restarts under its former id: it has no adapters and counts its
+/// commands from zero again. A node that takes it for the earlier process sends
+/// it requests for adapters that are gone, and commands that exceed its slots.
+/// Any difference means another process, whichever start time is later, since
 /// clocks may have been set back.
 using incarnation = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// What a replica says of itself in the platform's list. The list is seconds
-/// old.
+/// A replica's entry in the platform's replica registry, which is seconds old.
 struct replica_record {
     endpoint_id id;
-    /// Nothing when it does not say.
+    /// Absent when the entry does not contain it.
     std::optional<incarnation> started_at;
     service_id service;
     ip_address address;
     domain_id domain;
     unsigned slots = 1;
-    /// How often it has written its entry; 0 when it does not say.
+    /// How often the replica has written its entry; 0 when it does not say.
     std::uint64_t heartbeat = 0;
-    /// It leaves: nothing new may be sent to it.
+    /// The replica is shutting down: no new requests may be sent to it.
     bool leaving = false;
-    /// Set when it will be gone after this time, whatever it runs.
+    /// Set when the replica shuts down after this time, whatever it is still
+    /// running.
     std::optional<std::chrono::milliseconds> remaining;
     std::vector<model_id> models;
     /// Adapters are named MODEL/ADAPTER.
     std::vector<adapter_ref> adapters;
 };
 
-/// What a replica answers when asked for its state. It is some hundred
+/// A replica's answer to a request for its state. It is some hundred
 /// milliseconds old.
 struct replica_report {
-    /// Nothing when it does not say.
+    /// Absent when the report does not contain it.
     std::optional<incarnation> started_at;
-    /// How many orders the replica has accepted.
+    /// How many commands the replica has accepted.
     std::uint64_t sequence = 0;
-    /// It carries out an order on a base model.
+    /// The replica is carrying out a command on a base model.
     bool busy = false;
     unsigned queued = 0;
     unsigned active = 0;
     std::vector<model_id> models;
     std::vector<adapter_ref> adapters;
-    /// Adapters on their way to it; they take slots already.
+    /// Adapters that are being loaded; they already take slots.
     std::vector<adapter_ref> pending;
 };
 
-/// The name under which an adapter of a model is known here.
+/// Builds the name under which the nodes know an adapter of a model.
 /// @returns MODEL/ADAPTER
 inline adapter_id
 full_adapter_name(std::string_view model, std::string_view adapter) {
--- a/src/Fleet/replica_selector.cpp
+++ b/src/Fleet/replica_selector.cpp
@@ -9,38 +9,41 @@
 
 namespace {
 
-/// A suspected replica costs as much as one that is so many times full: it is
-/// taken only when all others are out.
+/// Cost of a suspected replica, in multiples of a full batch: it is chosen only
+/// when no other replica is available.
 constexpr double suspicion_cost = 1'000;
-/// What failures cost: a replica that fails four in ten of its requests more
-/// than its peers counts as two slots' worth fuller.
+/// Cost of failures: a replica that fails four in ten requests more than its
+/// peers costs as much as one with two full batches more.
 constexpr double failure_cost = 5;
 
-/// Prompt tokens still to be read that count as much as a full batch: they
-/// make all its streams pause for as long as callers take for good.
+/// Unprocessed prompt tokens that cost as much as a full batch: they pause all
+/// streams of the replica for as long as callers accept as good service.
 constexpr double full_backlog_tokens = 8'000;
-/// Holders of an adapter that are compared.
+/// Replicas with the adapter resident that are compared for a request.
 constexpr std::size_t max_compared = 3;
 
-/// A rare adapter may have so many homes, of which one with a free slot is
-/// taken: with one, some replicas have adapters waiting while others have
-/// slots free; with all, each node would find another.
+/// A rarely used adapter is loaded at the one of this many preferred replicas
+/// that has a free slot. With a single choice some replicas have adapters
+/// waiting for a slot while others have free slots; with all replicas as
+/// choices each node would choose a different one.
 /// Reference: Y. Azar, A. Broder, A. Karlin, E. Upfal, "Balanced allocations",
 /// SIAM Journal on Computing 29(1), 1999.
 constexpr std::size_t max_preferred_replicas = 2;
-/// Replicas that are fuller are compared only when all are.
+/// Replicas at or above this utilization are compared only when all are.
 constexpr double max_compared_utilization = 0.9;
 
-/// A replica with so much for each slot, requests that wait for a load
-/// included, turns further ones away: each would wait for a place after its
-/// load.
+/// A replica with this utilization, counting requests that wait for a load, is
+/// denied further load requests: each would have to wait for a slot even after
+/// its load.
 constexpr double full_utilization = 1;
-/// Smaller differences of failures are chance.
+/// Smaller differences in the failure fraction are taken for chance.
 constexpr double min_noticed_excess = 0.02;
 
-/// Only whether a slot is free counts: nodes hear of loads at other times, and
-/// by them would have a rare adapter loaded at several replicas.
-/// @returns true when an adapter should rather be loaded at `left`
+/// Compares only whether a slot is free. Nodes receive usage reports at
+/// different times; if they compared the load, they would have a rarely used
+/// adapter loaded at several replicas.
+/// @returns true when an adapter should be loaded at `left` rather than at
+///          `right`
 bool has_more_capacity(replica const& left, replica const& right) {
     return left.free_slots > 0 && right.free_slots <= 0;
 }
@@ -119,9 +122,10 @@
     if (others != all.begin()) {
         all.erase(others, all.end());
     }
-    // Word from other nodes is older than the time between two requests. All
-    // that pick the least loaded one by the same old word would pick the same
-    // one; the better of some drawn at random spreads as well as fresh word.
+    // Usage reports from other nodes are older than the time between two
+    // requests. If all nodes chose the least loaded replica by the same old
+    // reports, they would all choose the same one. Choosing the best of a few
+    // random candidates spreads requests as well as fresh reports would.
     // Reference: M. Mitzenmacher, "How useful is old information?", IEEE
     // Transactions on Parallel and Distributed Systems 11(1), 2000.
     std::size_t const compared_count = requirements.adapter.empty()
@@ -157,7 +161,8 @@
     replica_requirements const& requirements, instant now) const {
     std::vector<endpoint_id> eligible;
     for (replica const* const each : fleet_->of_service(requirements.service)) {
-        // One that holds an older version would have to end its runs first.
+        // A replica with an older version resident would first have to complete
+        // the requests that use it.
         auto const entry = each->adapters.find(requirements.adapter);
         bool const is_resident =
             entry != each->adapters.end() && !entry->second.unloading;
@@ -168,11 +173,12 @@
             eligible.push_back(each->record.id);
         }
     }
-    // The order alone decides, so that all nodes ask for a rare adapter at the
-    // same replica. Whoever orders there knows best whether it has a place, and
-    // turns requests away beyond; by what each node has heard of the crowding
-    // they would load it at several, and from the store though its own home
-    // still keeps a copy.
+    // The rendezvous ranking alone decides, so that all nodes request the load
+    // of a rarely used adapter at the same replica. The replica's controller
+    // knows best whether the replica has capacity, and denies further requests.
+    // If each node decided by the usage reports that it has received, the nodes
+    // would load the adapter at several replicas, and from the weight store
+    // although its preferred replica still has it cached.
     auto const ranked =
         rendezvous_top(requirements.adapter.str(), eligible, eligible.size());
     replica* with_cached = nullptr;
--- a/src/Fleet/replica_selector.hpp
+++ b/src/Fleet/replica_selector.hpp
@@ -10,63 +10,72 @@
 
 namespace camphorpoint {
 
-/// What a request asks of the replica that it is sent to.
+/// What a request requires of the replica that it is sent to.
 struct replica_requirements {
     service_id service;
     /// Empty for a plain service.
     adapter_id adapter;
-    /// Empty when any model does.
+    /// Empty when any model will do.
     model_id model;
-    /// Older versions of the adapter won't do.
+    /// Lowest version of the adapter that may be used.
     std::uint32_t min_version = 0;
-    /// Replicas that this request has been at.
+    /// Replicas to which this request has already been sent.
     std::vector<endpoint_id> tried_replicas;
-    /// Any number: requests with other numbers look at other replicas first, so
-    /// that nodes with the same view do not all send to the same one.
+    /// Any number. Requests with different numbers consider the replicas in a
+    /// different order, so that nodes with the same view do not all choose the
+    /// same one.
     std::uint64_t random_sample = 0;
-    /// The request may still run for so long: replicas that are gone sooner
-    /// are left out.
+    /// How long the request may still run; replicas that shut down sooner are
+    /// left out.
     duration expected_time{0};
 };
 
-/// Picks replicas for requests. Reads a fleet, changes nothing.
+/// Selects replicas for requests. Reads a fleet and changes nothing.
 class replica_selector {
 public:
-    /// @param replicas what is believed; must outlive the choice
+    /// @param replicas this node's view of the replicas; must outlive the
+    ///                 selector
     explicit replica_selector(fleet& replicas)
         : fleet_(&replicas) {}
 
     /// @returns the replica that should run the request now: for an adapter the
-    ///          less loaded of two that hold it, for a plain service the one
-    ///          that should answer first; null when none can
+    ///          one with the lowest cost of a few random replicas on which it
+    ///          is resident, for a plain service the one with the lowest cost
+    ///          of all; null when no replica can run it
     replica* best(replica_requirements const& requirements, instant now) const;
-    /// @returns the replicas that `best` compares: word of their loads should
+    /// @returns the replicas that `best` compares; their usage reports should
     ///          be fresh
     std::vector<replica*> compared_replicas(
         replica_requirements const& requirements, instant now) const;
-    /// @returns the replica that should be made to hold the adapter next: the
-    ///          first in the adapter's own order that has not turned requests
-    ///          away just now; null when there is none
+    /// @returns the replica at which the adapter should be loaded next: the
+    ///          first in the adapter's rendezvous ranking that has not denied a
+    ///          load request lately, preferring replicas that have the adapter
+    ///          cached or a slot free; null when there is none
     replica* next_preferred_replica(
         replica_requirements const& requirements, instant now) const;
-    /// @returns of the replicas that turned the adapter away just now the one
-    ///          where it would be ready first; null when there is none
+    /// @returns the replica among those that have lately denied a load request
+    ///          for the adapter at which it would be ready first; null when
+    ///          there is none
     replica* soonest_ready_replica(
         replica_requirements const& requirements, instant now) const;
-    /// @returns how full the replica is, by its batch and by what it has to
-    ///          read; 1 is full
+    /// @returns how full the replica is, by its batch and by its unprocessed
+    ///          prompt tokens; 1 is full
     static double utilization(replica const& each, instant now);
-    /// The same, by the count of the node that orders for the replica.
+    /// The same, by the usage that the replica's controller has counted.
+    /// @param slots number of the replica's slots
     static double utilization(replica_usage const& total, unsigned slots);
-    /// @returns true when a further request that waits for a load may wait for
-    ///          one there
+    /// @returns true when the replica has capacity for one more request that
+    ///          waits for a load there
     static bool has_capacity(replica_usage const& total, unsigned slots);
-    /// @returns how many open replicas hold the adapter
+    /// @returns the number of eligible replicas on which the adapter is
+    ///          resident
     std::size_t
     resident_count(replica_requirements const& requirements, instant now) const;
-    /// @returns true when new requests may be sent to some replica
+    /// @returns true when new requests may be sent to at least one replica of
+    ///          the service
     bool any_accepts_requests(service_id const& service) const;
-    /// @returns how crowded the open replicas of a service are in the mean
+    /// @returns the mean utilization of the service's replicas that accept
+    ///          requests and are not suspected
     double mean_utilization(service_id const& service, instant now) const;
 
 private:
--- a/src/Fleet/running_request_tracker.cpp
+++ b/src/Fleet/running_request_tracker.cpp
@@ -7,15 +7,17 @@
 
 namespace {
 
-/// A node repeats its counts every 200 ms while it has runs. One that tells
-/// nothing for so long has stopped, and its runs are over.
+/// A node repeats its counts every 200 ms while it has running requests. A node
+/// that has sent none for this long has stopped, and its requests are over.
 constexpr duration node_timeout = std::chrono::seconds(3);
-/// Between an answer and the word of the run that follows from it lie two ways
-/// between nodes and the sender's own work.
+/// An answer to a usage query and the report of the request that follows from
+/// it are separated by two transfers between nodes and the sender's own
+/// processing time.
 constexpr duration expected_half_life = std::chrono::milliseconds(20);
-/// Loads take about this long, and those who wait for one send then.
+/// Loads take about this long, and the requests that wait for one are sent when
+/// it completes.
 constexpr duration waiting_half_life = std::chrono::milliseconds(300);
-/// Less than this is nothing.
+/// Smaller counts are treated as zero.
 constexpr double negligible_count = 0.05;
 
 } // namespace
--- a/src/Fleet/running_request_tracker.hpp
+++ b/src/Fleet/running_request_tracker.hpp
@@ -12,47 +12,56 @@
 
 namespace camphorpoint {
 
-/// What all nodes together have at one replica.
+/// What all nodes together have running at one replica.
 struct replica_usage {
     unsigned running = 0;
-    /// Prompt tokens that the replica has still to read.
+    /// Prompt tokens that the replica has yet to process.
     double backlog_tokens = 0;
-    /// Adapters that could be loaded there at once, less those that wait.
+    /// Adapters that could be loaded there at once, less those that wait for a
+    /// load. Negative when more adapters wait.
     int free_slots = 0;
 };
 
-/// The runs of all nodes at the replicas that this node orders for, as each
-/// node tells them when they begin and end. One node that counts for a replica
-/// can say at any moment how full it is. Guards against herds: with many nodes,
-/// counts that everybody tells everybody are a second old, all nodes then send
-/// to the replica that was idle, and twice as many requests as it has slots
-/// wait there while others are half empty.
+/// Counts the running requests of all nodes at the replicas that this node
+/// controls. Each node reports its requests when they start and complete. A
+/// single node that counts for a replica can say at any moment how full it is.
+/// Guards against herding: with many nodes, counts that every node broadcasts
+/// are a second old. All nodes then send to the replica that was idle, and
+/// twice as many requests as it has slots wait there while other replicas are
+/// half empty.
 class running_request_tracker {
 public:
-    /// A node tells its runs with an adapter at a replica.
-    /// @param node          who tells
-    /// @param replica       short name of the replica
-    /// @param adapter       empty for a plain service
-    /// @param running       all that the node has there with this adapter now
-    /// @param prompt_tokens of prompts sent since its last word
+    /// Applies a node's report of its running requests with an adapter at a
+    /// replica.
+    /// @param node name of the reporting node
+    /// @param replica `fleet::id_hash` of the replica
+    /// @param adapter empty for a plain service
+    /// @param running all requests that the node has running there with this
+    ///                adapter
+    /// @param prompt_tokens tokens of the prompts that the node has sent there
+    ///                      since its last report
     void update(
         std::string const& node, std::uint64_t replica,
         adapter_id const& adapter, unsigned running, unsigned prompt_tokens,
         instant now);
 
-    /// Somebody was told how full a replica is, and sends there by that, with
-    /// this probability. Until its run is told it counts, so that those who ask
-    /// at the same moment do not all hear the same.
+    /// Records that a node was told how full a replica is and will, with this
+    /// probability, send a request there. The expected request counts until it
+    /// is reported, so that nodes that ask at the same moment do not all get
+    /// the same answer.
     void add_expected_request(
         std::uint64_t replica, double probability, instant now);
-    /// Somebody waits for a load there and will send when it has come.
+    /// Records that a request waits for a load at the replica and will be sent
+    /// when the load completes.
     void add_waiting_request(std::uint64_t replica, instant now);
 
-    /// @returns what all nodes have there, and are about to have
+    /// @returns what all nodes have running there and are about to send there;
+    ///          `free_slots` is not set
     replica_usage usage(std::uint64_t replica, instant now) const;
-    /// @returns true while some node has runs with the adapter there
+    /// @returns true while any node has running requests with the adapter there
     bool in_use(std::uint64_t replica, adapter_id const& adapter) const;
-    /// Drops what nodes have told that are silent by now.
+    /// Drops the reports of nodes from which no report was received within the
+    /// time limit.
     void drop_timed_out_nodes(instant now);
 
 private:
@@ -61,7 +70,8 @@
         instant reported_at;
     };
     using reporter = std::pair<std::string, adapter_id>;
-    /// A count of what is about to come, which fades as it comes.
+    /// A count of requests that are about to be sent; it decays while they are
+    /// sent.
     class decaying_count {
     public:
         void add(double amount, duration half_life, instant now);
