--- a/src/Routing/declaration_poll_schedule.cpp
+++ b/src/Routing/declaration_poll_schedule.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// @returns the time, doubled so often, within its bound
+/// @returns `time` doubled `doublings` times, but at most `limit`
 milliseconds
 backed_off(milliseconds time, unsigned doublings, milliseconds limit) noexcept {
-    // Four doublings pass every bound.
+    // Four doublings exceed every limit.
     constexpr unsigned max_doublings = 4;
     return std::min(limit, time * (1U << std::min(doublings, max_doublings)));
 }
@@ -27,8 +27,8 @@
     if (last_full_poll_at_ < history_stale_until_) {
         return last_full_poll_at_ + settings_.stale_history_poll_interval;
     }
-    // Between half and one and a half of the pause, so that nodes which began
-    // together do not read together.
+    // Between half and one and a half of the interval, so that nodes that
+    // started together do not poll together.
     double const fraction = 0.5 + random_fraction_;
     return last_full_poll_at_ +
            std::chrono::duration_cast<duration>(
@@ -51,7 +51,8 @@
     poll.full = full_poll_needed_ || epoch_outdated() ||
                 missed_declarations() || now >= next_full_poll_time(nodes);
     poll.from = position_;
-    // What others have read already is there: nothing to wait for.
+    // What another node has already read is available at once, so there is
+    // nothing to wait for.
     poll.long_poll = !poll.full && !is_ahead(peer_position_, position_);
     poll.response_timeout = backed_off(
         settings_.response_timeout, failures_, settings_.max_response_timeout);
@@ -61,7 +62,8 @@
         poll.delay = backed_off(
             settings_.retry_delay, failures_ - 1, settings_.max_retry_delay);
     } else if (expirations_ > 1) {
-        // What was read whole was older than the history that is left.
+        // The result of the full poll was older than the oldest record that the
+        // store still has.
         poll.delay = settings_.retry_delay;
     } else if (answered_empty_) {
         poll.delay = settings_.unconfigured_delay;
@@ -75,12 +77,14 @@
     long_poll_distrusted_ = false;
     bool const is_valid = poll.full || end_position.epoch == poll.from.epoch;
     if (end_position.epoch < epoch_ || !is_valid) {
-        // The store has gone back meanwhile: it says nothing of what is there.
+        // The store rolled back during the poll, so the answer does not
+        // describe its present contents.
         epoch_ = std::max(epoch_, end_position.epoch);
         return;
     }
     epoch_ = end_position.epoch;
-    // A store that does not name its era may have lost the place too.
+    // A store that does not report its epoch may have rolled back as well, so
+    // the position may also become lower.
     bool const rolled_back = poll.full && expirations_ > 0;
     position_ =
         rolled_back ? end_position : max_position(position_, end_position);
@@ -93,7 +97,8 @@
         expirations_ = 0;
     }
     if (!poll.long_poll) {
-        // The store has nothing beyond: the word was of something else.
+        // The store has no records beyond this position; the peer's report
+        // referred to something else.
         peer_position_ = position_;
     }
 }
--- a/src/Routing/declaration_poll_schedule.hpp
+++ b/src/Routing/declaration_poll_schedule.hpp
@@ -8,87 +8,98 @@
 
 namespace camphorpoint {
 
-/// The times by which a node reads what the operator declares.
+/// The timing of a node's polls of the operator's declarations: the
+/// configuration and the declared adapter versions.
 struct declaration_poll_settings {
-    /// A reading is given up when it is silent for so long. Each failure in a
-    /// row doubles it, as a store that many read at once answers late: with a
-    /// fixed bound all give up and ask again, and nobody is answered.
+    /// A poll is cancelled when no data is received for this time. The timeout
+    /// doubles with each failure in a row, since a store that many nodes read
+    /// at once answers late: with a fixed timeout all nodes would cancel and
+    /// ask again, and none would get an answer.
     std::chrono::milliseconds response_timeout{800};
     std::chrono::milliseconds max_response_timeout{3'200};
-    /// Between a failed reading and the next. Doubles likewise.
+    /// Between a failed poll and the next one. Doubles in the same way.
     std::chrono::milliseconds retry_delay{250};
     std::chrono::milliseconds max_retry_delay{1'000};
-    /// Between two readings while there is no configuration at all, which
-    /// stands some seconds before the first request comes.
+    /// Between two polls while there is no configuration at all. The
+    /// configuration is written some seconds before the first request arrives.
     std::chrono::milliseconds unconfigured_delay{500};
-    /// Of all nodes together one reads everything anew so often, in case that a
-    /// record was missed without a sign; it tells the others how much it knows.
+    /// How often one of all nodes does a full poll, in case a record was missed
+    /// without any sign of it. That node reports to the others how much it
+    /// knows.
     std::chrono::milliseconds full_poll_interval{12'000};
-    /// After the store has forgotten its history its answers may be seconds
-    /// old (5.5 s were seen): for so long a node reads everything again, so
-    /// often.
+    /// After the store has dropped its history its answers may be seconds old
+    /// (up to 5.5 s were observed). During this period a node repeats its full
+    /// poll at this interval.
     std::chrono::milliseconds stale_history_period{5'000};
     std::chrono::milliseconds stale_history_poll_interval{3'000};
 };
 
-/// One reading of what the operator declares.
+/// One poll of the operator's declarations.
 struct declaration_poll {
-    /// The newest record of each key; else what was written from a place on.
+    /// True to request the newest record of each key, false to request the
+    /// records from a position on.
     bool full = true;
     store_position from;
-    /// The store may hold its answer back until there is something new.
+    /// The store may delay its answer until there is a new record.
     bool long_poll = false;
     std::chrono::milliseconds delay{0};
     std::chrono::milliseconds response_timeout{0};
 };
 
-/// Decides how a node reads what the operator declares: when it waits for the
-/// next record, when it reads everything, and when a wait is no longer trusted.
-/// A node has one reading at a time.
+/// Decides how a node polls the operator's declarations: when it waits in a
+/// long poll for the next record, when it does a full poll, and when a pending
+/// long poll is no longer trusted. A node runs one poll at a time.
 class declaration_poll_schedule {
 public:
-    /// @param times by which it reads
-    /// @param draw  0 to 1, another one on each node
+    /// @param settings timing of the polls
+    /// @param random_fraction 0 to 1, a different one on each node
     explicit declaration_poll_schedule(
         declaration_poll_settings settings = {}, double random_fraction = 0.5);
 
-    /// @param nodes how many nodes share the checks
-    /// @returns the reading to begin now
+    /// @param nodes number of nodes that share the regular full polls
+    /// @returns the poll to start now
     declaration_poll next_poll(instant now, unsigned nodes) const;
-    /// A reading has been answered.
-    /// @param place where what is written next will stand
+    /// Records that a poll was answered.
+    /// @param poll the poll as `next_poll` returned it
+    /// @param end_position position of the next record to be written
     void poll_succeeded(
         declaration_poll const& poll, store_position end_position, instant now);
-    /// A reading has brought nothing.
+    /// Records that a poll failed.
     void poll_failed();
-    /// The place to read from is gone from the store's history.
+    /// Records that the store's log no longer contains this node's position.
     void position_expired(instant now);
-    /// There is a configuration.
+    /// Records that this node has a configuration.
     void mark_configured() noexcept { configured_ = true; }
-    /// How much is known: the sum of all versions, which only rises.
+    /// Sets how much this node knows: the sum of all versions, which never
+    /// decreases.
     void set_known_total(std::uint64_t total) noexcept { known_total_ = total; }
 
-    /// Another node has read so far, and knows so much.
+    /// Processes another node's report of the position up to which it has read
+    /// and of its known total.
     void handle_peer_progress(
         store_position end_position, std::uint64_t total) noexcept;
-    /// The store has come back from an older copy, in this era.
-    /// @param at when this node reads everything, another time on each node
+    /// Records that the store was restored from an older snapshot and is now in
+    /// this epoch.
+    /// @param poll_at when this node does its full poll; a different time on
+    ///                each node
     void enter_epoch(store_epoch epoch, instant poll_at) noexcept;
-    /// The connection that a wait uses may have died with the store's outage.
+    /// Makes `is_behind` true until the pending long poll ends: its connection
+    /// may have been lost in the store's outage.
     void distrust_long_poll() noexcept { long_poll_distrusted_ = true; }
-    /// The store answers again: the failures were its outage's.
+    /// Records that the store answers again. The failures so far were due to
+    /// its outage and no longer lengthen delays and timeouts.
     void store_recovered() noexcept {
         distrust_long_poll();
         failures_ = 0;
     }
-    /// @returns true when a wait should have brought something by now
+    /// @returns true when a long poll should have returned something by now
     bool is_behind() const noexcept;
-    /// A wait was ended, since it brought nothing.
+    /// Records that a long poll was cancelled because it returned nothing.
     void long_poll_cancelled() noexcept;
 
-    /// @returns how far has been read
+    /// @returns the position up to which this node has read
     store_position position() const noexcept { return position_; }
-    /// @returns the era of the store that has been heard of last
+    /// @returns the latest known epoch of the store
     store_epoch epoch() const noexcept { return epoch_; }
 
 private:
@@ -104,12 +115,13 @@
     std::uint64_t known_total_ = 0;
     store_position peer_position_;
     std::uint64_t peer_total_ = 0;
-    /// What others know has been looked for up to this total.
+    /// The greatest total of another node for which this node has already done
+    /// a full poll.
     std::uint64_t searched_total_ = 0;
     bool full_poll_needed_ = true;
     bool configured_ = false;
     bool long_poll_distrusted_ = false;
-    /// The last reading was answered, and there is no configuration yet.
+    /// The last poll was answered, but there is no configuration yet.
     bool answered_empty_ = false;
     unsigned failures_ = 0;
     unsigned expirations_ = 0;
--- a/src/Routing/declared_versions.cpp
+++ b/src/Routing/declared_versions.cpp
@@ -17,8 +17,8 @@
     if (adapter.version <= newest.version) {
         return false;
     }
-    // Guards against a version that never binds, as each new one before its
-    // time would put the others off: requests would begin on one that was
+    // Guards against a version that never takes effect because each newer one
+    // replaces it before its time: requests would start on a version that was
     // replaced long ago.
     std::vector<declared_version>& declared = entry.declared;
     declared.push_back({adapter.version, now + grace});
--- a/src/Routing/declared_versions.hpp
+++ b/src/Routing/declared_versions.hpp
@@ -10,23 +10,22 @@
 
 namespace camphorpoint {
 
-/// The versions that the operator has named for adapters, and from when on each
-/// binds: a request may begin on an older one for a while.
+/// The versions that the operator has declared for adapters, and the time from
+/// which each is mandatory. Until then a request may start on an older version.
 class declared_versions {
 public:
-    /// A version was named.
-    /// @param grace requests may begin on an older one for so long from now
-    /// @returns true when it is newer than all that are known
+    /// Adds a declared version.
+    /// @param grace how long from now requests may start on an older version
+    /// @returns true when it is newer than all known versions of the adapter
     bool declare(adapter_ref const& adapter, instant now, duration grace);
 
-    /// @returns the version that a request must run on at least, by now; 0 for
-    ///          any
+    /// @returns the lowest version on which a request may run now; 0 for any
     std::uint32_t min_version(adapter_id const& adapter, instant now) const;
-    /// @returns the newest version that is known, nothing when none was named
+    /// @returns the newest known version, or nothing when none was declared
     std::optional<std::uint32_t> newest(adapter_id const& adapter) const;
-    /// @returns adapters with their newest versions
+    /// @returns all adapters with their newest versions
     std::vector<adapter_ref> const& all() const noexcept { return all_; }
-    /// @returns the sum of the newest versions, which only rises
+    /// @returns the sum of the newest versions, which never decreases
     std::uint64_t total() const noexcept { return total_; }
 
 private:
@@ -35,10 +34,10 @@
         instant effective_at;
     };
     struct adapter_versions {
-        /// In the order of their versions: the newest that binds, and those
-        /// that do not yet.
+        /// In ascending order: the newest version that has taken effect, and
+        /// those that have not yet.
         std::vector<declared_version> declared;
-        /// Where its newest stands among all.
+        /// Index of the adapter in `all_`.
         std::size_t index = 0;
     };
 
--- a/src/Routing/route_table.cpp
+++ b/src/Routing/route_table.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// A host holds no line break, so that the two parts can't run together.
+/// Joins host and prefix by a line break, which a host never contains, so that
+/// different pairs never give the same key.
 std::string route_key(std::string_view host, std::string_view prefix) {
     std::string key;
     key.reserve(host.size() + prefix.size() + 1);
--- a/src/Routing/route_table.hpp
+++ b/src/Routing/route_table.hpp
@@ -11,20 +11,20 @@
 
 namespace camphorpoint {
 
-/// Finds the route of a request. A look-up takes a hash for each slash of the
-/// path, however many routes there are.
+/// Finds the route of a request. A lookup takes one hash computation per slash
+/// in the path, no matter how many routes there are.
 class route_table {
 public:
     route_table() = default;
-    /// @param configuration its routes are copied
+    /// @param configuration source of the routes, which are copied
     explicit route_table(routing_configuration const& configuration);
 
-    /// @param host the request's host, a port behind it is left out
-    /// @param path the request's path; a query behind it is left out
-    /// @returns the route with the longest prefix, null when there is none
+    /// @param host the request's host; a port after it is ignored
+    /// @param path the request's path; a query after it is ignored
+    /// @returns the route with the longest matching prefix, or null
     service_route const*
     find(std::string_view host, std::string_view path) const;
-    /// @returns how many routes there are
+    /// @returns the number of routes
     std::size_t size() const noexcept { return routes_.size(); }
 
 private:
@@ -32,10 +32,11 @@
     std::unordered_map<std::string, std::size_t> index_by_key_;
 };
 
-/// Picks one of a route's services by their weights; one request always gets
-/// the same one.
-/// @param route a route with at least one share
-/// @param draw  a hash of the request
+/// Selects one of a route's services according to their weights. The same
+/// request always gets the same service.
+/// @param route a route with at least one service
+/// @param request_hash a hash of the request
+/// @returns the name of the selected service
 service_id const&
 pick_service(service_route const& route, std::uint64_t request_hash);
 
--- a/src/Routing/routing_configuration.hpp
+++ b/src/Routing/routing_configuration.hpp
@@ -10,45 +10,47 @@
 
 namespace camphorpoint {
 
-/// Names a service: a group of replicas that answer the same requests.
+/// Name of a service: a group of replicas that answer the same requests.
 using service_id = strong_string<struct service_id_tag>;
 
-/// What may be repeated on a route.
+/// Whether requests of a route may be repeated.
 enum class route_kind : std::uint8_t {
-    /// May run more than once.
+    /// A request may run more than once.
     safe,
-    /// Runs once at most for each request.
+    /// A request runs at most once.
     unsafe,
-    /// A stream of events; runs once at most unless the route is resumable.
+    /// A stream of events; a request runs at most once unless the route is
+    /// resumable.
     streaming
 };
 
-/// A service's part of a route's requests.
+/// A service of a route with the weight by which it gets the route's requests.
 struct weighted_service {
     service_id service;
     double weight = 1;
 };
 
-/// Where requests of one host and path prefix go, and what holds for them.
+/// Where requests with a given host and path prefix are sent, and the rules
+/// that apply to them.
 struct service_route {
     std::string name;
     std::string host;
-    /// Begins and ends with a slash.
+    /// Starts and ends with a slash.
     std::string path_prefix;
     route_kind kind = route_kind::unsafe;
     /// The longest time that a caller is kept waiting.
     std::chrono::milliseconds timeout{0};
-    /// Within this an answer, or a stream's first event, is on time.
+    /// An answer, or the first event of a stream, is on time within this.
     std::chrono::milliseconds objective{0};
     /// 0 is the most urgent.
     unsigned priority = 0;
-    /// Replicas that one request may be sent to.
+    /// Number of replicas to which one request may be sent.
     unsigned attempts = 1;
-    /// A cut stream may go on at another replica.
+    /// An interrupted stream may continue at another replica.
     bool resumable = false;
     std::vector<weighted_service> weighted_services;
 
-    /// @returns true when a second run does no harm
+    /// @returns true when running a request a second time does no harm
     bool idempotent() const noexcept {
         return kind == route_kind::safe ||
                (kind == route_kind::streaming && resumable);
@@ -61,23 +63,24 @@
     std::chrono::milliseconds load_time{0};
 };
 
-/// What the replicas of an engine service can hold.
+/// What the replicas of an engine service can have loaded.
 struct engine_definition {
     unsigned adapter_slots = 0;
-    /// Loads of base models that the weight store starts in a second.
+    /// Loads of base models that the weight store can start per second.
     double loads_per_second = 1;
     std::vector<engine_model> models;
 };
 
-/// A service as declared.
+/// A service as the operator declares it.
 struct service_definition {
     service_id name;
-    /// Connections that a replica takes from all nodes together; 0: no limit.
+    /// Connections that a replica accepts from all nodes together; 0 for no
+    /// limit.
     unsigned max_connections = 0;
     std::optional<engine_definition> engine;
 };
 
-/// What one caller may send, and how long it may take.
+/// Limits on what one caller may send and how long sending may take.
 struct caller_limits {
     std::uint32_t header_bytes = 16U << 10U;
     std::uint64_t body_bytes = 4U << 20U;
@@ -92,7 +95,7 @@
     std::vector<service_definition> services;
     caller_limits limits;
 
-    /// @returns the service of the name, or null
+    /// @returns the service with this name, or null
     service_definition const*
     find_service(service_id const& name) const noexcept;
 };
--- a/src/Routing/startup_gate.cpp
+++ b/src/Routing/startup_gate.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Any node that has run on knows as much as all others within seconds.
+/// Enough peers, since any node that has run for some seconds knows as much as
+/// all others.
 constexpr std::size_t max_peers_asked = 8;
 
 } // namespace
@@ -27,8 +28,8 @@
     if (done_) {
         return;
     }
-    // Each node asks others than the rest: where all begin at once, nobody is
-    // asked by all.
+    // Each node picks its own peers, so that no node is asked by all others
+    // when all nodes start at once.
     std::multimap<std::uint64_t, std::string> ranked;
     for (std::string const& each : others) {
         ranked.emplace(combine_hashes(hash_text(own), hash_text(each)), each);
--- a/src/Routing/startup_gate.hpp
+++ b/src/Routing/startup_gate.hpp
@@ -11,48 +11,52 @@
 
 namespace camphorpoint {
 
-/// How long a node that has begun waits before it serves.
+/// How long a starting node waits before it serves requests.
 struct startup_gate_timeouts {
-    /// For the group's list and for the first word of each node in it, from
-    /// the first configuration on. A node that was killed stays in the list
-    /// for as long as its lease, and says nothing.
+    /// For the member list and the first report of each node in it, from the
+    /// first configuration on. A node that was killed stays in the list until
+    /// its lease expires and sends no report.
     std::chrono::milliseconds peer_report_timeout{500};
-    /// For what others know and the store does not have, from the first
+    /// For what other nodes know but the store does not contain, from the first
     /// configuration on. The operator writes it again within seconds; after
-    /// this the node serves by what it has read.
+    /// this time the node serves according to what it has read.
     std::chrono::milliseconds catch_up_timeout{8'000};
 };
 
-/// Decides whether a node that has begun may serve by what it has read of what
-/// the operator declares. Guards against a node that takes an older copy of the
-/// store for the newest: it would answer 404 on a route that was in force, or
-/// begin runs on a version that was replaced. It holds because the nodes that
-/// run say how much they know, and a node that has begun hears them first.
+/// Decides whether a starting node may serve according to the declarations of
+/// the operator that it has read. Guards against a node that takes an older
+/// snapshot of the store for the newest state: it would answer 404 on a route
+/// that was in force, or start requests on a version that was replaced. The
+/// running nodes report how much they know, and a starting node waits for their
+/// reports first.
 class startup_gate {
 public:
-    /// @param times how long it waits
+    /// @param timeouts how long the node waits
     explicit startup_gate(startup_gate_timeouts timeouts = {});
 
-    /// There is a configuration.
+    /// Records that this node has a configuration.
     void mark_configured(instant now);
-    /// The group's list has been read.
-    /// @param own    this node's name
-    /// @param others the other nodes in it, of which a few are to be asked
+    /// Sets the members of the group and selects the peers to ask.
+    /// @param own name of this node
+    /// @param others names of the other members
     void set_peers(std::string_view own, std::set<std::string> const& others);
-    /// Another node has said how much it knows: the sum of all versions.
+    /// Processes another node's report of how much it knows: the sum of all
+    /// versions.
+    /// @param from name of that node
     void handle_peer_total(std::string const& from, std::uint64_t total);
 
-    /// Once true it stays so: a node that serves keeps what it has.
+    /// Evaluates the gate. Once passed it stays so: a node that serves requests
+    /// keeps its state.
     /// @param known the sum of all versions that this node knows
-    /// @returns true when it may serve
+    /// @returns true when the node may serve requests
     bool passed(std::uint64_t known, instant now);
-    /// @returns true once it has passed
+    /// @returns true once `passed` has returned true
     bool done() const noexcept { return done_; }
-    /// @returns the nodes that are to be asked
+    /// @returns the names of the peers to ask
     std::set<std::string> const& peers_to_ask() const noexcept {
         return peers_to_ask_;
     }
-    /// @returns the most that others have said so far
+    /// @returns the greatest total that other nodes have reported so far
     std::uint64_t reported_total() const noexcept { return reported_total_; }
 
 private:
