--- a/test/declaration_poll_schedule_test.cpp
+++ b/test/declaration_poll_schedule_test.cpp
@@ -15,17 +15,18 @@
 constexpr unsigned nodes = 10;
 constexpr instant start = instant() + seconds(100);
 
-/// @returns a place in the first era
+/// @returns a position in the first epoch
 constexpr store_position at(std::uint64_t offset) {
     return {store_epoch{1}, offset};
 }
 
-/// @returns a place after the store has come back from an older copy
+/// @returns a position after a store rollback
 constexpr store_position after_rollback(std::uint64_t offset) {
     return {store_epoch{2}, offset};
 }
 
-/// A plan that has read everything up to place 7 and knows 50.
+/// @returns a schedule that has read everything up to position 7 and knows a
+///          total of 50
 declaration_poll_schedule up_to_date(instant now) {
     declaration_poll_schedule schedule;
     schedule.mark_configured();
@@ -36,17 +37,18 @@
 
 } // namespace
 
-TEST_CASE("a node reads everything at its start, then waits for what comes") {
+TEST_CASE("a node does a full poll at its start, then long polls") {
     declaration_poll_schedule schedule;
     CHECK(schedule.next_poll(start, nodes).full);
     CHECK(schedule.next_poll(start, nodes).delay == milliseconds(0));
 
-    SUBCASE("again, with a pause, while nothing is declared yet") {
+    SUBCASE("another full poll, after a delay, while nothing is declared yet") {
         schedule.poll_succeeded(schedule.next_poll(start, nodes), at(0), start);
         CHECK(schedule.next_poll(start, nodes).full);
         CHECK(schedule.next_poll(start, nodes).delay == milliseconds(500));
     }
-    SUBCASE("from where the reading ended, as soon as there is something") {
+    SUBCASE(
+        "from where the full poll ended, as soon as there is a configuration") {
         schedule.mark_configured();
         schedule.poll_succeeded(schedule.next_poll(start, nodes), at(7), start);
         CHECK_FALSE(schedule.next_poll(start, nodes).full);
@@ -56,10 +58,11 @@
     }
 }
 
-// Sixty nodes read a large configuration from a store that carries it to all of
-// them in two seconds. With a fixed patience of 0.8 s each gives up and asks
-// again, and what is sent to all is thrown away, for as long as they ask.
-TEST_CASE("each failure in a row doubles patience and pause") {
+// Sixty nodes read a large configuration from a store that takes two seconds to
+// send it to all of them. Guards against a fixed timeout of 0.8 s: each node
+// would cancel and ask again, and everything sent would be discarded for as
+// long as they ask.
+TEST_CASE("each failure in a row doubles timeout and delay") {
     declaration_poll_schedule schedule;
     CHECK(
         schedule.next_poll(start, nodes).response_timeout == milliseconds(800));
@@ -76,13 +79,13 @@
     for (int each = 0; each < 40; ++each) {
         schedule.poll_failed();
     }
-    SUBCASE("up to a bound, so that the store's return is seen") {
+    SUBCASE("up to a limit, so that the store's recovery is noticed") {
         CHECK(
             schedule.next_poll(start, nodes).response_timeout ==
             milliseconds(3'200));
         CHECK(schedule.next_poll(start, nodes).delay == milliseconds(1'000));
     }
-    SUBCASE("and an answer ends it") {
+    SUBCASE("and an answer resets them") {
         schedule.mark_configured();
         schedule.poll_succeeded(schedule.next_poll(start, nodes), at(7), start);
         CHECK(
@@ -92,7 +95,7 @@
     }
 }
 
-TEST_CASE("word of another node that has read further") {
+TEST_CASE("the report of another node that has read further") {
     declaration_poll_schedule schedule = up_to_date(start);
     CHECK_FALSE(schedule.is_behind());
     schedule.handle_peer_progress(at(7), 50);
@@ -100,7 +103,7 @@
     schedule.handle_peer_progress(at(8), 50);
     REQUIRE(schedule.is_behind());
 
-    SUBCASE("is followed from this node's place, without a wait") {
+    SUBCASE("leads to a poll from this node's position that does not wait") {
         schedule.long_poll_cancelled();
         CHECK_FALSE(schedule.next_poll(start, nodes).full);
         CHECK(schedule.next_poll(start, nodes).from == at(7));
@@ -109,13 +112,13 @@
         CHECK_FALSE(schedule.is_behind());
         CHECK(schedule.next_poll(start, nodes).long_poll);
     }
-    SUBCASE("is forgotten when the store has nothing there, so that nobody "
-            "asks without end") {
+    SUBCASE("is dropped when the store has no records there, so that no node "
+            "polls for them forever") {
         schedule.poll_succeeded(schedule.next_poll(start, nodes), at(7), start);
         CHECK_FALSE(schedule.is_behind());
         CHECK(schedule.next_poll(start, nodes).long_poll);
     }
-    SUBCASE("does not end the wait's own answer") {
+    SUBCASE("is also satisfied by the answer of the pending long poll") {
         declaration_poll const long_poll =
             up_to_date(start).next_poll(start, nodes);
         schedule.poll_succeeded(long_poll, at(8), start);
@@ -123,21 +126,22 @@
     }
 }
 
-// A record was missed without a sign: the place is the same as the others', yet
-// they know more. The node would keep to the old routes for minutes.
-TEST_CASE("a node that knows less than others at the same place") {
+// A record was missed without any sign of it: the position is the same as that
+// of the other nodes, but they know more. Guards against a node that keeps the
+// old routes for minutes.
+TEST_CASE("a node that knows less than others at the same position") {
     declaration_poll_schedule schedule = up_to_date(start);
     schedule.handle_peer_progress(at(7), 51);
     CHECK(schedule.is_behind());
     CHECK(schedule.next_poll(start, nodes).full);
 
-    SUBCASE("knows as much after reading everything") {
+    SUBCASE("knows as much after a full poll") {
         schedule.set_known_total(51);
         schedule.poll_succeeded(schedule.next_poll(start, nodes), at(7), start);
         CHECK_FALSE(schedule.is_behind());
     }
-    SUBCASE("reads everything once for one total, as others may know what is "
-            "no longer declared") {
+    SUBCASE("does one full poll per total, as others may know what is no "
+            "longer declared") {
         schedule.poll_succeeded(schedule.next_poll(start, nodes), at(7), start);
         CHECK_FALSE(schedule.is_behind());
         CHECK_FALSE(schedule.next_poll(start, nodes).full);
@@ -146,7 +150,7 @@
     }
 }
 
-TEST_CASE("all nodes together read everything again from time to time") {
+TEST_CASE("all nodes together repeat the full poll from time to time") {
     declaration_poll_schedule const schedule = up_to_date(start);
     SUBCASE("a single node every 12 s") {
         CHECK_FALSE(schedule.next_poll(start + seconds(11), 1).full);
@@ -156,7 +160,7 @@
         CHECK_FALSE(schedule.next_poll(start + seconds(119), nodes).full);
         CHECK(schedule.next_poll(start + seconds(120), nodes).full);
     }
-    SUBCASE("nodes that began together at different times") {
+    SUBCASE("nodes that started together at different times") {
         declaration_poll_schedule early({}, 0);
         early.mark_configured();
         early.poll_succeeded(early.next_poll(start, nodes), at(7), start);
@@ -164,10 +168,10 @@
     }
 }
 
-// The store drops its history while changes are made, and answers for some
-// seconds what it knew before. A node that takes that for the newest would miss
-// the change without a sign.
-TEST_CASE("a history that is forgotten") {
+// The store drops its history while changes are made, and its answers are some
+// seconds old for a while. Guards against a node that takes them for the newest
+// state and misses the change without any sign of it.
+TEST_CASE("a store that has dropped its history") {
     declaration_poll_schedule schedule = up_to_date(start);
     schedule.position_expired(start);
     CHECK(schedule.next_poll(start, nodes).full);
@@ -175,7 +179,7 @@
     schedule.poll_succeeded(schedule.next_poll(start, nodes), at(9), start);
     CHECK(schedule.next_poll(start, nodes).from == at(9));
 
-    SUBCASE("is read whole again until its answers can't be old any more") {
+    SUBCASE("gets full polls until its answers cannot be old any more") {
         CHECK_FALSE(
             schedule.next_poll(start + milliseconds(2'900), nodes).full);
         instant const again = start + seconds(3);
@@ -186,31 +190,33 @@
         schedule.poll_succeeded(schedule.next_poll(last, nodes), at(9), last);
         CHECK_FALSE(schedule.next_poll(last + seconds(30), nodes).full);
     }
-    SUBCASE("and forgotten at once again is read with a pause") {
+    SUBCASE(
+        "gets the next full poll after a delay if it drops its history again") {
         schedule.position_expired(start);
         CHECK(schedule.next_poll(start, nodes).delay == milliseconds(250));
     }
 }
 
-TEST_CASE("a wait from before the store's outage is not trusted") {
+TEST_CASE("a long poll from before a store outage is not trusted") {
     declaration_poll_schedule schedule = up_to_date(start);
     schedule.distrust_long_poll();
     CHECK(schedule.is_behind());
-    SUBCASE("until it was ended") {
+    SUBCASE("until it has been cancelled") {
         schedule.long_poll_cancelled();
         CHECK_FALSE(schedule.is_behind());
         CHECK(schedule.next_poll(start, nodes).long_poll);
     }
-    SUBCASE("or has brought something") {
+    SUBCASE("or has returned something") {
         schedule.poll_succeeded(schedule.next_poll(start, nodes), at(8), start);
         CHECK_FALSE(schedule.is_behind());
     }
 }
 
-// The store comes back from a copy of some seconds ago, and gives its places
-// out again. A node that goes on from its old place is never told what is
-// declared below it, and asks for what is not there without end.
-TEST_CASE("after the store has gone back everything is read anew") {
+// The store is restored from a snapshot that is some seconds old and assigns
+// its positions again. Guards against a node that continues from its former
+// position: it would never receive what is declared below it, and would
+// repeatedly request records that do not exist.
+TEST_CASE("after a store rollback everything is read again") {
     declaration_poll_schedule schedule = up_to_date(start);
     instant const own_poll_time = start + milliseconds(300);
     schedule.enter_epoch(store_epoch{2}, own_poll_time);
@@ -219,7 +225,7 @@
     CHECK(schedule.next_poll(start, nodes).delay == milliseconds(300));
     CHECK(schedule.next_poll(own_poll_time, nodes).delay == milliseconds(0));
 
-    SUBCASE("and goes on from the lower place") {
+    SUBCASE("and the next poll continues from the lower position") {
         schedule.poll_succeeded(
             schedule.next_poll(own_poll_time, nodes), after_rollback(4),
             own_poll_time);
@@ -229,7 +235,7 @@
             schedule.next_poll(own_poll_time, nodes).from == after_rollback(4));
         CHECK(schedule.next_poll(own_poll_time, nodes).long_poll);
     }
-    SUBCASE("a place of the era before is no news") {
+    SUBCASE("a position of the earlier epoch is ignored") {
         schedule.poll_succeeded(
             schedule.next_poll(own_poll_time, nodes), after_rollback(4),
             own_poll_time);
@@ -237,12 +243,13 @@
         CHECK_FALSE(schedule.is_behind());
         CHECK(schedule.next_poll(own_poll_time, nodes).long_poll);
     }
-    SUBCASE("an answer of the era before does not count") {
+    SUBCASE("an answer of the earlier epoch does not count") {
         schedule.poll_succeeded(schedule.next_poll(start, nodes), at(9), start);
         CHECK(schedule.is_behind());
         CHECK(schedule.next_poll(own_poll_time, nodes).full);
     }
-    SUBCASE("what was asked for in the era before does not either") {
+    SUBCASE(
+        "nor does an answer to a poll from a position of the earlier epoch") {
         declaration_poll const long_poll =
             up_to_date(start).next_poll(start, nodes);
         schedule.poll_succeeded(long_poll, after_rollback(9), start);
@@ -250,8 +257,8 @@
     }
 }
 
-// The same with a store that does not name its era.
-TEST_CASE("a place that is gone is not asked for again") {
+// The same for a store that does not report its epoch.
+TEST_CASE("a position that has expired is not requested again") {
     declaration_poll_schedule schedule = up_to_date(start);
     schedule.position_expired(start);
     schedule.poll_succeeded(schedule.next_poll(start, nodes), at(4), start);
--- a/test/fleet_test.cpp
+++ b/test/fleet_test.cpp
@@ -49,28 +49,28 @@
 
 } // namespace
 
-TEST_CASE("a request goes to a replica that holds its adapter") {
+TEST_CASE("a request is sent to a replica on which its adapter is resident") {
     fleet_fixture fixture;
     fixture.replicas.apply(entry("r1"), fixture.now);
     fixture.replicas.apply(entry("r2", {hot()}), fixture.now);
     CHECK(fixture.best(fixture.make_requirements()) == "r2");
 
-    SUBCASE("not to one that it has been at") {
+    SUBCASE("not to a replica that it has already been sent to") {
         replica_requirements requirements = fixture.make_requirements();
         requirements.tried_replicas.emplace_back("r2");
         CHECK(fixture.best(requirements) == "none");
     }
-    SUBCASE("not to an older version than it must run on") {
+    SUBCASE("not to one with an older version than the request requires") {
         CHECK(fixture.best(fixture.make_requirements(2)) == "none");
         fixture.replicas.mark_resident(endpoint_id("r1"), hot(2), fixture.now);
         CHECK(fixture.best(fixture.make_requirements(2)) == "r1");
     }
-    SUBCASE("not where the adapter is about to go") {
+    SUBCASE("not to one that is about to unload the adapter") {
         fixture.replicas.mark_unloading(
             endpoint_id("r2"), hot().id, fixture.now);
         CHECK(fixture.best(fixture.make_requirements()) == "none");
     }
-    SUBCASE("the list, which is older, takes newer word back only later") {
+    SUBCASE("the older registry overrides a newer message only after a delay") {
         fixture.replicas.mark_resident(endpoint_id("r1"), hot(), fixture.now);
         fixture.replicas.apply(entry("r1"), fixture.now + seconds(1));
         CHECK(
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_CASE("the home of an adapter that nobody holds") {
+TEST_CASE("the preferred replica of an adapter that is not resident anywhere") {
     fleet_fixture fixture;
     for (std::string const name : {"r1", "r2", "r3", "r4"}) {
         fixture.replicas.apply(entry(name), fixture.now);
@@ -96,8 +96,9 @@
             fixture.selector.next_preferred_replica(
                 fixture.make_requirements(), fixture.now) == preferred);
     }
-    SUBCASE("is another while the first is crowded") {
-        // Its orderer counts, and says so to each that asks.
+    SUBCASE("is another one while the first is full") {
+        // The replica's controller counts the running requests and reports them
+        // to each node that asks.
         running_request_tracker tracker;
         std::uint64_t const hash = fleet::id_hash(preferred->record.id);
         for (int each = 0; each < 9; ++each) {
@@ -115,8 +116,8 @@
             fixture.selector.next_preferred_replica(
                 fixture.make_requirements(), fixture.now) != preferred);
     }
-    SUBCASE("is its second one while only that has a slot free") {
-        // Told by the nodes that order, so that all choose alike.
+    SUBCASE("is the second one while only that has a free slot") {
+        // Reported by the controllers, so that all nodes choose alike.
         std::uint64_t const hash = fleet::id_hash(preferred->record.id);
         fixture.replicas.update_usage(hash, {0, 0, -2}, fixture.now);
         replica* second = nullptr;
@@ -135,8 +136,8 @@
             fixture.selector.next_preferred_replica(
                 fixture.make_requirements(), fixture.now) == preferred);
     }
-    SUBCASE("is not one that holds an older version, which would have to wait "
-            "for its runs") {
+    SUBCASE("is not one with an older version, which would first have to "
+            "complete its requests") {
         fixture.replicas.mark_resident(
             preferred->record.id, hot(1), fixture.now);
         CHECK(
@@ -145,9 +146,10 @@
     }
 }
 
-// A replica leaves; its list entry says so. Requests that reach it after its
-// two seconds are cut off with it.
-TEST_CASE("a leaving replica gets nothing new") {
+// Guards against requests that are sent to a leaving replica although its
+// registry entry announces the shutdown. They would be cut off when it stops
+// two seconds later.
+TEST_CASE("a leaving replica gets no new requests") {
     fleet_fixture fixture;
     fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
     replica_record leaving = entry("r1", {hot()});
@@ -156,11 +158,12 @@
         fixture.replicas.apply(leaving, fixture.now) == fleet_change::leaving);
     CHECK(fixture.best(fixture.make_requirements()) == "none");
 
-    SUBCASE("also when an older entry is read afterwards") {
+    SUBCASE("nor when an older entry is read afterwards") {
         fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
         CHECK(fixture.best(fixture.make_requirements()) == "none");
     }
-    SUBCASE("one that leaves at short notice gets nothing that outlasts it") {
+    SUBCASE("one that leaves at short notice gets no request that may take "
+            "longer") {
         replica_record soon = entry("r2", {hot()});
         soon.remaining = milliseconds(500);
         fixture.replicas.apply(soon, fixture.now);
@@ -172,12 +175,11 @@
     }
 }
 
-// The store is down, and the list loses all entries. With them gone nothing
-// would be served, though every replica is there.
-// A replica starts again under the id that it had. Nodes that take it for the
-// earlier one send it requests for adapters that it no longer holds, and one
-// that was about to leave is never used again.
-TEST_CASE("a replica that starts again under its id is another one") {
+// A replica restarts under its former id. Guards against nodes that take it for
+// the earlier process: they would send it requests for adapters that are no
+// longer resident, and would never use it again if the earlier process was
+// about to leave.
+TEST_CASE("a replica that restarts under its id counts as another one") {
     fleet_fixture fixture;
     auto const record_of = [&](int started, std::vector<adapter_ref> adapters) {
         replica_record record = entry("r1", std::move(adapters));
@@ -189,7 +191,7 @@
     fixture.replicas.mark_resident(id, {adapter_id("m/warm"), 1}, fixture.now);
     REQUIRE(fixture.best(fixture.make_requirements()) == "r1");
 
-    SUBCASE("what was told of the earlier one counts no longer") {
+    SUBCASE("messages about the earlier process no longer apply") {
         fixture.replicas.mark_unloading(id, adapter_id("m/cold"), fixture.now);
         CHECK(
             fixture.replicas.apply(record_of(2'000, {}), fixture.now) ==
@@ -199,7 +201,7 @@
         CHECK_FALSE(
             fixture.replicas.find(id)->has_cached(adapter_id("m/cold")));
     }
-    SUBCASE("nor that the earlier one was leaving") {
+    SUBCASE("nor does the leaving of the earlier process") {
         replica_record leaving = record_of(1'000, {hot()});
         leaving.leaving = true;
         fixture.replicas.apply(leaving, fixture.now);
@@ -207,32 +209,34 @@
         fixture.replicas.apply(record_of(2'000, {}), fixture.now);
         CHECK(fixture.replicas.find(id)->accepts_requests());
     }
-    SUBCASE("nor that the earlier one was to be gone by now") {
+    SUBCASE("nor does the announced shutdown time of the earlier process") {
         replica_record noticed = record_of(1'000, {hot()});
         noticed.remaining = milliseconds(10);
         fixture.replicas.apply(noticed, fixture.now);
         fixture.replicas.apply(record_of(2'000, {hot()}), fixture.now);
         CHECK(fixture.replicas.find(id)->shutdown_at == instant::max());
     }
-    SUBCASE("requests of this node that run there end by themselves") {
+    SUBCASE("requests of this node that run there complete on their own") {
         fixture.replicas.request_started(id, 100, fixture.now);
         fixture.replicas.apply(record_of(2'000, {}), fixture.now);
         CHECK(fixture.replicas.find(id)->running_local == 1);
         fixture.replicas.request_finished(id);
         CHECK(fixture.replicas.find(id)->running_local == 0);
     }
-    SUBCASE("a clock that was set back makes it no older") {
+    SUBCASE("a start time before the known one also counts as a restart") {
         fixture.replicas.apply(record_of(500, {}), fixture.now);
         CHECK(fixture.best(fixture.make_requirements()) == "none");
     }
-    SUBCASE("an entry that does not say is the same one's") {
+    SUBCASE("an entry without a start time belongs to the same process") {
         fixture.replicas.apply(entry("r1", {}), fixture.now);
         CHECK(
             fixture.replicas.find(id)->adapters.contains(adapter_id("m/warm")));
     }
 }
 
-TEST_CASE("entries that lapse with the store stay in use") {
+// Guards against removing all replicas when the store is down and all registry
+// entries expire: no request would be served although every replica is there.
+TEST_CASE("replicas whose entries expire in a store outage stay in use") {
     fleet_fixture fixture;
     fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
     fixture.replicas.apply(entry("r2", {hot()}), fixture.now);
@@ -241,7 +245,7 @@
         fixture.selector.resident_count(
             fixture.make_requirements(), fixture.now) == 2);
 
-    SUBCASE("those that come back are as before") {
+    SUBCASE("those that reappear are used as before") {
         fixture.replicas.apply(entry("r1", {hot()}), fixture.now + seconds(1));
         auto const gone =
             fixture.replicas.expire_missing(true, fixture.now + seconds(3));
@@ -249,18 +253,18 @@
         CHECK(gone.front().str() == "r2");
         CHECK(fixture.best(fixture.make_requirements()) == "r1");
     }
-    SUBCASE("none is given up before the store is calm") {
+    SUBCASE("none is removed before the store is stable") {
         CHECK(fixture.replicas.expire_missing(false, fixture.now + seconds(9))
                   .empty());
         CHECK(
             fixture.selector.resident_count(
                 fixture.make_requirements(), fixture.now) == 2);
     }
-    // A replica leaves 0.8 s after the store's return, without a word before.
-    // Its entry was waited for as long as one that had lapsed in the outage,
-    // and callers were sent there when it had ended.
-    SUBCASE("one that is lost after the store's return is not waited for "
-            "longer") {
+    // A replica leaves 0.8 s after the store's recovery without announcing it.
+    // Guards against waiting for its entry as long as for one that expired in
+    // the outage: callers would be sent to a replica that has stopped.
+    SUBCASE(
+        "one that disappears after the store's recovery is not kept longer") {
         fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
         fixture.replicas.apply(entry("r2", {hot()}), fixture.now);
         fixture.now += seconds(2);
@@ -272,7 +276,8 @@
         REQUIRE(gone.size() == 1);
         CHECK(gone.front().str() == "r2");
     }
-    SUBCASE("in a calm time an entry that is lost is gone at once") {
+    SUBCASE("while the store is stable a missing entry removes its replica at "
+            "once") {
         CHECK(
             fixture.replicas.mark_unlisted(
                 endpoint_id("r2"), false, fixture.now) ==
@@ -281,9 +286,10 @@
     }
 }
 
-// The store comes back from an older copy, in which a replica that has left
-// stands as ready. Its requests would be cut off with it.
-TEST_CASE("an entry from before does not bring a replica back") {
+// The store is restored from an older snapshot, in which a replica that has
+// left is listed as ready. Guards against sending it requests, which would be
+// cut off with it.
+TEST_CASE("an entry from an older snapshot does not bring a replica back") {
     fleet replicas;
     instant const now = instant() + seconds(100);
     replica_record record;
@@ -292,26 +298,26 @@
     record.heartbeat = 40;
     replicas.apply(record, now);
 
-    SUBCASE("one that was gone") {
+    SUBCASE("one that was removed") {
         CHECK(
             replicas.mark_unlisted(record.id, false, now) ==
             fleet_change::removed);
         record.heartbeat = 37;
         CHECK(replicas.apply(record, now) == fleet_change::none);
         CHECK_FALSE(replicas.find(record.id)->accepts_requests());
-        SUBCASE("comes back with what it writes itself") {
+        SUBCASE("is used again after it has written a new entry") {
             record.heartbeat = 41;
             replicas.apply(record, now);
             CHECK(replicas.find(record.id)->accepts_requests());
         }
     }
-    SUBCASE("one that was missed while the store was disturbed") {
+    SUBCASE("one that disappeared while the store was unstable") {
         replicas.mark_unlisted(record.id, true, now);
         replicas.apply(record, now);
         replicas.expire_missing(true, now + seconds(3));
         CHECK_FALSE(replicas.find(record.id)->accepts_requests());
     }
-    SUBCASE("one that leaves") {
+    SUBCASE("one that is leaving") {
         record.leaving = true;
         record.heartbeat = 41;
         replicas.apply(record, now);
@@ -320,14 +326,14 @@
         replicas.apply(record, now);
         CHECK_FALSE(replicas.find(record.id)->accepts_requests());
     }
-    SUBCASE("one that is there stays") {
+    SUBCASE("one that is listed stays in use") {
         record.heartbeat = 37;
         replicas.apply(record, now);
         CHECK(replicas.find(record.id)->accepts_requests());
     }
 }
 
-TEST_CASE("nodes tell each other of their requests") {
+TEST_CASE("usage reports of other nodes count in the selection") {
     fleet_fixture fixture;
     fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
     fixture.replicas.apply(entry("r2", {hot()}), fixture.now);
@@ -339,7 +345,7 @@
         CHECK(fixture.best(requirements) == "r2");
     }
 
-    SUBCASE("prompts still to be read count like requests") {
+    SUBCASE("unprocessed prompt tokens count like requests") {
         fixture.replicas.update_usage(first, {0, 8'000}, fixture.now);
         CHECK(fixture.best(fixture.make_requirements()) == "r2");
         CHECK(
@@ -348,16 +354,17 @@
             fixture.replicas.find(endpoint_id("r1"))
                 ->backlog(fixture.now + seconds(1)) == 0);
     }
-    SUBCASE("what a node told that has fallen silent is forgotten") {
+    SUBCASE("usage is reset when no report is received any more") {
         instant const later = fixture.now + seconds(5);
         fixture.replicas.expire_usage(later);
         CHECK(fixture.replicas.find(endpoint_id("r1"))->running() == 0);
     }
 }
 
-// A replica answers its health check and fails two in five of its requests; or
-// it goes dark. Callers of one replica in three would see it for seconds.
-TEST_CASE("health is judged by use") {
+// A replica succeeds in its health check and fails two in five of its requests,
+// or becomes unreachable. Guards against callers of one replica in three seeing
+// these failures for seconds.
+TEST_CASE("health is judged by the outcomes of attempts") {
     fleet_fixture fixture;
     for (std::string const name : {"r1", "r2", "r3"}) {
         fixture.replicas.apply(entry(name, {hot()}), fixture.now);
@@ -373,7 +380,8 @@
         return count;
     };
 
-    SUBCASE("silence rests it at once, and longer each time") {
+    SUBCASE(
+        "a missing response makes it suspected at once, and longer each time") {
         CHECK(failing->health.add_outcome(
             health_signal::no_response, fixture.now));
         CHECK(times_chosen() == 0);
@@ -383,19 +391,19 @@
         fixture.now = failing->health.suspected_until();
         failing->health.add_outcome(health_signal::no_response, fixture.now);
         CHECK(failing->health.suspected_until() - fixture.now > first);
-        SUBCASE("one answer clears it") {
+        SUBCASE("one answer ends the suspicion") {
             failing->health.add_outcome(health_signal::answered, fixture.now);
             CHECK_FALSE(failing->health.suspected(fixture.now));
-            SUBCASE("and after some seconds it takes its part") {
+            SUBCASE("and after some seconds it gets requests again") {
                 fixture.now += seconds(20);
                 CHECK(times_chosen() > 0);
             }
         }
     }
-    // Thirty-seven replicas lose three answers in a hundred. Each such answer
-    // rested its replica for all nodes, and callers were refused while half of
-    // the places were free.
-    SUBCASE("one answer that breaks off rests nobody") {
+    // Thirty-seven replicas truncate three answers in a hundred. Guards against
+    // each such answer making its replica suspected at all nodes: callers would
+    // be refused while half of the slots are free.
+    SUBCASE("one truncated answer does not make it suspected") {
         CHECK_FALSE(
             failing->health.add_outcome(health_signal::truncated, fixture.now));
         CHECK_FALSE(failing->health.suspected(fixture.now));
@@ -404,13 +412,13 @@
                 health_signal::truncated, fixture.now));
             CHECK(failing->health.suspected(fixture.now));
         }
-        SUBCASE("an answer between them starts the row anew") {
+        SUBCASE("an answer between them restarts the count") {
             failing->health.add_outcome(health_signal::answered, fixture.now);
             CHECK_FALSE(failing->health.add_outcome(
                 health_signal::truncated, fixture.now));
         }
     }
-    SUBCASE("failures beyond its peers' push requests away") {
+    SUBCASE("failures in excess of its peers' divert requests") {
         for (int each = 0; each < 20; ++each) {
             failing->health.add_outcome(
                 each % 5 < 2 ? health_signal::failed : health_signal::answered,
@@ -418,7 +426,7 @@
         }
         CHECK(times_chosen() == 0);
     }
-    SUBCASE("failures that all have count for nothing") {
+    SUBCASE("failures that all replicas have do not count") {
         for (std::string const name : {"r1", "r2", "r3"}) {
             for (int each = 0; each < 20; ++each) {
                 fixture.replicas.find(endpoint_id(name))
@@ -427,7 +435,7 @@
         }
         CHECK(times_chosen() > 0);
     }
-    SUBCASE("when all are suspected one is still tried") {
+    SUBCASE("when all are suspected one of them is still tried") {
         for (std::string const name : {"r1", "r2", "r3"}) {
             fixture.replicas.find(endpoint_id(name))
                 ->health.add_outcome(health_signal::no_response, fixture.now);
@@ -436,9 +444,10 @@
     }
 }
 
-// A rare adapter is asked for at two nodes at once. They have heard different
-// things of the crowding, choose different replicas, and it is loaded twice.
-TEST_CASE("an adapter's home is the same for all nodes") {
+// A rarely used adapter is requested at two nodes at the same time, which have
+// received different usage reports. Guards against the nodes choosing different
+// replicas, so that the adapter is loaded twice.
+TEST_CASE("all nodes prefer the same replica for an adapter") {
     fleet_fixture fixture;
     for (std::string const name : {"r1", "r2", "r3"}) {
         fixture.replicas.apply(entry(name), fixture.now);
@@ -448,19 +457,19 @@
     REQUIRE(preferred != nullptr);
     std::uint64_t const hash = fleet::id_hash(preferred->record.id);
 
-    SUBCASE("whatever they have heard of its load") {
+    SUBCASE("regardless of the usage reports that they have received") {
         fixture.replicas.update_usage(hash, {12, 0}, fixture.now);
         CHECK(
             fixture.selector.next_preferred_replica(
                 fixture.make_requirements(), fixture.now) == preferred);
     }
-    SUBCASE("until it turns them away") {
+    SUBCASE("until the replica denies the load request") {
         preferred->denials[hot().id] = {
             fixture.now + seconds(1), fixture.now + seconds(2)};
         replica* const next = fixture.selector.next_preferred_replica(
             fixture.make_requirements(), fixture.now);
         CHECK(next != preferred);
-        SUBCASE("and for a while, when all do, there is none") {
+        SUBCASE("and while all replicas deny it, there is none") {
             for (std::string const each : {"r1", "r2", "r3"}) {
                 fixture.replicas.find(endpoint_id(each))->denials[hot().id] = {
                     fixture.now + seconds(1), fixture.now + seconds(2)};
@@ -468,19 +477,20 @@
             CHECK(
                 fixture.selector.next_preferred_replica(
                     fixture.make_requirements(), fixture.now) == nullptr);
-            SUBCASE("but the soonest of them is known") {
+            SUBCASE("but the one that would be ready first is known") {
                 next->denials[hot().id].ready_at = fixture.now + seconds(1);
                 CHECK(
                     fixture.selector.soonest_ready_replica(
                         fixture.make_requirements(), fixture.now) == next);
             }
         }
-        SUBCASE("which holds for this adapter alone") {
+        SUBCASE("which applies to this adapter only") {
             replica_requirements other = fixture.make_requirements();
             other.adapter = adapter_id("m/other");
             CHECK(preferred->denial(other.adapter, fixture.now) == nullptr);
         }
-        SUBCASE("and where it has just been dropped it comes back as well") {
+        SUBCASE(
+            "and a replica that has just unloaded the adapter is preferred") {
             fixture.replicas.mark_resident(next->record.id, hot(), fixture.now);
             fixture.replicas.mark_unloading(
                 next->record.id, hot().id, fixture.now);
@@ -488,7 +498,7 @@
                 fixture.selector.next_preferred_replica(
                     fixture.make_requirements(), fixture.now) == next);
         }
-        SUBCASE("and where it lay in the meantime it comes back at once") {
+        SUBCASE("and a replica that has the adapter cached is preferred") {
             endpoint_id const other = next->record.id;
             fixture.replicas.mark_resident(other, hot(), fixture.now);
             fixture.replicas.mark_unloading(other, hot().id, fixture.now);
@@ -502,9 +512,9 @@
     }
 }
 
-// The node that counts for a replica is silent. All others take the replica for
-// empty and send there.
-TEST_CASE("a replica without a count is told from an empty one") {
+// The controller of a replica sends no usage reports. Guards against all other
+// nodes taking the replica for idle and sending requests there.
+TEST_CASE("a replica without a usage report differs from an idle one") {
     fleet_fixture fixture;
     fixture.replicas.apply(entry("r1", {hot()}), fixture.now);
     replica* const only = fixture.replicas.find(endpoint_id("r1"));
@@ -515,9 +525,10 @@
     CHECK_FALSE(only->usage_known(fixture.now + seconds(3)));
 }
 
-// One adapter is a quarter of the work, and lies on one of twelve replicas. All
-// its streams pause while each other's prompts are read.
-TEST_CASE("copies follow the share of demand") {
+// One adapter makes up a quarter of the demand and is resident on one of twelve
+// replicas. Guards against all of its streams pausing there while the prompts
+// of the others are processed.
+TEST_CASE("the number of replicas of an adapter follows its demand") {
     adapter_demand demand;
     instant const now = instant() + seconds(100);
     constexpr std::size_t replicas = 12;
@@ -533,7 +544,7 @@
     CHECK(demand.warrants_replication(hot().id, replicas, now));
     CHECK_FALSE(demand.warrants_replication(adapter_id("m/x1"), replicas, now));
 
-    SUBCASE("and fall when it moves on") {
+    SUBCASE("and falls when the demand moves on") {
         instant const later = now + seconds(30);
         for (int each = 0; each < 100; ++each) {
             demand.add(adapter_id("m/new"), 800, later);
@@ -542,10 +553,10 @@
     }
 }
 
-// One adapter is asked for with short and with long prompts. It was brought to
-// two replicas of six places each, one for either length, and its callers
-// waited for two loads where one would do.
-TEST_CASE("an adapter has one home, whatever the prompt's length") {
+// One adapter is requested with short and with long prompts. Guards against
+// loading it at two replicas of six slots each, one for either length: its
+// callers would wait for two loads where one is enough.
+TEST_CASE("an adapter has one preferred replica for prompts of any length") {
     adapter_demand demand;
     fleet_fixture fixture;
     for (std::string const name : {"r1", "r2", "r3", "r4", "r5", "r6"}) {
--- a/test/registry_poll_schedule_test.cpp
+++ b/test/registry_poll_schedule_test.cpp
@@ -17,33 +17,33 @@
 
 constexpr milliseconds max_interval{1'000};
 
-/// @returns a place in the first era
+/// @returns a position in the first epoch
 constexpr store_position at(std::uint64_t offset) {
     return {store_epoch{1}, offset};
 }
 
-/// @returns a place after the store has come back from an older copy
+/// @returns a position after a store rollback
 constexpr store_position after_rollback(std::uint64_t offset) {
     return {store_epoch{2}, offset};
 }
 
 } // namespace
 
-TEST_CASE("a node reads the list when nobody else has read it lately") {
+TEST_CASE("a node polls the registry when no other node has done so lately") {
     registry_poll_schedule schedule(max_interval);
     instant const now = instant() + seconds(100);
     schedule.poll_completed(at(40), now);
     CHECK(schedule.next_poll_time(1) == now + max_interval);
     CHECK(schedule.next_poll_time(0) < schedule.next_poll_time(1));
 
-    SUBCASE("another's word that goes on from here puts it off") {
+    SUBCASE("an update that continues from this position postpones the poll") {
         instant const then = now + milliseconds(600);
         CHECK(
             schedule.handle_update(at(40), at(50), then) ==
             registry_update_fit::applies);
         CHECK(schedule.position() == at(50));
         CHECK(schedule.next_poll_time(1) == then + max_interval);
-        SUBCASE("so does one that nothing has changed") {
+        SUBCASE("so does an update without changes") {
             instant const last = then + milliseconds(600);
             CHECK(
                 schedule.handle_update(at(50), at(50), last) ==
@@ -51,13 +51,13 @@
             CHECK(schedule.next_poll_time(1) == last + max_interval);
         }
     }
-    SUBCASE("what overlaps goes on as well") {
+    SUBCASE("an overlapping update applies as well") {
         CHECK(
             schedule.handle_update(at(30), at(45), now) ==
             registry_update_fit::applies);
         CHECK(schedule.position() == at(45));
     }
-    SUBCASE("old word, as of a node that reads behind, changes nothing") {
+    SUBCASE("an old update, as of a node that lags behind, changes nothing") {
         CHECK(
             schedule.handle_update(at(10), at(39), now + milliseconds(900)) ==
             registry_update_fit::nothing_new);
@@ -65,10 +65,10 @@
     }
 }
 
-// The datagram that tells of a replica's leaving is lost on its way to one
-// node. It hears the next one, relies on it, and sends to the replica until
-// that is gone.
-TEST_CASE("a lost word is read at once") {
+// The datagram with the update that a replica is leaving is lost on its way to
+// one node. Guards against that node relying on the next update and sending
+// requests to the replica until it is gone.
+TEST_CASE("a lost update leads to a poll at once") {
     registry_poll_schedule schedule(max_interval);
     instant const now = instant() + seconds(100);
     schedule.poll_completed(at(40), now);
@@ -79,7 +79,7 @@
     CHECK(schedule.position() == at(40));
     CHECK(schedule.next_poll_time(1) <= then);
 
-    SUBCASE("and the reading closes the gap") {
+    SUBCASE("and the poll closes the gap") {
         schedule.poll_completed(at(52), then);
         CHECK(
             schedule.handle_update(at(50), at(55), then) ==
@@ -88,7 +88,8 @@
     }
 }
 
-TEST_CASE("a node that has not read anything yet relies on nobody") {
+TEST_CASE(
+    "a node that has not polled yet does not rely on other nodes' updates") {
     registry_poll_schedule schedule(max_interval);
     instant const now = instant() + seconds(100);
     CHECK(
@@ -97,9 +98,9 @@
     CHECK(schedule.position() == store_position{});
 }
 
-// Ninety nodes that each read the list every second make ninety calls a second
-// on a store whose every call is paid.
-TEST_CASE("many nodes read hardly more often than a few") {
+// Guards against ninety nodes that each poll the registry every second: they
+// would make ninety calls per second on a store that charges for every call.
+TEST_CASE("many nodes poll hardly more often than a few") {
     constexpr std::size_t nodes = 90;
     constexpr milliseconds message_delay{10};
     std::vector<registry_poll_schedule> all(
@@ -122,7 +123,8 @@
                 first, all[each].next_poll_time(random_fractions[each]));
         }
         longest_gap = std::max(longest_gap, first - now);
-        // All whose pause ends before the first one's word has come read too.
+        // All nodes whose interval ends before the first one's update arrives
+        // poll too.
         std::uint64_t const next_offset = all.front().position().offset + 1;
         for (std::size_t each = 0; each < nodes; ++each) {
             if (all[each].next_poll_time(random_fractions[each]) <=
@@ -140,17 +142,18 @@
     CHECK(polls < 60 * 8);
 }
 
-// The store comes back from a copy of some seconds ago. A replica that begins
-// to leave is written below the place that this node goes on from: it sends to
-// the replica until that is gone.
-TEST_CASE("after the store has gone back nothing is read from an old place") {
+// The store is restored from a snapshot that is some seconds old. Guards
+// against a node that continues from its former position: a replica that starts
+// to leave is written below it, and the node would send requests there until
+// the replica is gone.
+TEST_CASE("after a store rollback no poll continues from an old position") {
     registry_poll_schedule schedule(max_interval);
     instant const now = instant() + seconds(100);
     instant const own_poll_time = now + milliseconds(300);
     schedule.poll_completed(at(40), now);
     CHECK_FALSE(schedule.needs_full_poll());
 
-    SUBCASE("the list is read whole, at a time of this node's own") {
+    SUBCASE("the full registry is polled at a time of this node's own") {
         schedule.enter_epoch(store_epoch{2}, own_poll_time);
         CHECK(schedule.needs_full_poll());
         CHECK(schedule.next_poll_time(1) == own_poll_time);
@@ -159,14 +162,14 @@
         CHECK(schedule.position() == after_rollback(31));
         CHECK(schedule.next_poll_time(1) == own_poll_time + max_interval);
     }
-    SUBCASE("another's word of the later era says that it has gone back") {
+    SUBCASE("an update of the later epoch reveals the rollback") {
         CHECK(
             schedule.handle_update(
                 after_rollback(30), after_rollback(35), now) ==
             registry_update_fit::later_epoch);
         CHECK(schedule.position() == at(40));
     }
-    SUBCASE("and none puts the reading off, or takes its place") {
+    SUBCASE("and no update postpones or replaces the full poll") {
         schedule.enter_epoch(store_epoch{2}, own_poll_time);
         CHECK(
             schedule.handle_update(at(40), at(50), now) ==
@@ -177,7 +180,7 @@
             registry_update_fit::nothing_new);
         CHECK(schedule.next_poll_time(1) == own_poll_time);
     }
-    SUBCASE("word of the era before means nothing") {
+    SUBCASE("updates of the earlier epoch are ignored") {
         schedule.enter_epoch(store_epoch{2}, own_poll_time);
         schedule.poll_completed(after_rollback(31), own_poll_time);
         CHECK(
@@ -189,12 +192,12 @@
         CHECK(schedule.position() == after_rollback(31));
         CHECK(schedule.next_poll_time(1) == own_poll_time + max_interval);
     }
-    SUBCASE("an answer that was on its way is not gone on from") {
+    SUBCASE("a poll that was in progress does not set the position") {
         schedule.enter_epoch(store_epoch{2}, own_poll_time);
         schedule.poll_completed(at(60), now);
         CHECK(schedule.needs_full_poll());
     }
-    SUBCASE("a store that names no era has forgotten the place") {
+    SUBCASE("a store without epochs no longer contains the position") {
         schedule.position_expired();
         CHECK(schedule.needs_full_poll());
         schedule.poll_completed(at(31), now);
--- a/test/routing_test.cpp
+++ b/test/routing_test.cpp
@@ -44,11 +44,11 @@
         CHECK(name_of(table, "b.example", "/y/1") == "none");
         CHECK(name_of(table, "c.example", "/x/1") == "none");
     }
-    SUBCASE("a query is no part of the path") {
+    SUBCASE("a query is not part of the path") {
         CHECK(name_of(table, "b.example", "/q?/x/") == "none");
         CHECK(name_of(table, "a.example", "/x/?y=/x/y/") == "x");
     }
-    SUBCASE("no path finds nothing and breaks nothing") {
+    SUBCASE("an empty path finds no route") {
         CHECK(name_of(table, "a.example", "") == "none");
     }
 }
@@ -63,17 +63,17 @@
     CHECK(pick_service(split, most / 100 * 89).str() == "most");
     CHECK(pick_service(split, most / 100 * 91).str() == "few");
 
-    SUBCASE("the largest draw still has a service") {
+    SUBCASE("the largest hash still selects a service") {
         CHECK(pick_service(split, most).str() == "few");
     }
-    SUBCASE("a service without weight gets nothing") {
+    SUBCASE("a service with weight 0 gets no requests") {
         split.weighted_services = {
             {service_id("none"), 0}, {service_id("all"), 5}};
         CHECK(pick_service(split, 0).str() == "all");
     }
 }
 
-TEST_CASE("what may run twice follows from the route") {
+TEST_CASE("the route decides whether a request may run twice") {
     service_route made = route("a.example", "/", "r");
     made.kind = route_kind::unsafe;
     CHECK_FALSE(made.idempotent());
--- a/test/startup_gate_test.cpp
+++ b/test/startup_gate_test.cpp
@@ -20,9 +20,9 @@
 
 } // namespace
 
-// Guards against a node that serves by an older copy of the store, as it has
-// not heard yet that others know more.
-TEST_CASE("a node that begins serves when it knows what the others know") {
+// Guards against a node that serves according to an older snapshot of the store
+// because it has not yet received the other nodes' reports that they know more.
+TEST_CASE("a starting node serves when it knows what the other nodes know") {
     startup_gate gate;
     CHECK_FALSE(gate.passed(0, start));
     gate.mark_configured(start);
@@ -31,27 +31,27 @@
     gate.handle_peer_total("a", 1);
     CHECK_FALSE(gate.passed(1, start));
 
-    SUBCASE("at once when all have said that they know no more") {
+    SUBCASE("at once when all peers have reported that they know no more") {
         gate.handle_peer_total("b", 0);
         CHECK(gate.passed(1, start));
     }
-    SUBCASE("when it has read what one of them knows more") {
+    SUBCASE("when it has read what one peer knows in addition") {
         gate.handle_peer_total("b", 5);
         CHECK_FALSE(gate.passed(4, start + seconds(1)));
         CHECK(gate.passed(5, start + seconds(1)));
     }
-    SUBCASE("after a bounded time when the store never has it") {
+    SUBCASE("after a bounded time when the store never contains it") {
         gate.handle_peer_total("b", 5);
         instant const bound = start + timeouts.catch_up_timeout;
         CHECK_FALSE(gate.passed(1, bound - milliseconds(1)));
         CHECK(gate.passed(1, bound));
     }
-    SUBCASE("after a short time when one of them says nothing") {
+    SUBCASE("after a short time when a peer sends no report") {
         instant const bound = start + timeouts.peer_report_timeout;
         CHECK_FALSE(gate.passed(1, bound - milliseconds(1)));
         CHECK(gate.passed(1, bound));
     }
-    SUBCASE("and from then on, whatever others say") {
+    SUBCASE("and from then on, whatever is reported later") {
         gate.handle_peer_total("b", 1);
         CHECK(gate.passed(1, start));
         gate.handle_peer_total("b", 9);
@@ -59,23 +59,23 @@
     }
 }
 
-// Guards against a node that waits for others though there are none.
-TEST_CASE("a node that is alone serves as soon as it knows that") {
+// Guards against a node that waits for peers although there are none.
+TEST_CASE("a node without peers serves as soon as it knows that") {
     startup_gate gate;
     gate.mark_configured(start);
-    SUBCASE("by the group's list") {
+    SUBCASE("by the member list") {
         gate.set_peers("own", {});
         CHECK(gate.passed(1, start));
     }
-    SUBCASE("after a short time when the list can't be read") {
+    SUBCASE("after a short time when the member list cannot be read") {
         CHECK_FALSE(gate.passed(1, start));
         CHECK(gate.passed(1, start + timeouts.peer_report_timeout));
     }
 }
 
-// Guards against a wave of questions, by all nodes to all, where all begin at
-// once.
-TEST_CASE("a node that begins asks a few, whatever the number of nodes") {
+// Guards against a burst of queries by all nodes to all nodes when all of them
+// start at once.
+TEST_CASE("a starting node asks a few peers, whatever the number of nodes") {
     constexpr int nodes = 1'900;
     constexpr std::size_t few = 8;
     std::set<std::string> all;
