--- a/src/Scheduling/adapter_history.cpp
+++ b/src/Scheduling/adapter_history.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 /// An adapter that was not asked for in this time is forgotten.
-constexpr std::chrono::minutes longest_memory{15};
+constexpr std::chrono::minutes retention_period{15};
 /// Rates below this are not worth handing on.
-constexpr double least_rate = 0.01;
+constexpr double min_handover_rate = 0.01;
 
 } // namespace
 
@@ -19,38 +19,39 @@
 
 void adapter_history::record_request(adapter_ref const& adapter, instant now) {
     adapter_record& record = records_[adapter];
-    record.asks.add(now);
+    record.request_rate.add(now);
     record.previous_request = record.last_request;
     record.last_request = now;
 }
 
-void adapter_history::note_rate(
+void adapter_history::record_rate(
     adapter_ref const& adapter, double rate, instant now) {
     adapter_record& record = records_[adapter];
-    if (record.asks.per_second(now) < rate) {
-        record.asks.set_rate(now, rate);
+    if (record.request_rate.per_second(now) < rate) {
+        record.request_rate.set_rate(now, rate);
     }
     record.last_request = std::max(record.last_request, now);
 }
 
 std::uint32_t
-adapter_history::note_failure(adapter_ref const& adapter, instant now) {
+adapter_history::record_failure(adapter_ref const& adapter, instant now) {
     adapter_record& record = records_[adapter];
     ++record.failures;
-    constexpr std::uint32_t most_doublings = 10;
+    constexpr std::uint32_t max_doublings = 10;
     std::uint32_t const doublings =
-        std::min(record.failures - 1, most_doublings);
-    duration const whole = std::min<duration>(
+        std::min(record.failures - 1, max_doublings);
+    duration const full_delay = std::min<duration>(
         settings_.first_backoff * (1 << doublings), settings_.longest_backoff);
     // The jitter keeps replicas whose loads failed together, as in an outage
     // of the store, from asking again together.
-    std::uniform_real_distribution<double> part(0.5, 1.0);
-    double const pause = part(random_) * static_cast<double>(whole.count());
-    record.retry_at = now + duration(static_cast<duration::rep>(pause));
+    std::uniform_real_distribution<double> jitter(0.5, 1.0);
+    double const delay =
+        jitter(random_) * static_cast<double>(full_delay.count());
+    record.retry_at = now + duration(static_cast<duration::rep>(delay));
     return record.failures;
 }
 
-void adapter_history::note_loaded(adapter_ref const& adapter) {
+void adapter_history::record_loaded(adapter_ref const& adapter) {
     auto const known = records_.find(adapter);
     if (known != records_.end()) {
         known->second.failures = 0;
@@ -58,27 +59,28 @@
     }
 }
 
-void adapter_history::pause(adapter_ref const& adapter, instant until) {
+void adapter_history::delay_load(adapter_ref const& adapter, instant until) {
     adapter_record& record = records_[adapter];
     record.retry_at = std::max(record.retry_at, until);
 }
 
-adapter_record const& adapter_history::of(adapter_ref const& adapter) const {
+adapter_record const&
+adapter_history::record_of(adapter_ref const& adapter) const {
     auto const known = records_.find(adapter);
     return known == records_.end() ? empty_ : known->second;
 }
 
 double adapter_history::rate(adapter_ref const& adapter, instant now) const {
-    return of(adapter).asks.per_second(now);
+    return record_of(adapter).request_rate.per_second(now);
 }
 
 bool adapter_history::may_load(adapter_ref const& adapter, instant now) const {
-    return now >= of(adapter).retry_at;
+    return now >= record_of(adapter).retry_at;
 }
 
 bool adapter_history::load_abandoned(
     adapter_ref const& adapter, instant now) const {
-    adapter_record const& record = of(adapter);
+    adapter_record const& record = record_of(adapter);
     return record.failures >= settings_.failures_before_refusal &&
            now < record.retry_at;
 }
@@ -86,8 +88,8 @@
 std::vector<handover_demand> adapter_history::demand(instant now) const {
     std::vector<handover_demand> result;
     for (auto const& [adapter, record] : records_) {
-        double const rate = record.asks.per_second(now);
-        if (rate > least_rate) {
+        double const rate = record.request_rate.per_second(now);
+        if (rate > min_handover_rate) {
             result.push_back({adapter, rate});
         }
     }
@@ -97,7 +99,7 @@
 
 void adapter_history::prune(instant now) {
     std::erase_if(records_, [&](auto const& each) {
-        return now - each.second.last_request > longest_memory &&
+        return now - each.second.last_request > retention_period &&
                now >= each.second.retry_at;
     });
 }
--- a/src/Scheduling/adapter_history.hpp
+++ b/src/Scheduling/adapter_history.hpp
@@ -15,7 +15,7 @@
 
 /// What one replica remembers of an adapter, resident or not.
 struct adapter_record {
-    decayed_rate asks{std::chrono::seconds(60)};
+    decayed_rate request_rate{std::chrono::seconds(60)};
     instant last_request;
     instant previous_request;
     /// Loads that failed in a row.
@@ -31,16 +31,16 @@
 
     void record_request(adapter_ref const& adapter, instant now);
     /// Takes a rate as measured elsewhere, when it is the higher one.
-    void note_rate(adapter_ref const& adapter, double rate, instant now);
+    void record_rate(adapter_ref const& adapter, double rate, instant now);
     /// Counts a failed load and pauses the adapter, longer with each failure.
     /// @returns failures in a row
-    std::uint32_t note_failure(adapter_ref const& adapter, instant now);
-    void note_loaded(adapter_ref const& adapter);
+    std::uint32_t record_failure(adapter_ref const& adapter, instant now);
+    void record_loaded(adapter_ref const& adapter);
     /// Pauses the adapter without counting a failure.
-    void pause(adapter_ref const& adapter, instant until);
+    void delay_load(adapter_ref const& adapter, instant until);
 
     /// @returns the record, or an empty one
-    adapter_record const& of(adapter_ref const& adapter) const;
+    adapter_record const& record_of(adapter_ref const& adapter) const;
     double rate(adapter_ref const& adapter, instant now) const;
     /// @returns true when a load may be wanted
     bool may_load(adapter_ref const& adapter, instant now) const;
--- a/src/Scheduling/batch_policy.cpp
+++ b/src/Scheduling/batch_policy.cpp
@@ -9,16 +9,17 @@
 }
 
 /// Classes that may take the place kept for urgent work.
-constexpr bool uses_reserve(std::size_t index) {
+constexpr bool may_use_reserve(std::size_t index) {
     return index <= index_of(urgency::high);
 }
 
 bool keeps_reserve(batch_state const& state, instant now) {
     class_state const& immediate = state.classes[index_of(urgency::immediate)];
-    bool const about =
+    bool const recently_requested =
         immediate.last_request &&
-        now - *immediate.last_request < urgent_first::reserve_memory;
-    return about && state.batch_limit >= urgent_first::smallest_with_reserve;
+        now - *immediate.last_request < urgent_first::reserve_period;
+    return recently_requested &&
+           state.batch_limit >= urgent_first::min_batch_with_reserve;
 }
 
 } // namespace
@@ -35,10 +36,11 @@
     std::optional<urgency> best;
     for (std::size_t index = 0; index < urgency_count; ++index) {
         class_state const& each = state.classes[index];
-        if (each.ready == 0 || (only_urgent && !uses_reserve(index))) {
+        if (each.ready == 0 || (only_urgent && !may_use_reserve(index))) {
             continue;
         }
-        bool const due = share[index] > 0 && each.passed_over >= share[index];
+        bool const due = max_passed_over[index] > 0 &&
+                         each.passed_over >= max_passed_over[index];
         if (due || !best) {
             best = static_cast<urgency>(index);
         }
--- a/src/Scheduling/batch_policy.hpp
+++ b/src/Scheduling/batch_policy.hpp
@@ -41,12 +41,12 @@
 /// about, the last place of a large batch is kept for urgent classes.
 struct urgent_first {
     /// Grants to more urgent classes between two of a class.
-    static constexpr std::array<std::uint32_t, urgency_count> share{
+    static constexpr std::array<std::uint32_t, urgency_count> max_passed_over{
         0, 16, 16, 32};
     /// Batches below this size keep no place free.
-    static constexpr std::uint32_t smallest_with_reserve = 12;
+    static constexpr std::uint32_t min_batch_with_reserve = 12;
     /// Immediate work is about when some came within this time.
-    static constexpr std::chrono::seconds reserve_memory{5};
+    static constexpr std::chrono::seconds reserve_period{5};
 
     std::optional<urgency>
     next_class(batch_state const& state, instant now) const;
--- a/src/Scheduling/grant_manager.hpp
+++ b/src/Scheduling/grant_manager.hpp
@@ -18,19 +18,19 @@
 class grant_manager {
 public:
     /// What became of an ask.
-    enum class ask_result : std::uint8_t { queued, answered };
+    enum class request_result : std::uint8_t { queued, answered };
 
     /// Queues an ask, or answers it at once.
     /// @param ready    true when the adapter is resident
     /// @param feedback what a refusal says of the replica
-    ask_result on_grant_request(
-        replica_state& state, node_id const& from, grant_request const& ask,
+    request_result on_grant_request(
+        replica_state& state, node_id const& from, grant_request const& request,
         bool ready, replica_feedback const& feedback, instant now);
     /// Gives grants while the batch has room.
     /// @param pause how long the weight store stays down
-    void give(replica_state& state, duration pause, instant now);
+    void issue_grants(replica_state& state, duration store_pause, instant now);
     /// Refuses what can't meet its deadline any more.
-    void shed_late(replica_state& state, instant now);
+    void refuse_late_requests(replica_state& state, instant now);
     /// Refuses all that waits.
     void refuse_all(replica_state& state, reason why, instant now);
     /// Takes back an ask or an unused grant.
@@ -52,9 +52,9 @@
     /// @returns the adapters of grants that have ended
     template <class Idle>
     std::vector<adapter_ref>
-    end_orphans(replica_state& state, Idle const& idle, instant now);
+    end_orphaned_grants(replica_state& state, Idle const& idle, instant now);
     /// This node decides no more.
-    void on_lost() { heard_.clear(); }
+    void on_authority_lost() { last_received_.clear(); }
 
     /// @returns how long a new request would wait if its adapter is resident
     duration expected_wait(
@@ -62,35 +62,35 @@
 
 private:
     reason refusal(
-        replica_state const& state, grant_request const& ask, bool ready,
-        instant now) const;
-    bool sent_elsewhere(
-        replica_state const& state, grant_request const& ask, duration queued,
+        replica_state const& state, grant_request const& request, bool ready,
         instant now) const;
+    bool should_redirect(
+        replica_state const& state, grant_request const& request,
+        duration queued, instant now) const;
     void refuse(
-        replica_state& state, node_id const& to, grant_request const& ask,
+        replica_state& state, node_id const& to, grant_request const& request,
         reason why, duration retry_after, replica_feedback const& feedback);
-    bool answer_repeat(
-        replica_state& state, node_id const& from, grant_request const& ask,
+    bool answer_repeated_request(
+        replica_state& state, node_id const& from, grant_request const& request,
         instant now);
     void send_grant(
-        replica_state& state, running_grant const& grant, duration pause,
+        replica_state& state, running_grant const& grant, duration store_pause,
         instant now);
-    void grant_first(
-        replica_state& state, urgency which, duration pause, instant now);
+    void grant_first_ready(
+        replica_state& state, urgency which, duration store_pause, instant now);
     batch_state view(replica_state const& state) const;
-    void keep_named(
+    void reconcile_grant(
         replica_state& state, node_id const& from, grant_in_use const& each,
         instant now);
-    replica_feedback after_grant(
-        replica_state const& state, urgency how_urgent, duration pause,
+    replica_feedback feedback_after_grant(
+        replica_state const& state, urgency how_urgent, duration store_pause,
         instant now) const;
 
     Batch batch_;
     std::array<std::uint32_t, urgency_count> passed_over_{};
-    std::array<std::optional<instant>, urgency_count> last_ask_;
+    std::array<std::optional<instant>, urgency_count> last_request_;
     /// When each entry node was last heard of.
-    std::map<node_id, instant> heard_;
+    std::map<node_id, instant> last_received_;
     std::uint64_t next_grant_ = 1;
 };
 
--- a/src/Scheduling/grant_manager_releases.hpp
+++ b/src/Scheduling/grant_manager_releases.hpp
@@ -14,9 +14,9 @@
 std::optional<adapter_ref> grant_manager<Batch>::on_grant_cancelled(
     replica_state& state, node_id const& from, grant_cancelled const& message,
     instant now) {
-    heard_.insert_or_assign(from, now);
+    last_received_.insert_or_assign(from, now);
     waiting_request const* const waiting = state.queue.find(message.request);
-    if (waiting && waiting->ask.attempt <= message.attempt) {
+    if (waiting && waiting->message.attempt <= message.attempt) {
         state.queue.remove(message.request);
         return std::nullopt;
     }
@@ -34,7 +34,7 @@
 std::optional<adapter_ref> grant_manager<Batch>::on_grant_released(
     replica_state& state, node_id const& from, grant_released const& message,
     instant now) {
-    heard_.insert_or_assign(from, now);
+    last_received_.insert_or_assign(from, now);
     running_grant const* const grant =
         std::as_const(state.grants).find(message.request);
     if (!grant || grant->attempt != message.attempt) {
@@ -43,7 +43,7 @@
     running_grant const ended = *state.grants.end(message.request, now);
     bool const ran = message.adapter_was_loaded && message.tokens > 0;
     if (ran) {
-        state.times.note_service(now - ended.granted, message.tokens);
+        state.times.record_service_time(now - ended.granted, message.tokens);
     }
     return ended.adapter;
 }
@@ -52,29 +52,29 @@
 std::vector<adapter_ref> grant_manager<Batch>::on_heartbeat(
     replica_state& state, node_id const& from,
     std::vector<grant_in_use> const& grants, instant now) {
-    heard_.insert_or_assign(from, now);
-    std::set<request_id> named;
+    last_received_.insert_or_assign(from, now);
+    std::set<request_id> listed;
     for (grant_in_use const& each : grants) {
         if (each.replica == state.settings.replica) {
-            named.insert(each.request);
-            keep_named(state, from, each, now);
+            listed.insert(each.request);
+            reconcile_grant(state, from, each, now);
         }
     }
     // Messages of one node come in their order, so that whatever this owner
     // has of the node was sent before the heartbeat: what the heartbeat leaves
     // out has ended, and the word of its end was lost.
     std::vector<adapter_ref> ended;
-    for (request_id const& id : state.grants.ids_of(from)) {
+    for (request_id const& id : state.grants.ids_of_node(from)) {
         running_grant const& grant = *std::as_const(state.grants).find(id);
         duration const usable =
             state.settings.send_within + state.settings.grant_margin;
         bool const unused = !grant.sent && now - grant.granted > usable;
-        if (!named.contains(id) || unused) {
+        if (!listed.contains(id) || unused) {
             ended.push_back(state.grants.end(id, now)->adapter);
         }
     }
     for (request_id const& id : state.queue.ids_from(from)) {
-        if (!named.contains(id)) {
+        if (!listed.contains(id)) {
             state.queue.remove(id);
         }
     }
@@ -82,7 +82,7 @@
 }
 
 template <batch_policy Batch>
-void grant_manager<Batch>::keep_named(
+void grant_manager<Batch>::reconcile_grant(
     replica_state& state, node_id const& from, grant_in_use const& each,
     instant now) {
     running_grant* const grant = state.grants.find(each.request);
@@ -103,7 +103,7 @@
              .grant = 0,
              .adapter = each.adapter,
              .granted = now,
-             .asked = now,
+             .requested = now,
              .sent = true});
         return;
     }
@@ -132,27 +132,27 @@
              .grant = each.grant,
              .adapter = each.adapter,
              .granted = now - each.age,
-             .asked = now - each.age});
-        heard_.insert_or_assign(each.node, now);
+             .requested = now - each.age});
+        last_received_.insert_or_assign(each.node, now);
     }
 }
 
 template <batch_policy Batch>
 template <class Idle>
-std::vector<adapter_ref> grant_manager<Batch>::end_orphans(
+std::vector<adapter_ref> grant_manager<Batch>::end_orphaned_grants(
     replica_state& state, Idle const& idle, instant now) {
     std::vector<adapter_ref> ended;
     for (running_grant const& grant : state.grants.all()) {
-        auto const heard = heard_.find(grant.node);
-        bool const silent =
-            heard == heard_.end() ||
-            now - heard->second > state.settings.heartbeat_timeout;
+        auto const last_received = last_received_.find(grant.node);
+        bool const timed_out =
+            last_received == last_received_.end() ||
+            now - last_received->second > state.settings.heartbeat_timeout;
         // A dead entry node's request may run on: the engine doesn't notice at
         // once. Only a report from after the last time at which it could have
         // been sent tells that it does not.
         instant const last_sent = grant.granted + state.settings.send_within +
                                   state.settings.grant_margin;
-        bool const gone = silent && idle(grant.adapter, last_sent);
+        bool const gone = timed_out && idle(grant.adapter, last_sent);
         bool const too_old =
             now - grant.granted > state.settings.longest_request;
         if (gone || too_old) {
--- a/src/Scheduling/grant_table.cpp
+++ b/src/Scheduling/grant_table.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// No report lags by more.
-constexpr std::chrono::seconds longest_lag{10};
+constexpr std::chrono::seconds max_report_lag{10};
 
 } // namespace
 
 void grant_table::add(running_grant grant) {
-    ++users_[grant.adapter];
+    ++grant_counts_[grant.adapter];
     request_id const id = grant.request;
     grants_.insert_or_assign(id, std::move(grant));
 }
@@ -25,12 +25,12 @@
     }
     running_grant grant = std::move(known->second);
     grants_.erase(known);
-    auto const users = users_.find(grant.adapter);
+    auto const users = grant_counts_.find(grant.adapter);
     if (--users->second == 0) {
-        users_.erase(users);
+        grant_counts_.erase(users);
     }
     ended_.push_back({grant.granted, now});
-    while (now - ended_.front().ended > longest_lag) {
+    while (now - ended_.front().ended > max_report_lag) {
         ended_.pop_front();
     }
     return grant;
@@ -48,9 +48,9 @@
 
 void grant_table::clear() {
     grants_.clear();
-    users_.clear();
+    grant_counts_.clear();
     ended_.clear();
-    foreign_ = 0;
+    foreign_running_ = 0;
 }
 
 void grant_table::on_report(std::uint32_t running, instant measured) {
@@ -60,19 +60,19 @@
         return e.granted <= measured && e.ended >= measured;
     });
     auto const own = static_cast<std::uint32_t>(now_running + then_running);
-    foreign_ = running > own ? running - own : 0;
+    foreign_running_ = running > own ? running - own : 0;
 }
 
-std::uint32_t grant_table::taken() const {
-    return static_cast<std::uint32_t>(grants_.size()) + foreign_;
+std::uint32_t grant_table::occupied() const {
+    return static_cast<std::uint32_t>(grants_.size()) + foreign_running_;
 }
 
 std::uint32_t grant_table::using_adapter(adapter_ref const& adapter) const {
-    auto const users = users_.find(adapter);
-    return users == users_.end() ? 0 : users->second;
+    auto const users = grant_counts_.find(adapter);
+    return users == grant_counts_.end() ? 0 : users->second;
 }
 
-std::vector<request_id> grant_table::ids_of(node_id const& node) const {
+std::vector<request_id> grant_table::ids_of_node(node_id const& node) const {
     std::vector<request_id> result;
     for (auto const& [id, grant] : grants_) {
         if (grant.node == node) {
--- a/src/Scheduling/grant_table.hpp
+++ b/src/Scheduling/grant_table.hpp
@@ -22,7 +22,7 @@
     adapter_ref adapter;
     instant granted;
     /// When its ask arrived; as `granted` where that is not known.
-    instant asked;
+    instant requested;
     std::uint32_t expected_tokens = 0;
     /// True once its entry node said that it was sent.
     bool sent = false;
@@ -45,12 +45,12 @@
     /// engine ran beyond them was granted by a former owner.
     void on_report(std::uint32_t running, instant measured);
     /// @returns places of the batch that are taken
-    std::uint32_t taken() const;
+    std::uint32_t occupied() const;
     std::size_t size() const noexcept { return grants_.size(); }
     /// @returns grants that use this adapter
     std::uint32_t using_adapter(adapter_ref const& adapter) const;
     /// @returns the ids of one node's grants, in their order
-    std::vector<request_id> ids_of(node_id const& node) const;
+    std::vector<request_id> ids_of_node(node_id const& node) const;
     /// @returns all grants in the order of their requests' ids
     std::vector<running_grant> all() const;
 
@@ -61,11 +61,11 @@
     };
 
     std::map<request_id, running_grant> grants_;
-    std::unordered_map<adapter_ref, std::uint32_t> users_;
+    std::unordered_map<adapter_ref, std::uint32_t> grant_counts_;
     /// Ended a short time ago: a lagging report still counts them.
     std::deque<ended_grant> ended_;
     /// Running, by the last report, without a grant of this owner.
-    std::uint32_t foreign_ = 0;
+    std::uint32_t foreign_running_ = 0;
 };
 
 } // namespace camphorpoint::internal
--- a/src/Scheduling/load_request_table.hpp
+++ b/src/Scheduling/load_request_table.hpp
@@ -11,9 +11,9 @@
 
 /// A load that was asked for at the weight store's owner.
 struct pending_load_request {
-    instant asked;
+    instant requested;
     /// When it was last told to the store's owner.
-    instant told;
+    instant last_sent;
     /// Number of the permission; 0 while there is none.
     std::uint64_t permission = 0;
     instant valid_until;
--- a/src/Scheduling/replica_scheduler.hpp
+++ b/src/Scheduling/replica_scheduler.hpp
@@ -29,7 +29,7 @@
 
     /// An entry node asks for a grant; a repeated ask is answered again.
     void on_grant_request(
-        node_id const& from, grant_request const& ask, instant now);
+        node_id const& from, grant_request const& request, instant now);
     void on_grant_cancelled(
         node_id const& from, grant_cancelled const& message, instant now);
     void on_grant_released(
@@ -40,8 +40,8 @@
         node_id const& from, std::vector<grant_in_use> const& grants,
         instant now);
     void on_report(engine_report const& report, instant now);
-    void
-    on_command_result(engine_order const& order, order_result how, instant now);
+    void on_command_result(
+        engine_order const& command, order_result how, instant now);
     void on_load_allowed(load_allowed const& message, instant now);
     void on_load_denied(load_denied const& message, instant now);
     /// This node owns the replica until `not_after`, or its ownership was
@@ -68,7 +68,8 @@
     replica_feedback feedback(adapter_ref const& adapter, instant now) const;
 
 private:
-    void grants_ended(std::vector<adapter_ref> const& adapters, instant now);
+    void
+    mark_adapters_idle(std::vector<adapter_ref> const& adapters, instant now);
     void after_event(instant now);
 
     internal::replica_state state_;
@@ -76,7 +77,7 @@
     internal::grant_manager<typename Policy::batch> grants_;
     /// The engine's run, once a report told it.
     std::optional<std::uint64_t> incarnation_;
-    instant last_upkeep_;
+    instant last_maintenance_;
 };
 
 } // namespace camphorpoint
--- a/src/Scheduling/replica_scheduler_events.hpp
+++ b/src/Scheduling/replica_scheduler_events.hpp
@@ -32,7 +32,7 @@
     duration const load = state_.times.stall(now) + slots_.store_pause(now);
     replica_feedback result;
     result.queued = static_cast<std::uint32_t>(state_.queue.size());
-    result.running = state_.grants.taken();
+    result.running = state_.grants.occupied();
     result.expected_wait = std::chrono::ceil<milliseconds>(wait);
     result.adapter_resident = slots_.grantable(adapter);
     result.expected_load = std::chrono::ceil<milliseconds>(load);
@@ -41,24 +41,24 @@
 
 template <replica_policy Policy>
 void replica_scheduler<Policy>::after_event(instant now) {
-    grants_.give(state_, slots_.store_pause(now), now);
+    grants_.issue_grants(state_, slots_.store_pause(now), now);
 }
 
 template <replica_policy Policy>
 void replica_scheduler<Policy>::on_grant_request(
-    node_id const& from, grant_request const& ask, instant now) {
-    using result = typename decltype(grants_)::ask_result;
-    bool const ready = slots_.grantable(ask.adapter);
+    node_id const& from, grant_request const& request, instant now) {
+    using result = typename decltype(grants_)::request_result;
+    bool const ready = slots_.grantable(request.adapter);
     result const how = grants_.on_grant_request(
-        state_, from, ask, ready, feedback(ask.adapter, now), now);
+        state_, from, request, ready, feedback(request.adapter, now), now);
     if (how == result::queued && !ready) {
-        slots_.on_blocked(state_, ask.adapter, now);
+        slots_.on_blocked(state_, request.adapter, now);
     }
     after_event(now);
 }
 
 template <replica_policy Policy>
-void replica_scheduler<Policy>::grants_ended(
+void replica_scheduler<Policy>::mark_adapters_idle(
     std::vector<adapter_ref> const& adapters, instant now) {
     for (adapter_ref const& each : adapters) {
         slots_.on_idle(each, now);
@@ -91,7 +91,7 @@
     if (!state_.owned) {
         return;
     }
-    grants_ended(grants_.on_heartbeat(state_, from, grants, now), now);
+    mark_adapters_idle(grants_.on_heartbeat(state_, from, grants, now), now);
     after_event(now);
 }
 
@@ -122,9 +122,9 @@
 
 template <replica_policy Policy>
 void replica_scheduler<Policy>::on_command_result(
-    engine_order const& order, order_result how, instant now) {
-    if (!slots_.on_command_result(state_, order, how, now)) {
-        bool const current = order.fencing == state_.fencing;
+    engine_order const& command, order_result how, instant now) {
+    if (!slots_.on_command_result(state_, command, how, now)) {
+        bool const current = command.fencing == state_.fencing;
         if (current) {
             on_authority_lost(now);
         }
@@ -156,7 +156,7 @@
         // What the former owner granted last can be sent for this long.
         state_.grants_known_from =
             now + state_.settings.send_within + state_.settings.grant_margin;
-        state_.stopped = false;
+        state_.granting_stopped = false;
         state_.actions.emplace_back(log_event{
             event_code::replica_taken_over, log_level::info,
             fmt::format(
@@ -176,8 +176,8 @@
         event_code::replica_lost, log_level::info,
         fmt::format("replica={}", state_.settings.replica.str())});
     grants_.refuse_all(state_, reason::owner_unreachable, now);
-    slots_.on_lost(state_, now);
-    grants_.on_lost();
+    slots_.on_authority_lost(state_, now);
+    grants_.on_authority_lost();
     state_.grants.clear();
     incarnation_.reset();
 }
@@ -191,14 +191,14 @@
 
 template <replica_policy Policy>
 void replica_scheduler<Policy>::on_tick(instant now) {
-    constexpr std::chrono::seconds upkeep_period{1};
-    if (now - last_upkeep_ >= upkeep_period) {
-        last_upkeep_ = now;
+    constexpr std::chrono::seconds maintenance_period{1};
+    if (now - last_maintenance_ >= maintenance_period) {
+        last_maintenance_ = now;
         state_.history.prune(now);
         auto const idle = [&](adapter_ref const& adapter, instant since) {
             return slots_.reported_idle(adapter, since);
         };
-        grants_ended(grants_.end_orphans(state_, idle, now), now);
+        mark_adapters_idle(grants_.end_orphaned_grants(state_, idle, now), now);
     }
     slots_.on_tick(state_, now);
     after_event(now);
@@ -206,7 +206,7 @@
 
 template <replica_policy Policy>
 void replica_scheduler<Policy>::stop_granting(instant now) {
-    state_.stopped = true;
+    state_.granting_stopped = true;
     grants_.refuse_all(state_, reason::draining, now);
     slots_.on_tick(state_, now);
 }
@@ -245,7 +245,7 @@
     // still be sent is known.
     state_.grants_known_from = std::min(state_.grants_known_from, now);
     for (handover_demand const& each : table.demand) {
-        state_.history.note_rate(each.adapter, each.requests_per_second, now);
+        state_.history.record_rate(each.adapter, each.requests_per_second, now);
     }
     after_event(now);
 }
--- a/src/Scheduling/replica_state.hpp
+++ b/src/Scheduling/replica_state.hpp
@@ -15,17 +15,17 @@
 
 /// What the parts of one replica's scheduler share.
 struct replica_state {
-    explicit replica_state(scheduler_settings const& given)
-        : settings(given)
-        , history(given)
-        , times(given) {}
+    explicit replica_state(scheduler_settings const& initial_settings)
+        : settings(initial_settings)
+        , history(initial_settings)
+        , times(initial_settings) {}
 
     /// @returns true while orders may be given. Asked right before each order:
     /// an owner that was paused past its deadline still believes in itself.
     bool may_command(instant now) const { return owned && now < not_after; }
     /// @returns true while grants may be given
     bool may_grant(instant now) const {
-        return owned && !stopped &&
+        return owned && !granting_stopped &&
                (settings.grants_when_lapsed || now < not_after);
     }
 
@@ -38,7 +38,7 @@
     log_offset fencing;
     instant not_after;
     bool owned = false;
-    bool stopped = false;
+    bool granting_stopped = false;
     /// From this time on no grant of a former owner can still be sent, so that
     /// a report measured later tells all that runs.
     instant grants_known_from;
--- a/src/Scheduling/slot_manager.hpp
+++ b/src/Scheduling/slot_manager.hpp
@@ -31,7 +31,7 @@
     on_report(replica_state& state, engine_report const& report, instant now);
     /// @returns false when a newer owner's fencing number was seen
     bool on_command_result(
-        replica_state& state, engine_order const& order, order_result how,
+        replica_state& state, engine_order const& command, order_result how,
         instant now);
     void on_load_allowed(
         replica_state& state, load_allowed const& message, instant now);
@@ -45,7 +45,7 @@
     /// The engine has forgotten all adapters; the hottest are wanted again.
     void on_cold_start(replica_state& state, instant now);
     /// This node decides no more: wants are cancelled, slots forgotten.
-    void on_lost(replica_state& state, instant now);
+    void on_authority_lost(replica_state& state, instant now);
     /// @returns true when a report measured at or after `since` says that no
     /// request uses the adapter
     bool reported_idle(adapter_ref const& adapter, instant since) const {
@@ -60,31 +60,31 @@
         instant now) const;
 
 private:
-    using warm_map = std::map<adapter_ref, instant>;
+    using prefetch_map = std::map<adapter_ref, instant>;
 
     // Wants: slot_manager_wants.hpp.
     void plan(replica_state& state, instant now);
     void plan_blocked(replica_state& state, instant now);
-    void plan_warming(replica_state& state, instant now);
-    bool may_want(
+    void plan_prefetches(replica_state& state, instant now);
+    bool may_request_load(
         replica_state const& state, adapter_ref const& adapter,
         instant now) const;
-    void
-    ask_store(replica_state& state, adapter_ref const& adapter, instant now);
-    void tell_store(
+    void add_load_request(
+        replica_state& state, adapter_ref const& adapter, instant now);
+    void submit_load_request(
         replica_state& state, adapter_ref const& adapter,
-        pending_load_request& want, instant now);
-    void refresh_wants(replica_state& state, instant now);
-    bool still_wanted(
+        pending_load_request& request, instant now);
+    void refresh_load_requests(replica_state& state, instant now);
+    bool still_needed(
         replica_state const& state, adapter_ref const& adapter,
         instant now) const;
-    void drop_want(
+    void cancel_load_request(
         replica_state& state, adapter_ref const& adapter,
-        pending_load_request const& want);
-    void give_back(
+        pending_load_request const& request);
+    void return_permission(
         replica_state& state, adapter_ref const& adapter,
         std::uint64_t permission);
-    std::size_t room(replica_state const& state, instant now) const;
+    std::size_t available_slots(replica_state const& state, instant now) const;
     std::size_t free_slots(replica_state const& state) const;
 
     // Evictions: slot_manager_evictions.hpp.
@@ -96,52 +96,53 @@
     double retention_value(
         replica_state const& state, adapter_ref const& adapter,
         slot const& each, instant now) const;
-    bool guarded(adapter_ref const& adapter, instant now) const;
+    bool rollout_protected(adapter_ref const& adapter, instant now) const;
     void evict(replica_state& state, adapter_ref const& adapter, instant now);
-    void stop_one_by_force(replica_state& state, instant now);
-    void evict_stopped(replica_state& state, instant now);
-    void resume_needless_stops(replica_state& state, instant now);
-    void make_room(replica_state& state, instant now);
+    void drain_least_valuable(replica_state& state, instant now);
+    void evict_drained(replica_state& state, instant now);
+    void resume_unneeded_drains(replica_state& state, instant now);
+    void evict_for_permissions(replica_state& state, instant now);
     void resume(replica_state& state, adapter_ref const& adapter, instant now);
 
     // Orders: slot_manager_orders.hpp.
     void use_permissions(replica_state& state, instant now);
-    void order_load(
+    void command_load(
         replica_state& state, adapter_ref const& adapter,
-        pending_load_request const& want, instant now);
-    void send_order(
+        pending_load_request const& request, instant now);
+    void send_command(
         replica_state& state, engine_order_kind kind,
         adapter_ref const& adapter, slot& target, duration timeout,
         instant now);
-    void load_ended_with(
+    void handle_load_result(
         replica_state& state, adapter_ref const& adapter, order_result how,
         instant now);
-    void evict_ended_with(
+    void handle_evict_result(
         replica_state& state, adapter_ref const& adapter, order_result how,
         instant now);
     void
     load_failed(replica_state& state, adapter_ref const& adapter, instant now);
     void refuse_waiting(
         replica_state& state, adapter_ref const& adapter, instant now);
-    void became_resident(
+    void mark_resident(
         replica_state& state, adapter_ref const& adapter, instant now);
-    void settle(replica_state& state, slot_change const& change, instant now);
-    void give_up_late_orders(replica_state& state, instant now);
-    void report_to_store(
+    void
+    apply_change(replica_state& state, slot_change const& change, instant now);
+    void time_out_commands(replica_state& state, instant now);
+    void report_load_result(
         replica_state& state, adapter_ref const& adapter, slot const& each,
         bool started, bool ok, instant now);
 
     slot_table slots_;
-    load_request_table wants_;
+    load_request_table load_requests_;
     /// Loads ahead of demand, with the time up to which they are worth it.
-    warm_map warming_;
+    prefetch_map prefetches_;
     /// Older version to newer one, while both may be resident.
     std::map<adapter_ref, adapter_ref> successors_;
     /// Older versions that are kept until the newer one is resident.
-    std::map<adapter_ref, instant> guarded_until_;
+    std::map<adapter_ref, instant> protected_until_;
     /// The store's owner said that it is down until then.
     instant store_paused_until_;
-    std::uint64_t orders_ = 0;
+    std::uint64_t command_count_ = 0;
     Eviction eviction_;
 };
 
--- a/src/Scheduling/slot_manager_evictions.hpp
+++ b/src/Scheduling/slot_manager_evictions.hpp
@@ -22,16 +22,16 @@
     // A report from before the last grant ended, or from before the former
     // owner's last grant could be sent, says nothing: the adapter would be
     // evicted under a request that the report did not see yet.
-    instant const certain = std::max(since, state.grants_known_from);
-    return slots_.reported_idle(adapter, certain) ||
-           now >= certain + state.settings.longest_request;
+    instant const earliest_valid = std::max(since, state.grants_known_from);
+    return slots_.reported_idle(adapter, earliest_valid) ||
+           now >= earliest_valid + state.settings.longest_request;
 }
 
 template <eviction_policy Eviction>
-bool slot_manager<Eviction>::guarded(
+bool slot_manager<Eviction>::rollout_protected(
     adapter_ref const& adapter, instant now) const {
-    auto const known = guarded_until_.find(adapter);
-    if (known == guarded_until_.end() || now >= known->second) {
+    auto const known = protected_until_.find(adapter);
+    if (known == protected_until_.end() || now >= known->second) {
         return false;
     }
     auto const next = successors_.find(adapter);
@@ -43,7 +43,8 @@
     replica_state const& state, adapter_ref const& adapter, slot const& each,
     instant now) const {
     return each.phase == slot_phase::resident &&
-           state.queue.waiting_for(adapter) == 0 && !guarded(adapter, now) &&
+           state.queue.waiting_for(adapter) == 0 &&
+           !rollout_protected(adapter, now) &&
            confirmed_idle(state, adapter, each.idle_since, now);
 }
 
@@ -51,11 +52,11 @@
 double slot_manager<Eviction>::retention_value(
     replica_state const& state, adapter_ref const& adapter, slot const& each,
     instant now) const {
-    adapter_record const& record = state.history.of(adapter);
+    adapter_record const& record = state.history.record_of(adapter);
     auto const next = successors_.find(adapter);
     eviction_candidate const candidate{
         .adapter = adapter,
-        .requests_per_second = record.asks.per_second(now),
+        .requests_per_second = record.request_rate.per_second(now),
         .last_request = record.last_request,
         .previous_request = record.previous_request,
         .loaded = each.since,
@@ -67,15 +68,15 @@
 std::optional<adapter_ref>
 slot_manager<Eviction>::victim(replica_state const& state, instant now) const {
     std::optional<adapter_ref> least;
-    double least_worth = 0;
+    double least_value = 0;
     for (auto const& [adapter, each] : slots_.all()) {
         if (!evictable(state, adapter, each, now)) {
             continue;
         }
         double const own = retention_value(state, adapter, each, now);
-        if (!least || own < least_worth) {
+        if (!least || own < least_value) {
             least = adapter;
-            least_worth = own;
+            least_value = own;
         }
     }
     return least;
@@ -87,7 +88,7 @@
     slot& target = *slots_.find(adapter);
     target.phase = slot_phase::evicting;
     target.since = now;
-    send_order(
+    send_command(
         state, engine_order_kind::evict, adapter, target,
         state.settings.evict_timeout, now);
     state.actions.emplace_back(
@@ -95,32 +96,32 @@
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::stop_one_by_force(
+void slot_manager<Eviction>::drain_least_valuable(
     replica_state& state, instant now) {
     // Adapters in steady use would keep all slots for good, and a request for
     // another would wait until its deadline. So the least used one gets no
     // more grants; what runs on it ends before it is evicted.
     std::optional<adapter_ref> least;
-    double least_worth = 0;
+    double least_value = 0;
     for (auto const& [adapter, each] : slots_.all()) {
-        bool const possible =
-            each.phase == slot_phase::resident && !guarded(adapter, now);
-        if (!possible) {
+        bool const may_drain = each.phase == slot_phase::resident &&
+                               !rollout_protected(adapter, now);
+        if (!may_drain) {
             continue;
         }
         double const own = retention_value(state, adapter, each, now);
-        if (!least || own < least_worth) {
+        if (!least || own < least_value) {
             least = adapter;
-            least_worth = own;
+            least_value = own;
         }
     }
     if (!least) {
         return;
     }
     slot& target = *slots_.find(*least);
-    target.phase = slot_phase::stopping;
+    target.phase = slot_phase::draining;
     target.since = now;
-    state.queue.close(*least, now);
+    state.queue.block(*least, now);
     state.actions.emplace_back(log_event{
         event_code::slot_taken_by_force, log_level::info,
         fmt::format(
@@ -129,13 +130,13 @@
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::evict_stopped(replica_state& state, instant now) {
+void slot_manager<Eviction>::evict_drained(replica_state& state, instant now) {
     if (!state.may_command(now)) {
         return;
     }
     std::vector<adapter_ref> ready;
     for (auto const& [adapter, each] : slots_.all()) {
-        if (each.phase == slot_phase::stopping &&
+        if (each.phase == slot_phase::draining &&
             confirmed_idle(state, adapter, each.idle_since, now)) {
             ready.push_back(adapter);
         }
@@ -146,42 +147,46 @@
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::resume_needless_stops(
+void slot_manager<Eviction>::resume_unneeded_drains(
     replica_state& state, instant now) {
-    std::vector<adapter_ref> stopped;
+    std::vector<adapter_ref> draining_adapters;
     for (auto const& [adapter, each] : slots_.all()) {
-        if (each.phase == slot_phase::stopping) {
-            stopped.push_back(adapter);
+        if (each.phase == slot_phase::draining) {
+            draining_adapters.push_back(adapter);
         }
     }
-    if (stopped.empty()) {
+    if (draining_adapters.empty()) {
         return;
     }
     // While authority has lapsed no eviction can follow: a stopped adapter
     // would stay unserved for as long as the log is down.
-    auto const others = std::ranges::any_of(
+    auto const slot_needed = std::ranges::any_of(
         state.queue.all_blocked(),
         [&](blocked_group const& each) { return !slots_.find(each.adapter); });
-    if (others && state.may_command(now)) {
+    if (slot_needed && state.may_command(now)) {
         return;
     }
-    for (adapter_ref const& adapter : stopped) {
+    for (adapter_ref const& adapter : draining_adapters) {
         resume(state, adapter, now);
     }
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::make_room(replica_state& state, instant now) {
-    auto const permitted = static_cast<std::size_t>(std::ranges::count_if(
-        wants_, [](auto const& each) { return each.second.permission != 0; }));
-    std::size_t coming = free_slots(state) + slots_.count(slot_phase::evicting);
-    while (coming < permitted && state.may_command(now)) {
+void slot_manager<Eviction>::evict_for_permissions(
+    replica_state& state, instant now) {
+    auto const permitted = static_cast<std::size_t>(
+        std::ranges::count_if(load_requests_, [](auto const& each) {
+            return each.second.permission != 0;
+        }));
+    std::size_t upcoming_slots =
+        free_slots(state) + slots_.count(slot_phase::evicting);
+    while (upcoming_slots < permitted && state.may_command(now)) {
         auto const least = victim(state, now);
         if (!least) {
             return;
         }
         evict(state, *least, now);
-        ++coming;
+        ++upcoming_slots;
     }
 }
 
@@ -190,7 +195,7 @@
     replica_state& state, adapter_ref const& adapter, instant now) {
     slot& target = *slots_.find(adapter);
     target = {.phase = slot_phase::resident, .since = now, .idle_since = now};
-    state.queue.open(adapter, now);
+    state.queue.unblock(adapter, now);
 }
 
 } // namespace camphorpoint::internal
--- a/src/Scheduling/slot_manager_loads.hpp
+++ b/src/Scheduling/slot_manager_loads.hpp
@@ -24,8 +24,8 @@
 }
 
 template <eviction_policy Eviction>
-std::size_t
-slot_manager<Eviction>::room(replica_state const& state, instant now) const {
+std::size_t slot_manager<Eviction>::available_slots(
+    replica_state const& state, instant now) const {
     auto const idle = std::ranges::count_if(slots_.all(), [&](auto const& e) {
         return evictable(state, e.first, e.second, now);
     });
@@ -33,72 +33,76 @@
                             slots_.count(slot_phase::evicting) +
                             static_cast<std::size_t>(idle);
     // Loads ahead of demand give way to those that somebody waits for.
-    auto const waited_for = std::ranges::count_if(
-        wants_, [](auto const& each) { return !each.second.prefetch; });
-    return all - std::min(all, static_cast<std::size_t>(waited_for));
+    auto const awaited_loads = std::ranges::count_if(
+        load_requests_, [](auto const& each) { return !each.second.prefetch; });
+    return all - std::min(all, static_cast<std::size_t>(awaited_loads));
 }
 
 template <eviction_policy Eviction>
-bool slot_manager<Eviction>::may_want(
+bool slot_manager<Eviction>::may_request_load(
     replica_state const& state, adapter_ref const& adapter, instant now) const {
-    return state.owned && !slots_.find(adapter) && !wants_.contains(adapter) &&
+    return state.owned && !slots_.find(adapter) &&
+           !load_requests_.contains(adapter) &&
            state.history.may_load(adapter, now);
 }
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::on_blocked(
     replica_state& state, adapter_ref const& adapter, instant now) {
-    auto const known = wants_.find(adapter);
-    bool const upgraded = known != wants_.end() && known->second.prefetch &&
+    auto const known = load_requests_.find(adapter);
+    bool const upgraded = known != load_requests_.end() &&
+                          known->second.prefetch &&
                           known->second.permission == 0;
     if (upgraded) {
-        tell_store(state, adapter, known->second, now);
+        submit_load_request(state, adapter, known->second, now);
         return;
     }
-    if (may_want(state, adapter, now) && room(state, now) > 0) {
-        ask_store(state, adapter, now);
+    if (may_request_load(state, adapter, now) &&
+        available_slots(state, now) > 0) {
+        add_load_request(state, adapter, now);
     }
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::ask_store(
+void slot_manager<Eviction>::add_load_request(
     replica_state& state, adapter_ref const& adapter, instant now) {
-    pending_load_request& want = wants_[adapter];
-    want.asked = now;
-    tell_store(state, adapter, want, now);
+    pending_load_request& request = load_requests_[adapter];
+    request.requested = now;
+    submit_load_request(state, adapter, request, now);
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::tell_store(
+void slot_manager<Eviction>::submit_load_request(
     replica_state& state, adapter_ref const& adapter,
-    pending_load_request& want, instant now) {
+    pending_load_request& request, instant now) {
     using std::chrono::milliseconds;
-    want.told = now;
-    load_request ask;
-    ask.replica = state.settings.replica;
-    ask.adapter = adapter;
-    ask.how_urgent = urgency::background;
-    ask.expected_demand = state.history.rate(adapter, now);
+    request.last_sent = now;
+    load_request message;
+    message.replica = state.settings.replica;
+    message.adapter = adapter;
+    message.how_urgent = urgency::background;
+    message.expected_demand = state.history.rate(adapter, now);
     if (auto const group = state.queue.blocked(adapter)) {
-        ask.how_urgent = group->how_urgent;
-        ask.waiting = group->waiting;
-        ask.oldest_wait =
+        message.how_urgent = group->how_urgent;
+        message.waiting = group->waiting;
+        message.oldest_wait =
             std::chrono::duration_cast<milliseconds>(now - group->oldest);
     }
-    want.prefetch = ask.is_prefetch();
-    state.actions.emplace_back(send_load_request{ask});
+    request.prefetch = message.is_prefetch();
+    state.actions.emplace_back(send_load_request{message});
 }
 
 template <eviction_policy Eviction>
-bool slot_manager<Eviction>::still_wanted(
+bool slot_manager<Eviction>::still_needed(
     replica_state const& state, adapter_ref const& adapter, instant now) const {
-    auto const warm = warming_.find(adapter);
+    auto const prefetch_entry = prefetches_.find(adapter);
     return state.queue.waiting_for(adapter) > 0 ||
-           (warm != warming_.end() && now < warm->second);
+           (prefetch_entry != prefetches_.end() &&
+            now < prefetch_entry->second);
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::give_back(
+void slot_manager<Eviction>::return_permission(
     replica_state& state, adapter_ref const& adapter,
     std::uint64_t permission) {
     load_result message;
@@ -110,11 +114,11 @@
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::drop_want(
+void slot_manager<Eviction>::cancel_load_request(
     replica_state& state, adapter_ref const& adapter,
-    pending_load_request const& want) {
-    if (want.permission != 0) {
-        give_back(state, adapter, want.permission);
+    pending_load_request const& request) {
+    if (request.permission != 0) {
+        return_permission(state, adapter, request.permission);
         return;
     }
     state.actions.emplace_back(
@@ -122,19 +126,21 @@
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::refresh_wants(replica_state& state, instant now) {
-    for (auto each = wants_.begin(); each != wants_.end();) {
-        auto& [adapter, want] = *each;
-        bool const lapsed = want.permission != 0 && now >= want.valid_until;
-        if (lapsed || !still_wanted(state, adapter, now)) {
-            drop_want(state, adapter, want);
-            each = wants_.erase(each);
+void slot_manager<Eviction>::refresh_load_requests(
+    replica_state& state, instant now) {
+    for (auto each = load_requests_.begin(); each != load_requests_.end();) {
+        auto& [adapter, request] = *each;
+        bool const lapsed =
+            request.permission != 0 && now >= request.valid_until;
+        if (lapsed || !still_needed(state, adapter, now)) {
+            cancel_load_request(state, adapter, request);
+            each = load_requests_.erase(each);
             continue;
         }
         bool const due =
-            now - want.told >= state.settings.load_request_interval;
-        if (want.permission == 0 && due) {
-            tell_store(state, adapter, want, now);
+            now - request.last_sent >= state.settings.load_request_interval;
+        if (request.permission == 0 && due) {
+            submit_load_request(state, adapter, request, now);
         }
         ++each;
     }
@@ -145,19 +151,19 @@
     if (!state.owned) {
         return;
     }
-    resume_needless_stops(state, now);
-    evict_stopped(state, now);
-    make_room(state, now);
+    resume_unneeded_drains(state, now);
+    evict_drained(state, now);
+    evict_for_permissions(state, now);
     use_permissions(state, now);
     plan_blocked(state, now);
-    plan_warming(state, now);
+    plan_prefetches(state, now);
 }
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::plan_blocked(replica_state& state, instant now) {
     std::vector<blocked_group> groups = state.queue.all_blocked();
     std::erase_if(groups, [&](blocked_group const& each) {
-        return !may_want(state, each.adapter, now);
+        return !may_request_load(state, each.adapter, now);
     });
     if (groups.empty()) {
         return;
@@ -168,39 +174,42 @@
         }
         return left.oldest < right.oldest;
     });
-    std::size_t places = room(state, now);
+    std::size_t slots_left = available_slots(state, now);
     instant oldest = now;
     for (blocked_group const& each : groups) {
-        if (places > 0) {
-            --places;
-            ask_store(state, each.adapter, now);
+        if (slots_left > 0) {
+            --slots_left;
+            add_load_request(state, each.adapter, now);
         } else {
             oldest = std::min(oldest, each.oldest);
         }
     }
-    bool const too_long = now - oldest >= state.settings.blocked_wait_limit;
-    bool const under_way = slots_.count(slot_phase::stopping) > 0;
-    if (too_long && !under_way && state.may_command(now)) {
-        stop_one_by_force(state, now);
+    bool const waited_too_long =
+        now - oldest >= state.settings.blocked_wait_limit;
+    bool const already_draining = slots_.count(slot_phase::draining) > 0;
+    if (waited_too_long && !already_draining && state.may_command(now)) {
+        drain_least_valuable(state, now);
     }
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::plan_warming(replica_state& state, instant now) {
+void slot_manager<Eviction>::plan_prefetches(
+    replica_state& state, instant now) {
     std::erase_if(
-        warming_, [&](auto const& each) { return now >= each.second; });
-    for (auto const& [adapter, until] : warming_) {
-        if (!may_want(state, adapter, now)) {
+        prefetches_, [&](auto const& each) { return now >= each.second; });
+    for (auto const& [adapter, until] : prefetches_) {
+        if (!may_request_load(state, adapter, now)) {
             continue;
         }
         // A load ahead of demand takes a free slot, or one whose adapter is
         // in less demand, never one that is worth more.
-        bool const free = free_slots(state) > wants_.size();
+        bool const free = free_slots(state) > load_requests_.size();
         auto const least = free ? std::nullopt : victim(state, now);
-        bool const better = least && state.history.rate(*least, now) <
-                                         state.history.rate(adapter, now);
-        if (free || (better && room(state, now) > 0)) {
-            ask_store(state, adapter, now);
+        bool const in_higher_demand =
+            least &&
+            state.history.rate(*least, now) < state.history.rate(adapter, now);
+        if (free || (in_higher_demand && available_slots(state, now) > 0)) {
+            add_load_request(state, adapter, now);
         }
     }
 }
@@ -217,7 +226,7 @@
     replica_state& state, engine_report const& report, instant now) {
     auto const changes = slots_.on_report(report, now - report.age, now);
     for (slot_change const& each : changes) {
-        settle(state, each, now);
+        apply_change(state, each, now);
     }
     plan(state, now);
 }
@@ -225,9 +234,9 @@
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::on_load_allowed(
     replica_state& state, load_allowed const& message, instant now) {
-    auto const known = wants_.find(message.adapter);
-    if (known == wants_.end() || known->second.permission != 0) {
-        give_back(state, message.adapter, message.permission);
+    auto const known = load_requests_.find(message.adapter);
+    if (known == load_requests_.end() || known->second.permission != 0) {
+        return_permission(state, message.adapter, message.permission);
         return;
     }
     known->second.permission = message.permission;
@@ -255,50 +264,51 @@
         return;
     }
     successors_.insert_or_assign(from, to);
-    guarded_until_.insert_or_assign(from, now + rollout_time);
-    state.history.note_rate(to, state.history.rate(from, now), now);
+    protected_until_.insert_or_assign(from, now + rollout_time);
+    state.history.record_rate(to, state.history.rate(from, now), now);
     if (state.settings.prefetch_adapters && !slots_.find(to)) {
-        warming_.insert_or_assign(to, now + rollout_time);
+        prefetches_.insert_or_assign(to, now + rollout_time);
     }
     plan(state, now);
 }
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::on_cold_start(replica_state& state, instant now) {
-    constexpr std::chrono::seconds refill_time{60};
+    constexpr std::chrono::seconds prefetch_time{60};
     for (auto const& [adapter, each] : slots_.all()) {
-        report_to_store(state, adapter, each, true, false, now);
-        state.queue.close(adapter, now);
-        bool const wanted = each.phase == slot_phase::resident &&
-                            state.settings.prefetch_adapters;
-        if (wanted) {
-            warming_.insert_or_assign(adapter, now + refill_time);
+        report_load_result(state, adapter, each, true, false, now);
+        state.queue.block(adapter, now);
+        bool const prefetch_again = each.phase == slot_phase::resident &&
+                                    state.settings.prefetch_adapters;
+        if (prefetch_again) {
+            prefetches_.insert_or_assign(adapter, now + prefetch_time);
         }
     }
     slots_.clear();
 }
 
 template <eviction_policy Eviction>
-void slot_manager<Eviction>::on_lost(replica_state& state, instant now) {
-    for (auto const& [adapter, want] : wants_) {
-        drop_want(state, adapter, want);
+void slot_manager<Eviction>::on_authority_lost(
+    replica_state& state, instant now) {
+    for (auto const& [adapter, request] : load_requests_) {
+        cancel_load_request(state, adapter, request);
     }
     // A load that is under way goes on; the next owner learns of it from the
     // engine's report. The store's budget must not wait for its end.
     for (auto const& [adapter, each] : slots_.all()) {
-        report_to_store(state, adapter, each, true, false, now);
+        report_load_result(state, adapter, each, true, false, now);
     }
-    wants_.clear();
-    warming_.clear();
+    load_requests_.clear();
+    prefetches_.clear();
     successors_.clear();
-    guarded_until_.clear();
+    protected_until_.clear();
     slots_.clear();
 }
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::on_tick(replica_state& state, instant now) {
-    refresh_wants(state, now);
-    give_up_late_orders(state, now);
+    refresh_load_requests(state, now);
+    time_out_commands(state, now);
     plan(state, now);
 }
 
--- a/src/Scheduling/slot_table.cpp
+++ b/src/Scheduling/slot_table.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// No report lags by more.
-constexpr std::chrono::seconds longest_lag{30};
+constexpr std::chrono::seconds max_report_lag{30};
 
 } // namespace
 
@@ -59,7 +59,7 @@
     add_unknown(report.resident, slot_phase::resident, changes, now);
     add_unknown(report.loading, slot_phase::loading, changes, now);
     std::erase_if(freed_, [&](auto const& each) {
-        return now - each.second > longest_lag;
+        return now - each.second > max_report_lag;
     });
     return changes;
 }
@@ -69,16 +69,16 @@
     std::vector<slot_change>& changes, instant now) {
     for (auto each = slots_.begin(); each != slots_.end();) {
         auto const& adapter = each->first;
-        auto const verdict = judge(
+        auto const change = classify(
             each->second, resident.contains(adapter),
             loading.contains(adapter));
-        if (!verdict) {
+        if (!change) {
             ++each;
             continue;
         }
-        changes.push_back({*verdict, adapter, each->second});
-        bool const stays = *verdict == slot_change::kind::appeared ||
-                           *verdict == slot_change::kind::evict_lost;
+        changes.push_back({*change, adapter, each->second});
+        bool const stays = *change == slot_change::kind::appeared ||
+                           *change == slot_change::kind::evict_lost;
         if (stays) {
             each->second = {
                 .phase = slot_phase::resident,
@@ -93,23 +93,23 @@
 }
 
 std::optional<slot_change::kind>
-slot_table::judge(slot const& each, bool resident, bool loading) const {
+slot_table::classify(slot const& each, bool resident, bool loading) const {
     using kind = slot_change::kind;
-    bool const settled = each.phase == slot_phase::resident ||
-                         each.phase == slot_phase::stopping;
-    if (settled) {
+    bool const no_command = each.phase == slot_phase::resident ||
+                            each.phase == slot_phase::draining;
+    if (no_command) {
         bool const gone = !resident && *measured_ >= each.since;
         return gone ? std::optional(kind::vanished) : std::nullopt;
     }
     // While an order's answer is still to come, a report says nothing more
     // than the answer will.
-    if (!each.lost_at || *measured_ < *each.lost_at) {
+    if (!each.result_lost_at || *measured_ < *each.result_lost_at) {
         return std::nullopt;
     }
     // A lost order may still be on its way to the engine until its time is
     // over. An eviction that was given up earlier could hit a request that was
     // granted in the meantime.
-    bool const too_late = *measured_ >= each.order_not_after;
+    bool const too_late = *measured_ >= each.command_not_after;
     if (each.phase == slot_phase::evicting) {
         if (!resident) {
             return kind::vanished;
@@ -119,8 +119,8 @@
     if (resident) {
         return kind::appeared;
     }
-    bool const never = too_late && !loading;
-    return never ? std::optional(kind::load_lost) : std::nullopt;
+    bool const not_loaded = too_late && !loading;
+    return not_loaded ? std::optional(kind::load_lost) : std::nullopt;
 }
 
 void slot_table::add_unknown(
@@ -138,8 +138,8 @@
             changes.push_back({slot_change::kind::appeared, adapter, value});
         } else {
             // A former owner's load: its answer went elsewhere.
-            value.ordered_at = now;
-            value.lost_at = now;
+            value.commanded_at = now;
+            value.result_lost_at = now;
         }
         slots_.emplace(adapter, value);
     }
--- a/src/Scheduling/slot_table.hpp
+++ b/src/Scheduling/slot_table.hpp
@@ -17,7 +17,7 @@
     loading,
     resident,
     /// Gets no more grants, and is evicted once nothing runs on it.
-    stopping,
+    draining,
     evicting
 };
 
@@ -29,12 +29,12 @@
     /// When the last grant for it ended.
     instant idle_since{};
     /// Of the order that is under way; 0 when there is none.
-    std::uint64_t order = 0;
-    instant ordered_at{};
+    std::uint64_t command = 0;
+    instant commanded_at{};
     /// The order can't travel past this time.
-    instant order_not_after{};
+    instant command_not_after{};
     /// When the order's answer was given up.
-    std::optional<instant> lost_at{};
+    std::optional<instant> result_lost_at{};
     /// The weight store's permission of the load.
     std::uint64_t permission = 0;
     bool prefetch = false;
@@ -89,7 +89,7 @@
         std::set<adapter_ref> const& loading, std::vector<slot_change>& changes,
         instant now);
     std::optional<slot_change::kind>
-    judge(slot const& each, bool resident, bool loading) const;
+    classify(slot const& each, bool resident, bool loading) const;
     void add_unknown(
         std::vector<adapter_ref> const& found, slot_phase phase,
         std::vector<slot_change>& changes, instant now);
--- a/src/Scheduling/time_estimates.hpp
+++ b/src/Scheduling/time_estimates.hpp
@@ -20,18 +20,18 @@
         , stall_(settings.load_time) {}
 
     /// A request ran this long and answered so many tokens.
-    void note_service(duration took, std::uint32_t tokens) {
+    void record_service_time(duration took, std::uint32_t tokens) {
         service_ = move_average(service_, took);
         if (tokens > 0) {
             token_ = move_average(token_, took / tokens);
         }
     }
     /// A load's order took this long.
-    void note_load(duration took) { load_ = move_average(load_, took); }
+    void record_load_time(duration took) { load_ = move_average(load_, took); }
     /// An adapter's first request waited this long for it.
-    void note_stall(duration waited, instant now) {
+    void record_stall(duration waited, instant now) {
         stall_ = move_average(stall(now), waited);
-        stalled_ = now;
+        last_stall_ = now;
     }
 
     /// @param tokens expected; 0 when unknown
@@ -48,11 +48,12 @@
     duration stall(instant now) const {
         constexpr std::chrono::seconds half_life{5};
         double const passed =
-            std::chrono::duration<double>(now - stalled_) / half_life;
-        double const left = std::exp2(-std::max(0.0, passed));
-        duration const beyond = std::max(duration{}, stall_ - load_);
-        double const kept = left * static_cast<double>(beyond.count());
-        return load_ + duration(static_cast<duration::rep>(kept));
+            std::chrono::duration<double>(now - last_stall_) / half_life;
+        double const remaining_fraction = std::exp2(-std::max(0.0, passed));
+        duration const excess = std::max(duration{}, stall_ - load_);
+        double const remaining_excess =
+            remaining_fraction * static_cast<double>(excess.count());
+        return load_ + duration(static_cast<duration::rep>(remaining_excess));
     }
 
 private:
@@ -60,7 +61,7 @@
     duration service_;
     duration load_;
     duration stall_;
-    instant stalled_;
+    instant last_stall_;
 };
 
 } // namespace camphorpoint::internal
--- a/src/Scheduling/waiting_queue.cpp
+++ b/src/Scheduling/waiting_queue.cpp
@@ -14,18 +14,18 @@
 } // namespace
 
 void waiting_queue::add(waiting_request request, bool ready, instant now) {
-    assert(!by_id_.contains(request.ask.request) && "it waits already");
-    std::uint64_t const sequence = next_++;
-    std::size_t const index = index_of(request.ask.how_urgent);
-    by_id_.emplace(request.ask.request, sequence);
-    late_.insert({request.latest_start, sequence});
-    group& own = groups_[request.ask.adapter];
+    assert(!by_id_.contains(request.message.request) && "it waits already");
+    std::uint64_t const sequence = next_sequence_++;
+    std::size_t const index = index_of(request.message.how_urgent);
+    by_id_.emplace(request.message.request, sequence);
+    by_latest_start_.insert({request.latest_start, sequence});
+    group& own = groups_[request.message.adapter];
     own.members.insert(sequence);
     ++own.counts[index];
     ++sizes_[index];
     request.ready = false;
     request.blocked_since = now;
-    adapter_ref const adapter = request.ask.adapter;
+    adapter_ref const adapter = request.message.adapter;
     by_sequence_.emplace(sequence, std::move(request));
     if (ready) {
         make_ready(sequence, now);
@@ -44,15 +44,15 @@
     auto const entry = by_sequence_.find(sequence);
     waiting_request request = std::move(entry->second);
     by_sequence_.erase(entry);
-    std::size_t const index = index_of(request.ask.how_urgent);
-    late_.erase({request.latest_start, sequence});
+    std::size_t const index = index_of(request.message.how_urgent);
+    by_latest_start_.erase({request.latest_start, sequence});
     --sizes_[index];
-    leave_ready(sequence, request);
-    auto const own = groups_.find(request.ask.adapter);
+    remove_from_ready(sequence, request);
+    auto const own = groups_.find(request.message.adapter);
     own->second.members.erase(sequence);
     --own->second.counts[index];
     if (own->second.members.empty()) {
-        blocked_.erase(request.ask.adapter);
+        blocked_.erase(request.message.adapter);
         groups_.erase(own);
     }
     return request;
@@ -70,17 +70,17 @@
     }
     request.ready = true;
     request.stalled += now - request.blocked_since;
-    std::vector<key>& keys = ready_[index_of(request.ask.how_urgent)];
+    std::vector<key>& keys = ready_[index_of(request.message.how_urgent)];
     key const own{request.deadline, sequence};
     keys.insert(std::ranges::lower_bound(keys, own), own);
 }
 
-void waiting_queue::leave_ready(
+void waiting_queue::remove_from_ready(
     std::uint64_t sequence, waiting_request const& request) {
     if (!request.ready) {
         return;
     }
-    std::vector<key>& keys = ready_[index_of(request.ask.how_urgent)];
+    std::vector<key>& keys = ready_[index_of(request.message.how_urgent)];
     keys.erase(std::ranges::lower_bound(keys, key{request.deadline, sequence}));
 }
 
@@ -89,12 +89,12 @@
     if (!request.ready) {
         return;
     }
-    leave_ready(sequence, request);
+    remove_from_ready(sequence, request);
     request.ready = false;
     request.blocked_since = now;
 }
 
-void waiting_queue::open(adapter_ref const& adapter, instant now) {
+void waiting_queue::unblock(adapter_ref const& adapter, instant now) {
     auto const own = groups_.find(adapter);
     if (own == groups_.end()) {
         return;
@@ -105,7 +105,7 @@
     }
 }
 
-void waiting_queue::close(adapter_ref const& adapter, instant now) {
+void waiting_queue::block(adapter_ref const& adapter, instant now) {
     auto const own = groups_.find(adapter);
     if (own == groups_.end()) {
         return;
@@ -129,14 +129,15 @@
     return sizes_[index_of(which)];
 }
 
-std::size_t waiting_queue::ahead(urgency which, instant deadline) const {
+std::size_t waiting_queue::count_ahead(urgency which, instant deadline) const {
     std::size_t count = 0;
     for (std::size_t index = 0; index < index_of(which); ++index) {
         count += ready_[index].size();
     }
     std::vector<key> const& own = ready_[index_of(which)];
-    auto const place = std::ranges::lower_bound(own, key{deadline, next_});
-    return count + static_cast<std::size_t>(place - own.begin());
+    auto const position =
+        std::ranges::lower_bound(own, key{deadline, next_sequence_});
+    return count + static_cast<std::size_t>(position - own.begin());
 }
 
 std::size_t waiting_queue::waiting_for(adapter_ref const& adapter) const {
@@ -145,8 +146,9 @@
 }
 
 waiting_request const* waiting_queue::first_late(instant now) const {
-    bool const any = !late_.empty() && late_.begin()->when < now;
-    return any ? &by_sequence_.at(late_.begin()->sequence) : nullptr;
+    bool const any =
+        !by_latest_start_.empty() && by_latest_start_.begin()->when < now;
+    return any ? &by_sequence_.at(by_latest_start_.begin()->sequence) : nullptr;
 }
 
 blocked_group waiting_queue::describe(
@@ -182,14 +184,14 @@
 }
 
 std::vector<request_id>
-waiting_queue::ids_for(adapter_ref const& adapter) const {
+waiting_queue::ids_waiting_for(adapter_ref const& adapter) const {
     std::vector<request_id> result;
     auto const own = groups_.find(adapter);
     if (own == groups_.end()) {
         return result;
     }
     for (std::uint64_t const sequence : own->second.members) {
-        result.push_back(by_sequence_.at(sequence).ask.request);
+        result.push_back(by_sequence_.at(sequence).message.request);
     }
     return result;
 }
@@ -204,7 +206,7 @@
     std::vector<request_id> result;
     result.reserve(order.size());
     for (std::uint64_t const sequence : order) {
-        result.push_back(by_sequence_.at(sequence).ask.request);
+        result.push_back(by_sequence_.at(sequence).message.request);
     }
     return result;
 }
--- a/src/Scheduling/waiting_queue.hpp
+++ b/src/Scheduling/waiting_queue.hpp
@@ -17,7 +17,7 @@
 /// A request that waits for a grant.
 struct waiting_request {
     node_id from;
-    grant_request ask;
+    grant_request message;
     instant arrived;
     instant deadline;
     /// Past this time the deadline can't be met any more.
@@ -53,9 +53,9 @@
     /// @returns the request, or nullptr when it doesn't wait here
     waiting_request const* find(request_id const& id) const;
     /// The adapter became resident: its requests get ready.
-    void open(adapter_ref const& adapter, instant now);
+    void unblock(adapter_ref const& adapter, instant now);
     /// The adapter is resident no more: its requests get blocked.
-    void close(adapter_ref const& adapter, instant now);
+    void block(adapter_ref const& adapter, instant now);
 
     /// @returns the ready request with the earliest deadline, or nullptr
     waiting_request const* first_ready(urgency which) const;
@@ -66,7 +66,7 @@
     /// @returns all that wait
     std::size_t size() const noexcept { return by_sequence_.size(); }
     /// @returns ready requests that go before one with this deadline
-    std::size_t ahead(urgency which, instant deadline) const;
+    std::size_t count_ahead(urgency which, instant deadline) const;
     /// @returns requests that wait for this adapter, ready or blocked
     std::size_t waiting_for(adapter_ref const& adapter) const;
     /// @returns a request whose latest start has passed, or nullptr
@@ -76,7 +76,7 @@
     /// @returns all blocked groups, in the order of their adapters
     std::vector<blocked_group> all_blocked() const;
     /// @returns the ids that wait for this adapter, oldest first
-    std::vector<request_id> ids_for(adapter_ref const& adapter) const;
+    std::vector<request_id> ids_waiting_for(adapter_ref const& adapter) const;
     /// @returns the ids that came from this node, oldest first
     std::vector<request_id> ids_from(node_id const& node) const;
     /// @returns all ids, oldest first
@@ -96,16 +96,17 @@
 
     void make_ready(std::uint64_t sequence, instant now);
     void make_blocked(std::uint64_t sequence, instant now);
-    void leave_ready(std::uint64_t sequence, waiting_request const& request);
+    void
+    remove_from_ready(std::uint64_t sequence, waiting_request const& request);
     blocked_group
     describe(adapter_ref const& adapter, group const& members) const;
 
-    std::uint64_t next_ = 1;
+    std::uint64_t next_sequence_ = 1;
     std::unordered_map<std::uint64_t, waiting_request> by_sequence_;
     std::unordered_map<request_id, std::uint64_t> by_id_;
     std::unordered_map<adapter_ref, group> groups_;
     std::set<adapter_ref> blocked_;
-    std::set<key> late_;
+    std::set<key> by_latest_start_;
     std::array<std::vector<key>, urgency_count> ready_;
     std::array<std::size_t, urgency_count> sizes_{};
 };
--- a/test/scheduling_fixture.hpp
+++ b/test/scheduling_fixture.hpp
@@ -105,8 +105,8 @@
         scheduler_.on_report(message, now_);
         collect();
     }
-    void complete_command(engine_order const& order, order_result how) {
-        scheduler_.on_command_result(order, how, now_);
+    void complete_command(engine_order const& command, order_result how) {
+        scheduler_.on_command_result(command, how, now_);
         collect();
     }
     void permit_load(adapter_ref const& which, std::uint64_t permission = 1) {
@@ -117,9 +117,9 @@
     /// Loads an adapter as if all goes well.
     void load(adapter_ref const& which) {
         permit_load(which);
-        engine_order const order = last<engine_order>();
-        REQUIRE(order.kind == engine_order_kind::load);
-        complete_command(order, order_result::done);
+        engine_order const command = last<engine_order>();
+        REQUIRE(command.kind == engine_order_kind::load);
+        complete_command(command, order_result::done);
     }
 
     /// @returns all actions of a kind since the last forget()
@@ -127,8 +127,8 @@
     std::vector<Action> all() const {
         std::vector<Action> result;
         for (scheduler_action const& each : actions_) {
-            if (auto const* wanted = std::get_if<Action>(&each)) {
-                result.push_back(*wanted);
+            if (auto const* matching = std::get_if<Action>(&each)) {
+                result.push_back(*matching);
             }
         }
         return result;
--- a/test/scheduling_owner_test.cpp
+++ b/test/scheduling_owner_test.cpp
@@ -13,7 +13,7 @@
 adapter_ref const labels = adapter("labels");
 adapter_ref const licences = adapter("licences");
 
-constexpr milliseconds settled{1'600};
+constexpr milliseconds grants_expired{1'600};
 
 } // namespace
 
@@ -31,7 +31,7 @@
         CHECK(fixture.all<send_load_request>().empty());
 
         SUBCASE("a later one does, for what it says is idle") {
-            fixture.advance(settled);
+            fixture.advance(grants_expired);
             fixture.clear_actions();
             fixture.report({audit, labels}, {audit});
             fixture.permit_load(licences);
@@ -104,7 +104,7 @@
     }
 
     SUBCASE("a grant that was never used ends with its time") {
-        fixture.advance(settled);
+        fixture.advance(grants_expired);
         fixture.heartbeat(
             {fixture.grant_entry("b", audit, true),
              fixture.grant_entry("c", audit, false)});
@@ -141,7 +141,7 @@
 TEST_CASE("an owner without authority orders nothing") {
     scheduler_fixture fixture;
     fixture.take_ownership(2, milliseconds(2'000));
-    fixture.advance(settled);
+    fixture.advance(grants_expired);
     fixture.report({audit, labels});
     fixture.request_grant("new", licences);
     REQUIRE(fixture.all<send_load_request>().size() == 1);
@@ -195,7 +195,7 @@
 TEST_CASE("an adapter that was stopped is served on when authority lapses") {
     scheduler_fixture fixture;
     fixture.take_ownership(2, milliseconds(2'400));
-    fixture.advance(settled);
+    fixture.advance(grants_expired);
     fixture.report({audit, labels});
     fixture.request_grant("a", audit);
     fixture.request_grant("l", labels);
--- a/test/scheduling_queue_test.cpp
+++ b/test/scheduling_queue_test.cpp
@@ -8,7 +8,7 @@
 adapter_ref const labels = adapter("labels");
 
 /// An attempt of a request that was sent elsewhere often enough.
-constexpr std::uint32_t last_try = 3;
+constexpr std::uint32_t beyond_redirects = 3;
 
 } // namespace
 
@@ -116,12 +116,13 @@
     for (int count = 0; count < 8; ++count) {
         fixture.request_grant(
             "q" + std::to_string(count), audit, urgency::high, seconds(30),
-            "n1", last_try);
+            "n1", beyond_redirects);
     }
 
     SUBCASE("what can't make its deadline is not queued") {
         fixture.request_grant(
-            "hopeless", audit, urgency::normal, seconds(4), "n1", last_try);
+            "hopeless", audit, urgency::normal, seconds(4), "n1",
+            beyond_redirects);
         CHECK(fixture.refused("hopeless") == reason::deadline_unreachable);
         auto const after = fixture.last<reply_refusal>().message.retry_after;
         CHECK(after > milliseconds(0));
@@ -130,7 +131,8 @@
 
     SUBCASE("what is late in the queue is refused before its deadline") {
         fixture.request_grant(
-            "waits", audit, urgency::background, seconds(15), "n1", last_try);
+            "waits", audit, urgency::background, seconds(15), "n1",
+            beyond_redirects);
         CHECK(fixture.refused("waits") == reason::none);
         fixture.advance(seconds(14));
         CHECK(fixture.refused("waits") == reason::deadline_unreachable);
@@ -174,7 +176,8 @@
 
         SUBCASE("unless the request was sent on twice already") {
             fixture.request_grant(
-                "m", labels, urgency::normal, seconds(30), "n1", last_try);
+                "m", labels, urgency::normal, seconds(30), "n1",
+                beyond_redirects);
             CHECK(fixture.refused("m") == reason::none);
         }
     }
--- a/test/scheduling_slots_test.cpp
+++ b/test/scheduling_slots_test.cpp
@@ -9,13 +9,13 @@
 adapter_ref const licences = adapter("licences");
 
 /// Past the time in which a former owner's grants could still be sent.
-constexpr milliseconds settled{1'600};
+constexpr milliseconds grants_expired{1'600};
 
 } // namespace
 
 TEST_CASE("an owner swaps adapters") {
     scheduler_fixture fixture;
-    fixture.advance(settled);
+    fixture.advance(grants_expired);
     fixture.report({audit, labels});
     fixture.advance(milliseconds(20));
     fixture.request_grant("a", audit);
@@ -57,9 +57,10 @@
         SUBCASE("a second permission for it is given back") {
             fixture.permit_load(licences, 1);
             fixture.permit_load(licences, 2);
-            load_result const back = fixture.last<send_load_result>().message;
-            CHECK(back.permission == 2);
-            CHECK_FALSE(back.started);
+            load_result const returned =
+                fixture.last<send_load_result>().message;
+            CHECK(returned.permission == 2);
+            CHECK_FALSE(returned.started);
         }
 
         // A caller's stream breaks off because its adapter vanished. The
@@ -169,7 +170,7 @@
 // its adapter granted again, and then the order arrived after all.
 TEST_CASE("a lost eviction blocks its adapter until it can't arrive") {
     scheduler_fixture fixture;
-    fixture.advance(settled);
+    fixture.advance(grants_expired);
     fixture.report({audit, labels});
     fixture.request_grant("new", licences);
     fixture.permit_load(licences);
@@ -201,7 +202,7 @@
 // free the slot, or a further load finds none.
 TEST_CASE("a report from before a lost eviction settles nothing") {
     scheduler_fixture fixture;
-    fixture.advance(settled);
+    fixture.advance(grants_expired);
     fixture.report({audit, labels});
     fixture.advance(milliseconds(100));
     fixture.request_grant("new", licences);
@@ -263,12 +264,12 @@
     CHECK(fixture.last<send_load_request>().message.waiting == 1);
 
     SUBCASE("what it held is wanted again ahead of demand") {
-        names wanted;
+        names prefetched;
         fixture.advance(milliseconds(600));
         for (send_load_request const& each : fixture.all<send_load_request>()) {
-            wanted.push_back(each.message.adapter.id.str());
+            prefetched.push_back(each.message.adapter.id.str());
         }
-        CHECK(std::ranges::count(wanted, "labels") > 0);
+        CHECK(std::ranges::count(prefetched, "labels") > 0);
     }
 
     SUBCASE("a report of the earlier run that comes late is skipped") {
@@ -281,7 +282,7 @@
 // admitted before it find their version gone.
 TEST_CASE("a new version is warmed before the old one is let go") {
     scheduler_fixture fixture;
-    fixture.advance(settled);
+    fixture.advance(grants_expired);
     adapter_ref const next = adapter("audit", 2);
     fixture.report({audit, labels});
     fixture.request_grant("l", labels);
