--- a/src/Loading/store_budget.cpp
+++ b/src/Loading/store_budget.cpp
@@ -16,7 +16,7 @@
 /// How much a waiting request of each class counts.
 constexpr std::array<double, urgency_count> class_weight{8, 4, 2, 1};
 /// Loads that take this many times as long as usual mean a slow store.
-constexpr int slow_factor = 3;
+constexpr int slow_load_factor = 3;
 
 double seconds(duration span) {
     return std::chrono::duration<double>(span).count();
@@ -59,34 +59,34 @@
         starts_.assign(starts_in_window(), now);
         running_.clear();
     }
-    allow_some(now);
+    allow_loads(now);
 }
 
 void store_budget::on_authority_lost(instant) {
     owned_ = false;
-    wants_.clear();
+    requests_.clear();
     running_.clear();
 }
 
 void store_budget::on_load_request(
-    node_id const& from, load_request const& ask, instant now) {
-    want_key const key{ask.replica, ask.adapter};
+    node_id const& from, load_request const& request, instant now) {
+    load_key const key{request.replica, request.adapter};
     if (crosses_permission(key, now)) {
         return;
     }
-    deny_while_paused(from, ask, now);
-    auto const known = wants_.find(key);
-    if (known == wants_.end()) {
-        wants_.emplace(key, want{from, ask, now, now});
+    deny_while_paused(from, request, now);
+    auto const known = requests_.find(key);
+    if (known == requests_.end()) {
+        requests_.emplace(key, pending_request{from, request, now, now});
     } else {
         known->second.from = from;
-        known->second.ask = ask;
-        known->second.heard = now;
+        known->second.message = request;
+        known->second.last_received = now;
     }
-    allow_some(now);
+    allow_loads(now);
 }
 
-bool store_budget::crosses_permission(want_key const& key, instant now) {
+bool store_budget::crosses_permission(load_key const& key, instant now) {
     auto const given = std::ranges::find_if(
         running_, [&](auto const& each) { return each.second.key == key; });
     if (given == running_.end()) {
@@ -104,20 +104,20 @@
 }
 
 void store_budget::deny_while_paused(
-    node_id const& to, load_request const& ask, instant now) {
+    node_id const& to, load_request const& request, instant now) {
     if (now >= paused_until_) {
         return;
     }
     auto const left =
         std::chrono::ceil<std::chrono::milliseconds>(paused_until_ - now);
-    load_denied const message{ask.replica, ask.adapter, left};
+    load_denied const message{request.replica, request.adapter, left};
     actions_.emplace_back(send_load_denied{to, message});
 }
 
 void store_budget::on_load_cancelled(
     node_id const&, load_cancelled const& message, instant now) {
-    wants_.erase({message.replica, message.adapter});
-    allow_some(now);
+    requests_.erase({message.replica, message.adapter});
+    allow_loads(now);
 }
 
 void store_budget::on_load_result(
@@ -125,7 +125,7 @@
     auto const known = running_.find(message.permission);
     bool const matches =
         known != running_.end() &&
-        known->second.key == want_key{message.replica, message.adapter};
+        known->second.key == load_key{message.replica, message.adapter};
     if (!matches) {
         // A late word on a former owner's permission, or one that was given
         // up: nothing to free.
@@ -140,14 +140,14 @@
             starts_.erase(start);
         }
     } else if (message.ok) {
-        note_success(message, now);
+        record_success(message, now);
     } else {
-        note_failure(message, now);
+        record_failure(message, now);
     }
-    allow_some(now);
+    allow_loads(now);
 }
 
-void store_budget::note_success(load_result const& message, instant) {
+void store_budget::record_success(load_result const& message, instant) {
     if (down()) {
         actions_.emplace_back(log_event{
             event_code::store_recovered, log_level::info,
@@ -156,17 +156,19 @@
     failures_ = 0;
     paused_until_ = instant{};
     duration const took = message.took;
-    bool const first = usual_time_ == duration{};
-    recent_time_ = first ? took : move_average(recent_time_, took);
+    bool const first = baseline_load_time_ == duration{};
+    recent_load_time_ = first ? took : move_average(recent_load_time_, took);
     // The usual time follows the fast loads at once and slow ones hardly, so
     // that a slow spell doesn't become the measure of itself.
-    constexpr int slow_drift = 64;
-    usual_time_ = first || took < usual_time_
-                      ? took
-                      : usual_time_ + (took - usual_time_) / slow_drift;
+    constexpr int baseline_drift = 64;
+    baseline_load_time_ =
+        first || took < baseline_load_time_
+            ? took
+            : baseline_load_time_ +
+                  (took - baseline_load_time_) / baseline_drift;
 }
 
-void store_budget::note_failure(load_result const& message, instant now) {
+void store_budget::record_failure(load_result const& message, instant now) {
     // One adapter that always fails says nothing about the store.
     if (message.adapter.id == last_failed_ && !down()) {
         return;
@@ -176,9 +178,9 @@
     if (!down()) {
         return;
     }
-    constexpr std::uint32_t most_doublings = 10;
+    constexpr std::uint32_t max_doublings = 10;
     std::uint32_t const doublings =
-        std::min(failures_ - limits_.failures_when_down, most_doublings);
+        std::min(failures_ - limits_.failures_when_down, max_doublings);
     auto const pause =
         std::min(limits_.first_pause * (1 << doublings), limits_.longest_pause);
     paused_until_ = now + pause;
@@ -188,15 +190,15 @@
 }
 
 void store_budget::on_tick(instant now) {
-    forget_silent(now);
-    allow_some(now);
+    drop_expired(now);
+    allow_loads(now);
 }
 
-void store_budget::forget_silent(instant now) {
+void store_budget::drop_expired(instant now) {
     // A replica whose owner died asks no more: its wants would take loads that
     // nobody carries out, and its permissions would block the store for good.
-    std::erase_if(wants_, [&](auto const& each) {
-        return now - each.second.heard > limits_.request_lifetime;
+    std::erase_if(requests_, [&](auto const& each) {
+        return now - each.second.last_received > limits_.request_lifetime;
     });
     std::erase_if(running_, [&](auto const& each) {
         return now - each.second.given > limits_.longest_load;
@@ -214,15 +216,16 @@
 bool store_budget::may_start(instant now) const {
     // The deadline is checked with each permission: a paused owner wakes up
     // in the middle of its work and still believes that it owns the store.
-    bool const owner = owned_ && now < not_after_;
-    std::size_t const at_once = down() ? 1 : limits_.concurrency;
-    return owner && now >= paused_until_ && running_.size() < at_once &&
-           !window_is_full(now);
+    bool const authorized = owned_ && now < not_after_;
+    std::size_t const max_running = down() ? 1 : limits_.concurrency;
+    return authorized && now >= paused_until_ &&
+           running_.size() < max_running && !window_is_full(now);
 }
 
-bool store_budget::may_speculate(instant now) const {
+bool store_budget::may_prefetch(instant now) const {
     bool const slow =
-        usual_time_ > duration{} && recent_time_ > usual_time_ * slow_factor;
+        baseline_load_time_ > duration{} &&
+        recent_load_time_ > baseline_load_time_ * slow_load_factor;
     if (down() || slow || !running_.empty()) {
         return false;
     }
@@ -233,30 +236,33 @@
     return static_cast<double>(recent) < std::max(1.0, allowed);
 }
 
-double store_budget::weight(want const& each, instant now) const {
-    double const coming =
-        each.ask.expected_demand * seconds(duration(limits_.demand_horizon));
-    double const many = static_cast<double>(each.ask.waiting) + coming;
-    duration const waited = duration(each.ask.oldest_wait) + (now - each.heard);
-    double const aged = 1.0 + seconds(waited) / seconds(limits_.aging);
-    auto const index = static_cast<std::size_t>(each.ask.how_urgent);
-    return class_weight.at(index) * many * aged;
+double store_budget::weight(pending_request const& each, instant now) const {
+    double const expected_requests = each.message.expected_demand *
+                                     seconds(duration(limits_.demand_horizon));
+    double const request_count =
+        static_cast<double>(each.message.waiting) + expected_requests;
+    duration const waited =
+        duration(each.message.oldest_wait) + (now - each.last_received);
+    double const age_factor = 1.0 + seconds(waited) / seconds(limits_.aging);
+    auto const index = static_cast<std::size_t>(each.message.how_urgent);
+    return class_weight.at(index) * request_count * age_factor;
 }
 
-store_budget::want_map::iterator store_budget::best_want(instant now) {
-    auto best = wants_.end();
+store_budget::request_map::iterator store_budget::best_request(instant now) {
+    auto best = requests_.end();
     double best_weight = 0;
-    bool const spare = may_speculate(now);
-    for (auto each = wants_.begin(); each != wants_.end(); ++each) {
-        bool const ahead = each->second.ask.is_prefetch();
-        if (ahead && !spare) {
+    bool const prefetch_allowed = may_prefetch(now);
+    for (auto each = requests_.begin(); each != requests_.end(); ++each) {
+        bool const prefetch = each->second.message.is_prefetch();
+        if (prefetch && !prefetch_allowed) {
             continue;
         }
         double const own = weight(each->second, now);
-        bool const first = best == wants_.end();
-        bool const best_ahead = !first && best->second.ask.is_prefetch();
-        bool const better = first || (best_ahead && !ahead) ||
-                            (best_ahead == ahead && own > best_weight);
+        bool const first = best == requests_.end();
+        bool const best_is_prefetch =
+            !first && best->second.message.is_prefetch();
+        bool const better = first || (best_is_prefetch && !prefetch) ||
+                            (best_is_prefetch == prefetch && own > best_weight);
         if (better) {
             best = each;
             best_weight = own;
@@ -265,19 +271,19 @@
     return best;
 }
 
-void store_budget::allow_some(instant now) {
+void store_budget::allow_loads(instant now) {
     while (may_start(now)) {
-        auto const best = best_want(now);
-        if (best == wants_.end()) {
+        auto const best = best_request(now);
+        if (best == requests_.end()) {
             return;
         }
-        allow(best, now);
+        allow_load(best, now);
     }
 }
 
-void store_budget::allow(want_map::iterator which, instant now) {
+void store_budget::allow_load(request_map::iterator which, instant now) {
     std::uint64_t const number = next_permission_++;
-    want_key const key = which->first;
+    load_key const key = which->first;
     running_.emplace(number, permission{key, now});
     starts_.push_back(now);
     while (starts_.size() > starts_in_window()) {
@@ -286,7 +292,7 @@
     load_allowed const message{
         key.replica, key.adapter, number, limits_.valid_for};
     actions_.emplace_back(send_load_allowed{which->second.from, message});
-    wants_.erase(which);
+    requests_.erase(which);
 }
 
 std::vector<budget_action> store_budget::take_actions() {
--- a/src/Loading/store_budget.hpp
+++ b/src/Loading/store_budget.hpp
@@ -49,8 +49,8 @@
     void on_authority(log_offset fencing, instant not_after, instant now);
     /// A newer claim was seen: nothing more is allowed.
     void on_authority_lost(instant now);
-    void
-    on_load_request(node_id const& from, load_request const& ask, instant now);
+    void on_load_request(
+        node_id const& from, load_request const& request, instant now);
     void on_load_cancelled(
         node_id const& from, load_cancelled const& message, instant now);
     void on_load_result(
@@ -62,7 +62,7 @@
     std::vector<budget_action> take_actions();
 
     /// @returns how many wants wait
-    std::size_t waiting() const noexcept { return wants_.size(); }
+    std::size_t waiting() const noexcept { return requests_.size(); }
     /// @returns how many permissions are in use
     std::size_t running() const noexcept { return running_.size(); }
     /// @returns true while failures say that the store is down
@@ -71,36 +71,36 @@
     }
 
 private:
-    struct want_key {
+    struct load_key {
         endpoint_id replica;
         adapter_ref adapter;
-        friend auto operator<=>(want_key const&, want_key const&) = default;
+        friend auto operator<=>(load_key const&, load_key const&) = default;
     };
-    struct want {
+    struct pending_request {
         node_id from;
-        load_request ask;
-        instant first_asked;
-        instant heard;
+        load_request message;
+        instant first_requested;
+        instant last_received;
     };
     struct permission {
-        want_key key;
+        load_key key;
         instant given;
     };
-    using want_map = std::map<want_key, want>;
+    using request_map = std::map<load_key, pending_request>;
 
-    void forget_silent(instant now);
-    bool crosses_permission(want_key const& key, instant now);
-    void
-    deny_while_paused(node_id const& to, load_request const& ask, instant now);
-    void allow_some(instant now);
+    void drop_expired(instant now);
+    bool crosses_permission(load_key const& key, instant now);
+    void deny_while_paused(
+        node_id const& to, load_request const& request, instant now);
+    void allow_loads(instant now);
     bool may_start(instant now) const;
-    bool may_speculate(instant now) const;
+    bool may_prefetch(instant now) const;
     bool window_is_full(instant now) const;
-    double weight(want const& each, instant now) const;
-    want_map::iterator best_want(instant now);
-    void allow(want_map::iterator which, instant now);
-    void note_success(load_result const& message, instant now);
-    void note_failure(load_result const& message, instant now);
+    double weight(pending_request const& each, instant now) const;
+    request_map::iterator best_request(instant now);
+    void allow_load(request_map::iterator which, instant now);
+    void record_success(load_result const& message, instant now);
+    void record_failure(load_result const& message, instant now);
     std::size_t starts_in_window() const;
     duration window() const;
 
@@ -108,7 +108,7 @@
     log_offset fencing_;
     instant not_after_;
     bool owned_ = false;
-    want_map wants_;
+    request_map requests_;
     std::map<std::uint64_t, permission> running_;
     /// Starts of the last window, oldest first.
     std::deque<instant> starts_;
@@ -117,8 +117,8 @@
     adapter_id last_failed_;
     instant paused_until_;
     /// Measured load times: the usual one, and the one of late.
-    duration usual_time_{};
-    duration recent_time_{};
+    duration baseline_load_time_{};
+    duration recent_load_time_{};
     std::vector<budget_action> actions_;
 };
 
--- a/src/Loading/store_limits.cpp
+++ b/src/Loading/store_limits.cpp
@@ -4,12 +4,13 @@
 
 namespace camphorpoint {
 
-store_limits fallback_limits(std::size_t nodes, store_limits const& whole) {
-    store_limits share = whole;
-    auto const sharing = static_cast<double>(std::max<std::size_t>(nodes, 1));
-    share.loads_per_second = whole.loads_per_second / sharing;
-    share.concurrency = 1;
-    return share;
+store_limits fallback_limits(std::size_t nodes, store_limits const& total) {
+    store_limits per_node = total;
+    auto const node_count =
+        static_cast<double>(std::max<std::size_t>(nodes, 1));
+    per_node.loads_per_second = total.loads_per_second / node_count;
+    per_node.concurrency = 1;
+    return per_node;
 }
 
 } // namespace camphorpoint
--- a/src/Loading/store_limits.hpp
+++ b/src/Loading/store_limits.hpp
@@ -38,6 +38,6 @@
 /// @param nodes how many nodes share the store; 0 counts as 1
 /// @param whole the store's limits
 /// @returns limits for a store_budget of the node's own
-store_limits fallback_limits(std::size_t nodes, store_limits const& whole);
+store_limits fallback_limits(std::size_t nodes, store_limits const& total);
 
 } // namespace camphorpoint
