--- a/src/Scheduling/adapter_history.cpp
+++ b/src/Scheduling/adapter_history.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// An adapter that was not asked for in this time is forgotten.
+/// Adapters that were not requested within this time are removed.
 constexpr std::chrono::minutes retention_period{15};
-/// Rates below this are not worth handing on.
+/// Rates below this many requests per second are not handed over.
 constexpr double min_handover_rate = 0.01;
 
 } // namespace
@@ -42,8 +42,9 @@
         std::min(record.failures - 1, max_doublings);
     duration const full_delay = std::min<duration>(
         settings_.first_backoff * (1 << doublings), settings_.longest_backoff);
-    // The jitter keeps replicas whose loads failed together, as in an outage
-    // of the store, from asking again together.
+    // The jitter prevents replicas whose loads failed at the same time, for
+    // instance in an outage of the weight store, from retrying at the same
+    // time.
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
     double const delay =
         jitter(random_) * static_cast<double>(full_delay.count());
--- a/src/Scheduling/adapter_history.hpp
+++ b/src/Scheduling/adapter_history.hpp
@@ -13,42 +13,49 @@
 
 namespace camphorpoint::internal {
 
-/// What one replica remembers of an adapter, resident or not.
+/// What a replica's owner has recorded about one adapter, whether the adapter
+/// is resident or not.
 struct adapter_record {
     decayed_rate request_rate{std::chrono::seconds(60)};
     instant last_request;
     instant previous_request;
-    /// Loads that failed in a row.
+    /// Consecutive failed loads.
     std::uint32_t failures = 0;
-    /// No load is wanted before this time.
+    /// No load is requested before this time.
     instant retry_at;
 };
 
-/// Demand and load failures by adapter, for the adapters asked for of late.
+/// Demand and load failures of each recently requested adapter.
 class adapter_history {
 public:
     explicit adapter_history(scheduler_settings const& settings);
 
     void record_request(adapter_ref const& adapter, instant now);
-    /// Takes a rate as measured elsewhere, when it is the higher one.
+    /// Raises the recorded rate to a rate that another owner or another version
+    /// of the adapter has measured; a lower rate is ignored.
+    /// @param rate requests per second
     void record_rate(adapter_ref const& adapter, double rate, instant now);
-    /// Counts a failed load and pauses the adapter, longer with each failure.
-    /// @returns failures in a row
+    /// Counts a failed load and starts a backoff that grows with each
+    /// consecutive failure.
+    /// @returns the number of consecutive failures
     std::uint32_t record_failure(adapter_ref const& adapter, instant now);
     void record_loaded(adapter_ref const& adapter);
-    /// Pauses the adapter without counting a failure.
+    /// Delays further loads of the adapter without counting a failure.
+    /// @param until earliest time of the next load request
     void delay_load(adapter_ref const& adapter, instant until);
 
-    /// @returns the record, or an empty one
+    /// @returns the record of the adapter, or an empty record if there is none
     adapter_record const& record_of(adapter_ref const& adapter) const;
     double rate(adapter_ref const& adapter, instant now) const;
-    /// @returns true when a load may be wanted
+    /// @returns true if no backoff of the adapter's loads is in progress
     bool may_load(adapter_ref const& adapter, instant now) const;
-    /// @returns true when loads failed so often that waiting is refused
+    /// @returns true if loads failed so often that requests for the adapter are
+    ///   refused instead of queued
     bool load_abandoned(adapter_ref const& adapter, instant now) const;
-    /// @returns rates above a hundredth of a request per second, by adapter
+    /// @returns the adapters that are requested more than 0.01 times per
+    ///   second, with their rates in requests per second, sorted by adapter
     std::vector<handover_demand> demand(instant now) const;
-    /// Forgets adapters that were not asked for in a long time.
+    /// Removes adapters that were not requested for a long time.
     void prune(instant now);
 
 private:
--- a/src/Scheduling/batch_policy.cpp
+++ b/src/Scheduling/batch_policy.cpp
@@ -8,7 +8,7 @@
     return static_cast<std::size_t>(value);
 }
 
-/// Classes that may take the place kept for urgent work.
+/// Returns true for the classes that may use the reserved slot.
 constexpr bool may_use_reserve(std::size_t index) {
     return index <= index_of(urgency::high);
 }
@@ -29,8 +29,9 @@
     if (state.running >= state.batch_limit) {
         return std::nullopt;
     }
-    // The last free place waits for urgent work: otherwise a licence match
-    // that comes while the batch is full of long answers waits for one to end.
+    // The last slot is reserved for urgent requests. Otherwise an urgent
+    // request, such as a licence match, that arrives while the batch is full of
+    // long answers would have to wait for one of them to complete.
     bool const last_place = state.running + 1 == state.batch_limit;
     bool const only_urgent = last_place && keeps_reserve(state, now);
     std::optional<urgency> best;
--- a/src/Scheduling/batch_policy.hpp
+++ b/src/Scheduling/batch_policy.hpp
@@ -11,48 +11,51 @@
 
 namespace camphorpoint {
 
-/// What a batch policy sees of one urgency class.
+/// The state of one urgency class as seen by a batch policy.
 struct class_state {
-    /// Requests that could run at once if the batch had room.
+    /// Requests that could run at once if the batch had capacity.
     std::size_t ready = 0;
-    /// Grants that went to more urgent classes since this one's last grant,
-    /// while it had ready requests.
+    /// Number of grants that more urgent classes received since the last grant
+    /// of this class, counted while this class had ready requests.
     std::uint32_t passed_over = 0;
-    /// When the class was last asked for.
+    /// Time of the last request of this class.
     std::optional<instant> last_request;
 };
 
-/// What a batch policy sees.
+/// The state of a replica's batch as seen by a batch policy.
 struct batch_state {
     std::uint32_t batch_limit = 0;
     std::uint32_t running = 0;
     std::array<class_state, urgency_count> classes;
 };
 
-/// Chooses the class that the next place in the batch goes to.
+/// Chooses the class that receives the next available slot of the batch.
 template <class Policy>
 concept batch_policy = std::default_initializable<Policy> &&
     requires(Policy const& policy, batch_state const& state, instant now) {
     { policy.next_class(state, now) } -> std::same_as<std::optional<urgency>>;
 };
 
-/// The most urgent class first; a class that was passed over too often gets
-/// the next place, so that each keeps a small share; while immediate work is
-/// about, the last place of a large batch is kept for urgent classes.
+/// Serves the most urgent class first, with two exceptions. A class that was
+/// passed over too often receives the next slot, so that no class starves. If
+/// an immediate request arrived recently, the last slot of a large batch is
+/// reserved for the classes `immediate` and `high`.
 struct urgent_first {
-    /// Grants to more urgent classes between two of a class.
+    /// Number of grants to more urgent classes after which a class receives the
+    /// next slot; 0 for the most urgent class, which is never passed over.
     static constexpr std::array<std::uint32_t, urgency_count> max_passed_over{
         0, 16, 16, 32};
-    /// Batches below this size keep no place free.
+    /// Smaller batches reserve no slot.
     static constexpr std::uint32_t min_batch_with_reserve = 12;
-    /// Immediate work is about when some came within this time.
+    /// A slot is reserved if the last immediate request arrived within this
+    /// time.
     static constexpr std::chrono::seconds reserve_period{5};
 
     std::optional<urgency>
     next_class(batch_state const& state, instant now) const;
 };
 
-/// In the order of urgency and nothing else: lower classes may starve.
+/// Serves the classes strictly by urgency; less urgent classes may starve.
 struct strict_urgency {
     std::optional<urgency>
     next_class(batch_state const& state, instant now) const;
--- a/src/Scheduling/eviction_policy.hpp
+++ b/src/Scheduling/eviction_policy.hpp
@@ -7,44 +7,47 @@
 
 namespace camphorpoint {
 
-/// What is known of an adapter that could be evicted. It is never in use and
-/// never asked for by a waiting request.
+/// A resident adapter that may be evicted, as seen by an eviction policy. No
+/// running request uses it and no queued request waits for it, except when an
+/// adapter in use has to be drained to free its slot.
 struct eviction_candidate {
     adapter_ref adapter;
-    /// Decayed rate of asks, in requests per second.
+    /// Exponentially decayed request rate, in requests per second.
     double requests_per_second = 0;
     instant last_request;
-    /// The ask before the last.
+    /// Time of the request before the last one.
     instant previous_request;
     instant loaded;
-    /// True when a newer version of the adapter is resident.
+    /// True if a newer version of the adapter is resident.
     bool superseded = false;
 };
 
-/// Says how much an adapter is worth keeping; the least is evicted.
+/// Rates how valuable it is to keep an adapter resident. The adapter with the
+/// lowest value is evicted.
 template <class Policy>
 concept eviction_policy = std::default_initializable<Policy> && requires(
     Policy const& policy, eviction_candidate const& each, instant now) {
     { policy.retention_value(each, now) } -> std::convertible_to<double>;
 };
 
-/// Keeps what is expected to be asked for soonest: the highest decayed rate.
-/// Superseded versions go first.
+/// Keeps the adapters that are expected to be requested soonest, those with the
+/// highest decayed request rate. Superseded versions are evicted first.
 struct evict_least_demand {
     double retention_value(eviction_candidate const& each, instant) const {
         return each.superseded ? -1.0 : each.requests_per_second;
     }
 };
 
-/// Evicts what was asked for longest ago.
+/// Evicts the least recently used adapter.
 struct evict_least_recent {
     double retention_value(eviction_candidate const& each, instant now) const {
         return -std::chrono::duration<double>(now - each.last_request).count();
     }
 };
 
-/// Evicts what was asked for twice longest ago, so that an adapter asked for
-/// once does not push out one in steady use.
+/// Evicts the adapter whose second to last request is the oldest (LRU-2), so
+/// that an adapter that was requested once does not displace one that is
+/// requested regularly.
 /// Reference: E. J. O'Neil, P. E. O'Neil, G. Weikum, "The LRU-K page
 /// replacement algorithm for database disk buffering", SIGMOD 1993.
 struct evict_second_least_recent {
--- a/src/Scheduling/grant_manager_releases.hpp
+++ b/src/Scheduling/grant_manager_releases.hpp
@@ -8,7 +8,7 @@
 
 namespace camphorpoint::internal {
 
-// How grants end in grant_manager.
+// Member functions of grant_manager that end grants.
 
 template <batch_policy Batch>
 std::optional<adapter_ref> grant_manager<Batch>::on_grant_cancelled(
@@ -20,8 +20,9 @@
         state.queue.remove(message.request);
         return std::nullopt;
     }
-    // The withdrawal crossed the grant: its entry node will not send, since it
-    // took the ask back before the grant came.
+    // The cancellation crossed the grant in transit. The entry node will not
+    // send the request to the engine, since it cancelled before the grant
+    // arrived.
     running_grant const* const grant =
         std::as_const(state.grants).find(message.request);
     if (!grant || grant->attempt > message.attempt) {
@@ -60,9 +61,10 @@
             reconcile_grant(state, from, each, now);
         }
     }
-    // Messages of one node come in their order, so that whatever this owner
-    // has of the node was sent before the heartbeat: what the heartbeat leaves
-    // out has ended, and the word of its end was lost.
+    // Messages from one node arrive in the order in which they were sent, so
+    // every request and grant that this owner has from the node precedes the
+    // heartbeat. A grant that the heartbeat does not list has ended, and the
+    // message that released it was lost.
     std::vector<adapter_ref> ended;
     for (request_id const& id : state.grants.ids_of_node(from)) {
         running_grant const& grant = *std::as_const(state.grants).find(id);
@@ -94,8 +96,8 @@
         return;
     }
     if (each.sent) {
-        // Granted by a former owner that died: this is how the successor
-        // learns what runs.
+        // The request was granted by a former owner that crashed. The heartbeat
+        // is how its successor learns which requests are running.
         state.grants.add(
             {.node = from,
              .request = each.request,
@@ -107,8 +109,9 @@
              .sent = true});
         return;
     }
-    // It waits for an ask that a former owner took along, or whose refusal was
-    // lost. Told so, it can ask again at once rather than at its time-out.
+    // The entry node waits for a reply that will not arrive: the request was
+    // queued at a former owner, or its refusal was lost. With a refusal the
+    // entry node can retry at once instead of after its time-out.
     grant_refused message;
     message.request = each.request;
     message.attempt = each.attempt;
@@ -147,9 +150,10 @@
         bool const timed_out =
             last_received == last_received_.end() ||
             now - last_received->second > state.settings.heartbeat_timeout;
-        // A dead entry node's request may run on: the engine doesn't notice at
-        // once. Only a report from after the last time at which it could have
-        // been sent tells that it does not.
+        // A request of a crashed entry node may still be running, since the
+        // engine does not notice the crash at once. Only a report that was
+        // measured after the last time at which the request could have been
+        // sent proves that it is not running.
         instant const last_sent = grant.granted + state.settings.send_within +
                                   state.settings.grant_margin;
         bool const gone = timed_out && idle(grant.adapter, last_sent);
--- a/src/Scheduling/grant_manager_requests.hpp
+++ b/src/Scheduling/grant_manager_requests.hpp
@@ -7,14 +7,16 @@
 
 namespace camphorpoint::internal {
 
-// Asks and grants of grant_manager.
+// Member functions of grant_manager that handle grant requests and send grants
+// and refusals.
 
-/// Part of the expected time that a request surely needs: below it the
-/// deadline is taken for out of reach, so that an estimate that is somewhat
-/// too long refuses nothing that could still be done.
+/// Fraction of the estimated time that a request is certain to need. A request
+/// is refused only if its deadline leaves less than this fraction, so that an
+/// estimate that is somewhat too long does not refuse requests that could still
+/// complete in time.
 inline constexpr double certain_fraction = 0.7;
 
-/// @returns the part of an expected time that is surely needed
+/// @returns the part of an estimated time that a request is certain to need
 inline duration minimum_time(duration expected) {
     double const part =
         certain_fraction * static_cast<double>(expected.count());
@@ -31,7 +33,7 @@
     if (occupied + count_ahead < limit) {
         return duration{};
     }
-    // Places get free at the batch's size per time of a request.
+    // Requests complete at a rate of one batch per service time.
     std::size_t const completions_needed = occupied + count_ahead - limit + 1;
     return state.times.service() *
            static_cast<std::int64_t>(completions_needed) /
@@ -42,15 +44,18 @@
 bool grant_manager<Batch>::should_redirect(
     replica_state const& state, grant_request const& request, duration queued,
     instant now) const {
-    // Entry nodes know queues only from replies, which at many nodes are few
-    // and old; only the owner knows its queue now. Refusing costs one round
-    // trip, waiting here may cost seconds. The last ask is always taken, so
-    // that a request isn't passed round for ever when all are busy.
+    // Entry nodes know queue lengths only from replies, which are few and old
+    // when there are many nodes; only the owner knows the current length of its
+    // queue. A refusal costs one round trip, whereas waiting here may cost
+    // seconds. After the maximum number of redirects a request is always
+    // accepted, so that requests are not redirected forever when all replicas
+    // are busy.
     if (request.attempt > state.settings.redirect_attempts) {
         return false;
     }
-    // A copy elsewhere takes a load and a slot: adapters in steady demand pay
-    // that back and leave this replica to those that have no other.
+    // Loading the adapter at another replica costs a load and an adapter slot.
+    // This pays off for an adapter in steady demand, and it leaves the capacity
+    // of this replica to adapters that are resident nowhere else.
     double const limit = state.settings.batch_limit;
     double const service =
         std::chrono::duration<double>(state.times.service()).count();
@@ -106,7 +111,7 @@
     last_request_[static_cast<std::size_t>(request.how_urgent)] = now;
     reason const why = refusal(state, request, ready, now);
     if (why != reason::none) {
-        // One that is sent elsewhere needs no pause.
+        // A redirected request may try another replica without delay.
         bool const redirectable =
             request.attempt <= state.settings.redirect_attempts;
         bool const full = (why == reason::queue_full && !redirectable) ||
@@ -147,13 +152,13 @@
         return false;
     }
     if (request.attempt > grant->attempt) {
-        // The entry node has given the earlier attempt up.
+        // The entry node has abandoned the earlier attempt.
         state.grants.end(request.request, now);
         return false;
     }
-    // The grant was lost on its way, or crossed the repeated ask. A second
-    // grant would let the request run twice; the same one, with the time that
-    // is left of it, does not.
+    // The grant was lost, or it crossed the repeated request in transit. A
+    // second grant would allow the request to run twice. Sending the same grant
+    // again, with the time that remains for its use, does not.
     if (request.attempt == grant->attempt && grant->node == from) {
         send_grant(state, *grant, duration{}, now);
     }
--- a/src/Scheduling/grant_messages.hpp
+++ b/src/Scheduling/grant_messages.hpp
@@ -10,35 +10,38 @@
 
 namespace camphorpoint {
 
-/// Entry node to owner: may this request run on your replica?
+/// Entry node to owner: requests permission to run a request on the owner's
+/// replica.
 struct grant_request {
     request_id request;
-    /// Counts the asks of one request, so that a late reply is told apart.
+    /// Number of this grant request among those of the same request. It
+    /// identifies late replies to earlier grant requests.
     std::uint32_t attempt = 0;
     endpoint_id replica;
     adapter_ref adapter;
     urgency how_urgent = urgency::normal;
-    /// How long the caller still waits. A span, since clocks differ.
+    /// Remaining time until the caller's deadline. A duration rather than a
+    /// time, since the clocks of the nodes differ.
     std::chrono::milliseconds time_left{};
-    /// Tokens that the answer is expected to have.
+    /// Expected number of tokens in the answer.
     std::uint32_t expected_tokens = 0;
-    /// Hash of the prompt's prefix, for prefix-cache affinity; 0 when unknown.
+    /// Hash of the prompt's prefix for prefix-cache affinity; 0 if unknown.
     std::uint64_t prefix_hash = 0;
-    /// The configuration offset that the request was admitted under.
+    /// Log offset of the configuration under which the request was admitted.
     log_offset configuration;
 
     template <class Archive>
     void serialize(Archive& archive);
 };
 
-/// What an owner says of its replica with each reply.
+/// State of the replica that an owner sends with each reply.
 struct replica_feedback {
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     /// Expected wait of a new request whose adapter is resident.
     std::chrono::milliseconds expected_wait{};
     bool adapter_resident = false;
-    /// Expected wait until an adapter that is not resident would be.
+    /// Expected time until an adapter that is not resident would be loaded.
     std::chrono::milliseconds expected_load{};
 
     template <class Archive>
@@ -50,16 +53,20 @@
     request_id request;
     std::uint32_t attempt = 0;
     endpoint_id replica;
-    /// The grant's number, unique within one ownership.
+    /// Number of the grant, unique within one ownership.
     std::uint64_t grant = 0;
-    /// The claim under which it was given.
+    /// Fencing number: the log offset of the claim under which the grant was
+    /// issued.
     log_offset fencing;
-    /// How long the ask was at the owner when this was sent.
+    /// Time between the arrival of the grant request at the owner and the
+    /// sending of this reply.
     std::chrono::milliseconds queued{};
-    /// The entry node must have sent within this time of this reply's sending.
-    /// By its own clock that is at the latest `queued` and this time after its
-    /// ask went out, however long the reply is under way: the ask can't have
-    /// reached the owner before it was sent.
+    /// The entry node must send the request to the engine within this time
+    /// after the owner sent this reply. The entry node computes the limit by
+    /// its own clock: the time at which it sent the grant request, plus
+    /// `queued`, plus this time. The limit holds however long the reply was in
+    /// transit, because the grant request cannot have reached the owner before
+    /// it was sent.
     std::chrono::milliseconds send_within{};
     replica_feedback feedback;
 
@@ -67,13 +74,14 @@
     void serialize(Archive& archive);
 };
 
-/// Owner to entry node: the request may not run here. It did not run.
+/// Owner to entry node: the request may not run on this replica, and it has not
+/// run there.
 struct grant_refused {
     request_id request;
     std::uint32_t attempt = 0;
     endpoint_id replica;
     reason why = reason::none;
-    /// When to come back; zero when another replica may be tried at once.
+    /// Delay before a retry; zero if another replica may be tried at once.
     std::chrono::milliseconds retry_after{};
     replica_feedback feedback;
 
@@ -81,7 +89,7 @@
     void serialize(Archive& archive);
 };
 
-/// Entry node to owner: the ask is taken back, or its grant goes unused.
+/// Entry node to owner: cancels the grant request, or returns its grant unused.
 struct grant_cancelled {
     request_id request;
     std::uint32_t attempt = 0;
@@ -91,36 +99,37 @@
     void serialize(Archive& archive);
 };
 
-/// Entry node to owner: the granted request has ended.
+/// Entry node to owner: the granted request has completed.
 struct grant_released {
     request_id request;
     std::uint32_t attempt = 0;
     endpoint_id replica;
     std::uint64_t grant = 0;
-    /// Tokens that the answer had.
+    /// Number of tokens in the answer.
     std::uint32_t tokens = 0;
-    /// False when the engine said that the adapter was not loaded.
+    /// False if the engine answered that the adapter was not loaded.
     bool adapter_was_loaded = true;
 
     template <class Archive>
     void serialize(Archive& archive);
 };
 
-/// One grant that an entry node still uses or waits for.
+/// A grant that an entry node uses or waits for.
 struct grant_in_use {
     request_id request;
     std::uint32_t attempt = 0;
     endpoint_id replica;
     adapter_ref adapter;
-    /// False while the entry node still waits for the grant.
+    /// False while the entry node is waiting for the grant.
     bool sent = false;
 
     template <class Archive>
     void serialize(Archive& archive);
 };
 
-/// Entry node to owner, every second: all that it has on the owner's replicas.
-/// What is not named has ended, so that a lost release is repaired.
+/// Entry node to owner, once per second: all grants that the node uses or waits
+/// for on the owner's replicas. The owner ends every grant that is not listed,
+/// which repairs the loss of a release message.
 struct grant_heartbeat {
     std::vector<grant_in_use> grants;
 
--- a/src/Scheduling/grant_table.cpp
+++ b/src/Scheduling/grant_table.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// No report lags by more.
+/// Upper bound of the age of an engine's report.
 constexpr std::chrono::seconds max_report_lag{10};
 
 } // namespace
--- a/src/Scheduling/grant_table.hpp
+++ b/src/Scheduling/grant_table.hpp
@@ -13,7 +13,7 @@
 
 namespace camphorpoint::internal {
 
-/// A request that may run on the replica, or does.
+/// A granted request, which may be running on the replica.
 struct running_grant {
     node_id node;
     request_id request;
@@ -21,37 +21,42 @@
     std::uint64_t grant = 0;
     adapter_ref adapter;
     instant granted;
-    /// When its ask arrived; as `granted` where that is not known.
+    /// Arrival time of the grant request; equal to `granted` if it is not
+    /// known.
     instant requested;
     std::uint32_t expected_tokens = 0;
-    /// True once its entry node said that it was sent.
+    /// True once the entry node has reported that it sent the request to the
+    /// engine.
     bool sent = false;
 };
 
-/// The grants of one replica, and what the engine's lagging report says of
-/// requests beyond them.
+/// The grants of one replica, together with the number of requests that the
+/// engine reports beyond them. The engine's reports lag behind the grants.
 class grant_table {
 public:
     void add(running_grant grant);
     /// Ends a grant.
-    /// @returns the grant, or nothing when it is not known
+    /// @returns the grant, or nothing if it is not known
     std::optional<running_grant> end(request_id const& id, instant now);
     running_grant const* find(request_id const& id) const;
     running_grant* find(request_id const& id);
-    /// Ends all, as when the engine restarted.
+    /// Removes all grants, for instance after a restart of the engine.
     void clear();
 
-    /// Corrects what the report says with the grants of its time: what the
-    /// engine ran beyond them was granted by a former owner.
+    /// Compares the number of running requests in a report with the grants that
+    /// were in use when it was measured. The excess was granted by a former
+    /// owner.
+    /// @param running  number of requests that the engine reports as running
+    /// @param measured when the engine measured it
     void on_report(std::uint32_t running, instant measured);
-    /// @returns places of the batch that are taken
+    /// @returns the number of occupied slots of the batch
     std::uint32_t occupied() const;
     std::size_t size() const noexcept { return grants_.size(); }
-    /// @returns grants that use this adapter
+    /// @returns the number of grants that use the adapter
     std::uint32_t using_adapter(adapter_ref const& adapter) const;
-    /// @returns the ids of one node's grants, in their order
+    /// @returns the request ids of one node's grants, sorted
     std::vector<request_id> ids_of_node(node_id const& node) const;
-    /// @returns all grants in the order of their requests' ids
+    /// @returns all grants, sorted by request id
     std::vector<running_grant> all() const;
 
 private:
@@ -62,9 +67,10 @@
 
     std::map<request_id, running_grant> grants_;
     std::unordered_map<adapter_ref, std::uint32_t> grant_counts_;
-    /// Ended a short time ago: a lagging report still counts them.
+    /// Recently ended grants, which a lagging report still counts.
     std::deque<ended_grant> ended_;
-    /// Running, by the last report, without a grant of this owner.
+    /// Requests that the last report shows as running without a grant of this
+    /// owner.
     std::uint32_t foreign_running_ = 0;
 };
 
--- a/src/Scheduling/load_request_table.hpp
+++ b/src/Scheduling/load_request_table.hpp
@@ -9,19 +9,20 @@
 
 namespace camphorpoint::internal {
 
-/// A load that was asked for at the weight store's owner.
+/// A load request that was sent to the owner of the weight store.
 struct pending_load_request {
     instant requested;
-    /// When it was last told to the store's owner.
+    /// Time of the last transmission to the owner of the weight store.
     instant last_sent;
-    /// Number of the permission; 0 while there is none.
+    /// Number of the permission; 0 if there is none yet.
     std::uint64_t permission = 0;
     instant valid_until;
-    /// True when nobody waited at the time of the ask.
+    /// True if no request waited for the load when it was last sent.
     bool prefetch = false;
 };
 
-/// The loads that one replica wants and has not ordered yet.
+/// The load requests of one replica for which no load command has been sent
+/// yet.
 using load_request_table = std::map<adapter_ref, pending_load_request>;
 
 } // namespace camphorpoint::internal
--- a/src/Scheduling/owner_table.hpp
+++ b/src/Scheduling/owner_table.hpp
@@ -12,7 +12,7 @@
 
 namespace camphorpoint {
 
-/// A grant that is in use when a replica changes hands.
+/// A grant that is in use when the ownership of a replica changes.
 struct handover_grant {
     node_id node;
     request_id request;
@@ -29,7 +29,7 @@
     }
 };
 
-/// How often an adapter is asked for on a replica.
+/// The demand for an adapter at a replica.
 struct handover_demand {
     adapter_ref adapter;
     double requests_per_second = 0;
@@ -40,10 +40,12 @@
     }
 };
 
-/// What the owner of a replica hands to its successor in a planned stop.
+/// State that the owner of a replica hands over to its successor in a planned
+/// shutdown.
 struct owner_table {
     endpoint_id replica;
-    /// The engine's run that the grants belong to, if a report told it.
+    /// Incarnation of the engine that the grants belong to, if a report has
+    /// shown it.
     std::optional<std::uint64_t> incarnation;
     std::vector<handover_grant> grants;
     std::vector<handover_demand> demand;
--- a/src/Scheduling/replica_scheduler.hpp
+++ b/src/Scheduling/replica_scheduler.hpp
@@ -18,24 +18,26 @@
 
 namespace camphorpoint {
 
-/// Decides for one model engine at the node that owns it: which requests run
-/// and in which order, which adapters are loaded and evicted.
-/// docs/design/batching.md and docs/design/load-scheduling.md tell why.
+/// Schedules one model engine at the node that owns it: decides which requests
+/// run and in which order, and which adapters are loaded and evicted. The
+/// reasons for the design are in docs/design/batching.md and
+/// docs/design/load-scheduling.md.
 /// @tparam Policy the eviction and batch policies
 template <replica_policy Policy = standard_policy>
 class replica_scheduler {
 public:
     explicit replica_scheduler(scheduler_settings const& settings);
 
-    /// An entry node asks for a grant; a repeated ask is answered again.
+    /// Handles a grant request. A repeated grant request is answered again.
     void on_grant_request(
         node_id const& from, grant_request const& request, instant now);
     void on_grant_cancelled(
         node_id const& from, grant_cancelled const& message, instant now);
     void on_grant_released(
         node_id const& from, grant_released const& message, instant now);
-    /// All that a node still has on the replica: what isn't named has ended.
-    /// Grants for other replicas in the list are skipped.
+    /// Handles the list of all grants that an entry node uses or waits for.
+    /// Grants of this replica that are not listed have ended; entries of other
+    /// replicas are ignored.
     void on_heartbeat(
         node_id const& from, std::vector<grant_in_use> const& grants,
         instant now);
@@ -44,27 +46,31 @@
         engine_order const& command, order_result how, instant now);
     void on_load_allowed(load_allowed const& message, instant now);
     void on_load_denied(load_denied const& message, instant now);
-    /// This node owns the replica until `not_after`, or its ownership was
-    /// prolonged. A new fencing number means that another may have owned it.
+    /// This node owns the replica until `not_after`: it has acquired the
+    /// ownership or extended it. A new fencing number means that another node
+    /// may have owned the replica in between.
     void on_authority(log_offset fencing, instant not_after, instant now);
-    /// A newer claim was seen: queued requests are refused, nothing is ordered.
+    /// A newer claim of the replica was seen. Queued requests are refused, and
+    /// no further commands are sent.
     void on_authority_lost(instant now);
-    /// A newer version of an adapter is in force.
+    /// A newer version of an adapter has become effective.
     void on_version_change(
         adapter_ref const& from, adapter_ref const& to, instant now);
     void on_tick(instant now);
 
-    /// Refuses what waits and what comes; what runs goes on. For a planned
-    /// stop of this node, or when the endpoint is leaving.
+    /// Refuses queued and new requests; running requests continue. Used for a
+    /// planned shutdown of this node and when the endpoint is being removed.
     void stop_granting(instant now);
-    /// @returns what a successor needs to know
+    /// @returns the state that the next owner needs
     owner_table export_table(instant now) const;
-    /// Takes over what the former owner handed on.
+    /// Adopts the state that the former owner has handed over.
     void import_table(owner_table const& table, instant now);
 
-    /// @returns what is to be done, in order; the list is empty afterwards
+    /// Removes and returns the pending actions.
+    /// @returns the actions to execute, in order
     std::vector<scheduler_action> take_actions();
-    /// @returns what a reply about this adapter would say now
+    /// @returns the feedback that a reply to a request for this adapter would
+    ///   contain now
     replica_feedback feedback(adapter_ref const& adapter, instant now) const;
 
 private:
@@ -75,7 +81,7 @@
     internal::replica_state state_;
     internal::slot_manager<typename Policy::eviction> slots_;
     internal::grant_manager<typename Policy::batch> grants_;
-    /// The engine's run, once a report told it.
+    /// Incarnation of the engine, once a report has shown it.
     std::optional<std::uint64_t> incarnation_;
     instant last_maintenance_;
 };
--- a/src/Scheduling/replica_scheduler_events.hpp
+++ b/src/Scheduling/replica_scheduler_events.hpp
@@ -10,17 +10,16 @@
 
 namespace camphorpoint {
 
-// Events of replica_scheduler: each is handed to the parts that it concerns;
-// then the batch is filled.
+// Event handlers of replica_scheduler. Each passes its event to the managers
+// that it concerns, and then grants queued requests while the batch has
+// capacity.
 
 template <replica_policy Policy>
 replica_scheduler<Policy>::replica_scheduler(scheduler_settings const& settings)
     : state_(settings) {
-    assert(settings.batch_limit > 0 && "an engine batches at least one");
-    assert(settings.adapter_slots > 0 && "an engine holds an adapter");
-    assert(
-        settings.send_within.count() > 0 &&
-        "a grant that lapses at once is never used");
+    assert(settings.batch_limit > 0 && "batch_limit must be positive");
+    assert(settings.adapter_slots > 0 && "adapter_slots must be positive");
+    assert(settings.send_within.count() > 0 && "send_within must be positive");
 }
 
 template <replica_policy Policy>
@@ -105,8 +104,9 @@
     bool const restarted = incarnation_ && report.incarnation > *incarnation_;
     incarnation_ = report.incarnation;
     if (restarted) {
-        // A new run of the engine holds no adapter and runs nothing. Requests
-        // that still wait go on waiting; what ran was cut.
+        // A restarted engine has no resident adapters and no running requests.
+        // Queued requests stay queued; requests that were running have been
+        // aborted.
         state_.actions.emplace_back(log_event{
             event_code::engine_restarted, log_level::warning,
             fmt::format(
@@ -153,7 +153,8 @@
     state_.fencing = fencing;
     state_.not_after = not_after;
     if (taken_over) {
-        // What the former owner granted last can be sent for this long.
+        // The last grants of the former owner may still be used within this
+        // time.
         state_.grants_known_from =
             now + state_.settings.send_within + state_.settings.grant_margin;
         state_.granting_stopped = false;
@@ -241,8 +242,8 @@
         }
         grants_.adopt(state_, table, now);
     }
-    // The former owner stopped granting before it handed this on: all that can
-    // still be sent is known.
+    // The former owner stopped granting before it handed over this table, so
+    // the table contains every grant that can still be used.
     state_.grants_known_from = std::min(state_.grants_known_from, now);
     for (handover_demand const& each : table.demand) {
         state_.history.record_rate(each.adapter, each.requests_per_second, now);
--- a/src/Scheduling/replica_state.hpp
+++ b/src/Scheduling/replica_state.hpp
@@ -13,17 +13,18 @@
 
 namespace camphorpoint::internal {
 
-/// What the parts of one replica's scheduler share.
+/// State that the managers of one replica's scheduler share.
 struct replica_state {
     explicit replica_state(scheduler_settings const& initial_settings)
         : settings(initial_settings)
         , history(initial_settings)
         , times(initial_settings) {}
 
-    /// @returns true while orders may be given. Asked right before each order:
-    /// an owner that was paused past its deadline still believes in itself.
+    /// Must be checked immediately before each command, since an owner that was
+    /// paused beyond the end of its authority does not notice by itself.
+    /// @returns true while commands may be sent
     bool may_command(instant now) const { return owned && now < not_after; }
-    /// @returns true while grants may be given
+    /// @returns true while grants may be issued
     bool may_grant(instant now) const {
         return owned && !granting_stopped &&
                (settings.grants_when_lapsed || now < not_after);
@@ -39,8 +40,8 @@
     instant not_after;
     bool owned = false;
     bool granting_stopped = false;
-    /// From this time on no grant of a former owner can still be sent, so that
-    /// a report measured later tells all that runs.
+    /// From this time on no grant of a former owner can be used any more, so a
+    /// report that was measured later shows all running requests.
     instant grants_known_from;
 };
 
--- a/src/Scheduling/scheduler_action.hpp
+++ b/src/Scheduling/scheduler_action.hpp
@@ -12,52 +12,53 @@
 
 namespace camphorpoint {
 
-/// Answer an ask: it may run.
+/// Sends a grant to an entry node.
 struct reply_grant {
     node_id to;
     grant_issued message;
 };
 
-/// Answer an ask: it may not run here, and did not.
+/// Sends a refusal to an entry node. The request has not run here.
 struct reply_refusal {
     node_id to;
     grant_refused message;
 };
 
-/// Ask the weight store's owner for a load, or repeat the ask.
+/// Sends a load request, or repeats it, to the owner of the weight store.
 struct send_load_request {
     load_request message;
 };
 
-/// Take the ask back.
+/// Cancels a load request at the owner of the weight store.
 struct send_load_cancelled {
     load_cancelled message;
 };
 
-/// Tell the weight store's owner that a permission is used up.
+/// Reports to the owner of the weight store the result of a permitted load, or
+/// that the permission is returned unused.
 struct send_load_result {
     load_result message;
 };
 
-/// How long a request waited before its grant, split by cause.
+/// The time that a request waited for its grant, by cause.
 struct observed_wait {
     request_id request;
     adapter_ref adapter;
     urgency how_urgent = urgency::normal;
-    /// Time for which the adapter was resident and the batch was full.
+    /// Time during which the adapter was resident and the batch was full.
     duration queueing{};
-    /// Time for which the adapter was not resident.
+    /// Time during which the adapter was not resident.
     duration load_stall{};
 };
 
-/// Why an adapter was ordered in or out, for counters.
+/// A load or evict command that was sent, for counters.
 struct observed_command {
     engine_order_kind kind = engine_order_kind::load;
-    /// True for a load ahead of demand.
+    /// True for a load that no queued request waits for.
     bool prefetch = false;
 };
 
-/// What a replica_scheduler asks for.
+/// An action that a replica_scheduler requests from its environment.
 using scheduler_action = std::variant<
     reply_grant, reply_refusal, engine_order, send_load_request,
     send_load_cancelled, send_load_result, observed_wait, observed_command,
--- a/src/Scheduling/scheduler_settings.hpp
+++ b/src/Scheduling/scheduler_settings.hpp
@@ -9,60 +9,72 @@
 
 namespace camphorpoint {
 
-/// What the scheduler of one replica is told at its start.
+/// Settings of the scheduler of one replica.
 struct scheduler_settings {
     endpoint_id replica;
-    /// Adapters that the engine holds at once.
+    /// Number of adapters that the engine can hold at the same time.
     std::uint32_t adapter_slots = 8;
-    /// Sequences that the engine batches at the most.
+    /// Maximum number of sequences in the engine's batch.
     std::uint32_t batch_limit = 16;
-    /// Requests that may wait, in each urgency class.
+    /// Maximum number of queued requests in each urgency class.
     std::size_t queue_limit = 256;
-    /// An entry node must have sent within this time of the grant.
+    /// Time after the grant within which an entry node must send the request.
     std::chrono::milliseconds send_within{1'000};
-    /// The owner counts a grant as usable for this much longer.
+    /// Safety margin that the owner adds to `send_within` before it treats a
+    /// grant as expired.
     std::chrono::milliseconds grant_margin{500};
-    /// No request runs longer than this.
+    /// Upper bound of the running time of a request.
     std::chrono::milliseconds longest_request{120'000};
-    /// An entry node that is silent this long counts as dead.
+    /// An entry node that has sent no message for this long is treated as
+    /// crashed.
     std::chrono::milliseconds heartbeat_timeout{5'000};
-    /// Requests that wait this long for a load take a slot from an adapter
-    /// that is in use.
+    /// If a request has waited this long for a load, an adapter that is in use
+    /// is drained to free its slot.
     std::chrono::milliseconds blocked_wait_limit{500};
-    /// How often a want is told to the weight store's owner again.
+    /// Interval at which pending load requests are repeated to the owner of the
+    /// weight store.
     std::chrono::milliseconds load_request_interval{500};
-    /// A load's answer is waited for this long.
+    /// Time limit of a load command. Its result is declared lost after twice
+    /// this time.
     std::chrono::milliseconds load_timeout{15'000};
-    /// An eviction may travel this long, and no longer.
+    /// Time limit of an evict command. Its result is declared lost after twice
+    /// this time.
     std::chrono::milliseconds evict_timeout{1'000};
-    /// First and longest pause after an adapter's load failed.
+    /// Backoff after a failed load of an adapter: initial and maximum delay.
     std::chrono::milliseconds first_backoff{500};
     std::chrono::milliseconds longest_backoff{30'000};
-    /// After so many failures waiting requests are refused.
+    /// Number of consecutive failed loads after which queued requests for the
+    /// adapter are refused.
     std::uint32_t failures_before_refusal = 2;
-    /// Assumed until measured: time of one token, tokens of an answer, a load.
+    /// Initial estimates until times are measured: the time per token, the
+    /// number of tokens of an answer, and the time of a load.
     std::chrono::milliseconds token_time{20};
     std::uint32_t answer_tokens = 100;
     std::chrono::milliseconds load_time{400};
-    /// Adapters that are loaded ahead of demand, such as after a cold start.
+    /// Whether adapters are loaded before a request waits for them, such as
+    /// after a restart of the engine.
     bool prefetch_adapters = true;
-    /// Whether grants for resident adapters go on while authority has lapsed
-    /// but no newer claim is known, as in an outage of the log. Orders never
-    /// do. See docs/design/load-scheduling.md for what that asks of engines.
+    /// Whether requests for resident adapters are still granted when the
+    /// authority of this owner has expired but no newer claim is known, as in
+    /// an outage of the log. Commands are never sent then. See
+    /// docs/design/load-scheduling.md for what this requires of engines.
     bool grants_when_lapsed = true;
-    /// The first asks of a request are refused when it would wait longer than
-    /// this for a place in the batch: its entry node then asks elsewhere.
+    /// A grant request is refused, and the entry node tries another replica, if
+    /// the expected wait for a slot of the batch is longer than this. Applies
+    /// to attempts numbered up to `redirect_attempts`.
     std::chrono::milliseconds redirect_wait{1'500};
-    /// An adapter that fills this share of the batch by itself is worth a copy
-    /// elsewhere: its asks are refused as soon as the batch is nearly full.
+    /// An adapter whose requests fill at least this fraction of the batch is
+    /// worth loading at another replica too. Its requests are redirected as
+    /// soon as the batch is nearly full.
     double replication_batch_fraction = 0.06;
-    /// How full the batch is then.
+    /// Fraction of the batch limit from which the batch counts as nearly full.
     double nearly_full_fraction = 0.9;
-    /// How many asks of one request may be refused so.
+    /// Highest number of an attempt that may be redirected.
     std::uint32_t redirect_attempts = 2;
-    /// Orders are numbered from here; keeps a node's replicas apart.
+    /// Number of the first command. Different values keep the command numbers
+    /// of a node's replicas distinct.
     std::uint64_t first_command = 1;
-    /// Seed of the jitter of backoffs.
+    /// Seed of the jitter of backoff delays.
     std::uint64_t seed = 1;
 };
 
--- a/src/Scheduling/slot_manager.hpp
+++ b/src/Scheduling/slot_manager.hpp
@@ -14,22 +14,24 @@
 
 namespace camphorpoint::internal {
 
-/// Decides which adapters one engine holds: what is wanted from the weight
-/// store, what is ordered in, and what is evicted for it.
-/// @tparam Eviction says which adapter is worth the least
+/// Decides which adapters are resident on one engine: which load requests are
+/// sent to the owner of the weight store, and which load and evict commands are
+/// sent to the engine.
+/// @tparam Eviction policy that chooses the adapter to evict
 template <eviction_policy Eviction>
 class slot_manager {
 public:
-    /// @returns true when requests for the adapter may be granted
+    /// @returns true if requests for the adapter may be granted
     bool grantable(adapter_ref const& adapter) const;
-    /// A request for an adapter that is not grantable was queued.
+    /// A request was queued whose adapter is not grantable.
     void
     on_blocked(replica_state& state, adapter_ref const& adapter, instant now);
     /// The last grant that used the adapter has ended.
     void on_idle(adapter_ref const& adapter, instant now);
     void
     on_report(replica_state& state, engine_report const& report, instant now);
-    /// @returns false when a newer owner's fencing number was seen
+    /// @returns false if the result shows that a newer owner has fenced off
+    ///   this node
     bool on_command_result(
         replica_state& state, engine_order const& command, order_result how,
         instant now);
@@ -40,21 +42,26 @@
     void on_version_change(
         replica_state& state, adapter_ref const& from, adapter_ref const& to,
         instant now);
-    /// Repeats wants, gives back lapsed permissions, looks after orders.
+    /// Repeats load requests, returns expired permissions, and times out
+    /// commands without a result.
     void on_tick(replica_state& state, instant now);
-    /// The engine has forgotten all adapters; the hottest are wanted again.
+    /// The engine was restarted without adapters. Its adapters are prefetched
+    /// again, as far as they fit.
     void on_cold_start(replica_state& state, instant now);
-    /// This node decides no more: wants are cancelled, slots forgotten.
+    /// This node no longer owns the replica: cancels its load requests and
+    /// clears the slots.
     void on_authority_lost(replica_state& state, instant now);
-    /// @returns true when a report measured at or after `since` says that no
-    /// request uses the adapter
+    /// @returns true if a report that was measured at or after `since` shows
+    ///   that no request uses the adapter
     bool reported_idle(adapter_ref const& adapter, instant since) const {
         return slots_.reported_idle(adapter, since);
     }
-    /// @returns how long the store says that it stays down
+    /// @returns the remaining time for which the weight store is reported as
+    ///   down
     duration store_pause(instant now) const;
-    /// @returns true when the engine's report, or enough time, confirms that
-    /// nothing has used the adapter since its last own grant
+    /// @returns true if a report of the engine, or enough elapsed time, proves
+    ///   that no request has used the adapter since its last grant by this
+    ///   owner
     bool confirmed_idle(
         replica_state const& state, adapter_ref const& adapter, instant since,
         instant now) const;
@@ -62,7 +69,7 @@
 private:
     using prefetch_map = std::map<adapter_ref, instant>;
 
-    // Wants: slot_manager_wants.hpp.
+    // Load requests: slot_manager_loads.hpp.
     void plan(replica_state& state, instant now);
     void plan_blocked(replica_state& state, instant now);
     void plan_prefetches(replica_state& state, instant now);
@@ -104,7 +111,7 @@
     void evict_for_permissions(replica_state& state, instant now);
     void resume(replica_state& state, adapter_ref const& adapter, instant now);
 
-    // Orders: slot_manager_orders.hpp.
+    // Commands: slot_manager_commands.hpp.
     void use_permissions(replica_state& state, instant now);
     void command_load(
         replica_state& state, adapter_ref const& adapter,
@@ -134,13 +141,15 @@
 
     slot_table slots_;
     load_request_table load_requests_;
-    /// Loads ahead of demand, with the time up to which they are worth it.
+    /// Adapters to load before requests wait for them, each with the time at
+    /// which the prefetch expires.
     prefetch_map prefetches_;
-    /// Older version to newer one, while both may be resident.
+    /// Maps an older version to the newer one, while both may be resident.
     std::map<adapter_ref, adapter_ref> successors_;
-    /// Older versions that are kept until the newer one is resident.
+    /// Older versions that are not evicted before the newer one is resident,
+    /// each with the time at which this protection ends.
     std::map<adapter_ref, instant> protected_until_;
-    /// The store's owner said that it is down until then.
+    /// Time until which the weight store is down, as reported by its owner.
     instant store_paused_until_;
     std::uint64_t command_count_ = 0;
     Eviction eviction_;
--- a/src/Scheduling/slot_manager_commands.hpp
+++ b/src/Scheduling/slot_manager_commands.hpp
@@ -8,7 +8,8 @@
 
 namespace camphorpoint::internal {
 
-// Orders to the engine of slot_manager, and what becomes of them.
+// Member functions of slot_manager that send commands to the engine and handle
+// their results.
 
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::send_command(
@@ -61,7 +62,8 @@
     instant now) {
     slot* target = slots_.find(command.adapter);
     if (!target || target->command != command.number || target->command == 0) {
-        // An order of an earlier run of the engine or of this ownership.
+        // The command was sent to an earlier incarnation of the engine or in an
+        // earlier ownership.
         return how != order_result::refused_fencing;
     }
     if (how == order_result::lost) {
@@ -80,7 +82,7 @@
         handle_evict_result(state, command.adapter, how, now);
     }
     if (how == order_result::refused_fencing) {
-        // Another node owns the replica: one more order would be one too many.
+        // Another node owns the replica, so no further command may be sent.
         return false;
     }
     plan(state, now);
@@ -102,8 +104,8 @@
     bool const started = how == order_result::failed;
     report_load_result(state, adapter, ended, started, false, now);
     if (how == order_result::refused_busy) {
-        // The engine has fewer free slots than this owner believes; its next
-        // report corrects that.
+        // The engine has fewer free slots than this owner assumes; the next
+        // report corrects the assumption.
         state.history.delay_load(adapter, now + state.settings.first_backoff);
     } else if (how != order_result::refused_fencing) {
         load_failed(state, adapter, now);
@@ -118,10 +120,11 @@
         slots_.erase(adapter, now);
         return;
     }
-    // It is resident still. Its idle time starts anew, so that a report from
-    // after the refusal has to confirm that nothing runs. One measured at this
-    // very moment is not from after it: taken for that, an eviction without
-    // leave was ordered again at once, without end, and the node hung.
+    // The adapter is still resident. Its idle time restarts, so that only a
+    // report measured after the refusal can confirm that no request is running.
+    // A report measured at this very moment must not count as later: if it
+    // does, and the command was not sent because it was not permitted, the same
+    // command is sent again in an endless loop, and the node hangs.
     resume(state, adapter, now);
     slots_.find(adapter)->idle_since = now + duration(1);
 }
--- a/src/Scheduling/slot_manager_evictions.hpp
+++ b/src/Scheduling/slot_manager_evictions.hpp
@@ -8,9 +8,11 @@
 
 namespace camphorpoint::internal {
 
-// Evictions of slot_manager. An eviction has two steps: the adapter gets no
-// more grants, and it is evicted only once nothing can be running on it by
-// this owner's grants and by a report that was measured after they ended.
+// Member functions of slot_manager that evict adapters. An eviction has two
+// steps: first the adapter receives no more grants; then, once no request can
+// be running on it, it is evicted. The second step requires that all grants of
+// this owner have ended and that a report measured after their end shows the
+// adapter as idle.
 
 template <eviction_policy Eviction>
 bool slot_manager<Eviction>::confirmed_idle(
@@ -19,9 +21,10 @@
     if (state.grants.using_adapter(adapter) > 0) {
         return false;
     }
-    // A report from before the last grant ended, or from before the former
-    // owner's last grant could be sent, says nothing: the adapter would be
-    // evicted under a request that the report did not see yet.
+    // A report that was measured before the last grant ended, or before the
+    // former owner's last grant could no longer be used, proves nothing: a
+    // running request might not be in the report yet, and its adapter would be
+    // evicted while it runs.
     instant const earliest_valid = std::max(since, state.grants_known_from);
     return slots_.reported_idle(adapter, earliest_valid) ||
            now >= earliest_valid + state.settings.longest_request;
@@ -98,9 +101,10 @@
 template <eviction_policy Eviction>
 void slot_manager<Eviction>::drain_least_valuable(
     replica_state& state, instant now) {
-    // Adapters in steady use would keep all slots for good, and a request for
-    // another would wait until its deadline. So the least used one gets no
-    // more grants; what runs on it ends before it is evicted.
+    // Adapters in steady use would occupy all slots forever, and a request for
+    // another adapter would wait until its deadline. Therefore the least
+    // valuable adapter receives no more grants; it is evicted after its running
+    // requests have completed.
     std::optional<adapter_ref> least;
     double least_value = 0;
     for (auto const& [adapter, each] : slots_.all()) {
@@ -158,8 +162,9 @@
     if (draining_adapters.empty()) {
         return;
     }
-    // While authority has lapsed no eviction can follow: a stopped adapter
-    // would stay unserved for as long as the log is down.
+    // While the authority of this owner has expired, no evict command can be
+    // sent. A draining adapter would stay unavailable for as long as the log is
+    // down.
     auto const slot_needed = std::ranges::any_of(
         state.queue.all_blocked(),
         [&](blocked_group const& each) { return !slots_.find(each.adapter); });
--- a/src/Scheduling/slot_manager_loads.hpp
+++ b/src/Scheduling/slot_manager_loads.hpp
@@ -8,7 +8,8 @@
 
 namespace camphorpoint::internal {
 
-// Wants of slot_manager, and the events that change them.
+// Member functions of slot_manager that send load requests, and the events that
+// change them.
 
 template <eviction_policy Eviction>
 bool slot_manager<Eviction>::grantable(adapter_ref const& adapter) const {
@@ -32,7 +33,7 @@
     std::size_t const all = free_slots(state) +
                             slots_.count(slot_phase::evicting) +
                             static_cast<std::size_t>(idle);
-    // Loads ahead of demand give way to those that somebody waits for.
+    // Prefetches yield to loads that queued requests wait for.
     auto const awaited_loads = std::ranges::count_if(
         load_requests_, [](auto const& each) { return !each.second.prefetch; });
     return all - std::min(all, static_cast<std::size_t>(awaited_loads));
@@ -201,8 +202,8 @@
         if (!may_request_load(state, adapter, now)) {
             continue;
         }
-        // A load ahead of demand takes a free slot, or one whose adapter is
-        // in less demand, never one that is worth more.
+        // A prefetch uses a free slot or displaces an adapter in lower demand,
+        // never one in higher demand.
         bool const free = free_slots(state) > load_requests_.size();
         auto const least = free ? std::nullopt : victim(state, now);
         bool const in_higher_demand =
@@ -293,8 +294,9 @@
     for (auto const& [adapter, request] : load_requests_) {
         cancel_load_request(state, adapter, request);
     }
-    // A load that is under way goes on; the next owner learns of it from the
-    // engine's report. The store's budget must not wait for its end.
+    // A load in progress continues; the next owner learns of it from the
+    // engine's report. The budget of the weight store must not wait for its
+    // completion.
     for (auto const& [adapter, each] : slots_.all()) {
         report_load_result(state, adapter, each, true, false, now);
     }
--- a/src/Scheduling/slot_table.cpp
+++ b/src/Scheduling/slot_table.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// No report lags by more.
+/// Upper bound of the age of an engine's report.
 constexpr std::chrono::seconds max_report_lag{30};
 
 } // namespace
@@ -101,14 +101,14 @@
         bool const gone = !resident && *measured_ >= each.since;
         return gone ? std::optional(kind::vanished) : std::nullopt;
     }
-    // While an order's answer is still to come, a report says nothing more
-    // than the answer will.
+    // While the result of a command is pending, the report provides no
+    // information beyond that result.
     if (!each.result_lost_at || *measured_ < *each.result_lost_at) {
         return std::nullopt;
     }
-    // A lost order may still be on its way to the engine until its time is
-    // over. An eviction that was given up earlier could hit a request that was
-    // granted in the meantime.
+    // Until its time limit, a command whose result was lost may still be in
+    // transit to the engine. If an eviction were declared lost earlier, it
+    // could hit a request that was granted in the meantime.
     bool const too_late = *measured_ >= each.command_not_after;
     if (each.phase == slot_phase::evicting) {
         if (!resident) {
@@ -137,7 +137,8 @@
         if (phase == slot_phase::resident) {
             changes.push_back({slot_change::kind::appeared, adapter, value});
         } else {
-            // A former owner's load: its answer went elsewhere.
+            // The load was commanded by a former owner, which receives its
+            // result.
             value.commanded_at = now;
             value.result_lost_at = now;
         }
--- a/src/Scheduling/slot_table.hpp
+++ b/src/Scheduling/slot_table.hpp
@@ -12,75 +12,81 @@
 
 namespace camphorpoint::internal {
 
-/// What an adapter on the engine is going through.
+/// Phase of an adapter that occupies a slot of the engine.
 enum class slot_phase : std::uint8_t {
     loading,
     resident,
-    /// Gets no more grants, and is evicted once nothing runs on it.
+    /// Receives no more grants, and is evicted once no request runs on it.
     draining,
     evicting
 };
 
-/// An adapter that takes up a slot of the engine.
+/// An adapter that occupies a slot of the engine.
 struct slot {
     slot_phase phase = slot_phase::loading;
-    /// When it came into this phase.
+    /// Start of the current phase.
     instant since{};
-    /// When the last grant for it ended.
+    /// Time at which the last grant for the adapter ended.
     instant idle_since{};
-    /// Of the order that is under way; 0 when there is none.
+    /// Number of the command in progress; 0 if there is none.
     std::uint64_t command = 0;
     instant commanded_at{};
-    /// The order can't travel past this time.
+    /// The command cannot reach the engine after this time.
     instant command_not_after{};
-    /// When the order's answer was given up.
+    /// Time at which the command's result was declared lost.
     std::optional<instant> result_lost_at{};
-    /// The weight store's permission of the load.
+    /// Number of the permission that the weight store's owner gave for the
+    /// load.
     std::uint64_t permission = 0;
     bool prefetch = false;
 };
 
-/// What a report settled about an adapter.
+/// A change of an adapter that was derived from a report.
 struct slot_change {
     enum class kind : std::uint8_t {
-        /// It is resident: found so, or a lost load had taken effect.
+        /// The adapter is resident: it was found so, or a load whose result was
+        /// lost has succeeded.
         appeared,
-        /// It is gone: the engine dropped it, or a lost eviction took effect.
+        /// The adapter is gone: the engine has dropped it, or an eviction whose
+        /// result was lost has succeeded.
         vanished,
-        /// A lost load can't have taken effect any more.
+        /// A load whose result was lost has not taken effect and no longer can.
         load_lost,
-        /// A lost eviction can't have taken effect any more: it is resident.
+        /// An eviction whose result was lost has not taken effect and no longer
+        /// can: the adapter is resident.
         evict_lost
     } what = kind::appeared;
     adapter_ref adapter;
-    /// As it was before.
+    /// State of the slot before the change.
     slot before;
 };
 
-/// The adapters on one engine: what was ordered, corrected by reports that lag.
+/// The adapters that occupy slots of one engine, as expected from the commands
+/// that were sent and corrected by the engine's lagging reports.
 class slot_table {
 public:
-    /// @returns the slot, or nullptr when the adapter takes up none
+    /// @returns the slot, or nullptr if the adapter occupies none
     slot* find(adapter_ref const& adapter);
     slot const* find(adapter_ref const& adapter) const;
     slot& insert(adapter_ref const& adapter, slot const& value);
-    /// The adapter's slot is free now.
+    /// Removes the adapter, whose slot becomes free.
     void erase(adapter_ref const& adapter, instant now);
     void clear();
     std::size_t size() const noexcept { return slots_.size(); }
     std::map<adapter_ref, slot> const& all() const noexcept { return slots_; }
-    /// @returns slots in this phase
+    /// @returns the number of slots in this phase
     std::size_t count(slot_phase phase) const;
 
-    /// Takes a report of the current incarnation.
-    /// @param measured when the engine took the figures
-    /// @returns what changed, in the order of the adapters
+    /// Applies a report of the current incarnation of the engine.
+    /// @param measured when the engine measured the values
+    /// @returns the changes: first those of known adapters, sorted by adapter,
+    ///   then the newly found adapters in the order of the report
     std::vector<slot_change>
     on_report(engine_report const& report, instant measured, instant now);
-    /// @returns true when a report measured at or after `since` says that no
-    /// request uses the adapter
+    /// @returns true if a report that was measured at or after `since` shows
+    ///   that no request uses the adapter
     bool reported_idle(adapter_ref const& adapter, instant since) const;
-    /// @returns when the figures of the last report were taken
+    /// @returns when the values of the last report were measured
     std::optional<instant> measured() const noexcept { return measured_; }
 
 private:
@@ -95,7 +101,8 @@
         std::vector<slot_change>& changes, instant now);
 
     std::map<adapter_ref, slot> slots_;
-    /// When slots were freed: an older report still names their adapters.
+    /// Times at which slots were freed. Reports that were measured earlier
+    /// still list their adapters.
     std::map<adapter_ref, instant> freed_;
     std::set<adapter_ref> in_use_;
     std::optional<instant> measured_;
--- a/src/Scheduling/time_estimates.hpp
+++ b/src/Scheduling/time_estimates.hpp
@@ -10,7 +10,8 @@
 
 namespace camphorpoint::internal {
 
-/// How long things take on one replica: assumed at first, then measured.
+/// Estimated durations on one replica: initial values from the settings, then
+/// moving averages of measurements.
 class time_estimates {
 public:
     explicit time_estimates(scheduler_settings const& settings)
@@ -19,32 +20,35 @@
         , load_(settings.load_time)
         , stall_(settings.load_time) {}
 
-    /// A request ran this long and answered so many tokens.
+    /// Records the running time of a request and the number of tokens in its
+    /// answer.
     void record_service_time(duration took, std::uint32_t tokens) {
         service_ = move_average(service_, took);
         if (tokens > 0) {
             token_ = move_average(token_, took / tokens);
         }
     }
-    /// A load's order took this long.
+    /// Records the time from a load command to its result.
     void record_load_time(duration took) { load_ = move_average(load_, took); }
-    /// An adapter's first request waited this long for it.
+    /// Records how long the first request for an adapter waited until the
+    /// adapter was resident.
     void record_stall(duration waited, instant now) {
         stall_ = move_average(stall(now), waited);
         last_stall_ = now;
     }
 
-    /// @param tokens expected; 0 when unknown
-    /// @returns how long a request runs
+    /// @param tokens expected number of tokens; 0 if unknown
+    /// @returns the expected running time of a request
     duration service(std::uint32_t tokens) const {
         return tokens == 0 ? service_ : token_ * tokens;
     }
-    /// @returns how long a request of which nothing is known runs
+    /// @returns the expected running time of a request of unknown size
     duration service() const { return service_; }
-    /// @returns how long a load's order takes
+    /// @returns the expected time from a load command to its result
     duration load() const { return load_; }
-    /// @returns how long a request waits for a load, the store's queue
-    /// included; a long wait of the past is forgotten by and by
+    /// @returns how long a request is expected to wait for a load, including
+    ///   the wait for the weight store's permission; the influence of long
+    ///   waits in the past decays exponentially
     duration stall(instant now) const {
         constexpr std::chrono::seconds half_life{5};
         double const passed =
--- a/src/Scheduling/waiting_queue.cpp
+++ b/src/Scheduling/waiting_queue.cpp
@@ -14,7 +14,9 @@
 } // namespace
 
 void waiting_queue::add(waiting_request request, bool ready, instant now) {
-    assert(!by_id_.contains(request.message.request) && "it waits already");
+    assert(
+        !by_id_.contains(request.message.request) &&
+        "the request is already in the queue");
     std::uint64_t const sequence = next_sequence_++;
     std::size_t const index = index_of(request.message.how_urgent);
     by_id_.emplace(request.message.request, sequence);
--- a/src/Scheduling/waiting_queue.hpp
+++ b/src/Scheduling/waiting_queue.hpp
@@ -14,22 +14,23 @@
 
 namespace camphorpoint::internal {
 
-/// A request that waits for a grant.
+/// A queued request that waits for a grant.
 struct waiting_request {
     node_id from;
     grant_request message;
     instant arrived;
     instant deadline;
-    /// Past this time the deadline can't be met any more.
+    /// If the request starts after this time, it cannot meet its deadline.
     instant latest_start;
-    /// Time for which its adapter was not resident, without the current spell.
+    /// Time for which the adapter was not resident, excluding the current
+    /// period.
     duration stalled{};
-    /// Start of the current spell, while its adapter is not resident.
+    /// Start of the current period in which the adapter is not resident.
     instant blocked_since{};
     bool ready = false;
 };
 
-/// The requests that wait for one adapter which is not resident.
+/// The queued requests for one adapter that is not resident.
 struct blocked_group {
     adapter_ref adapter;
     std::uint32_t waiting = 0;
@@ -37,49 +38,51 @@
     instant oldest;
 };
 
-/// The waiting requests of one replica. Those whose adapter is resident are
-/// ready, in order of their deadlines within each class; the others are kept
-/// by adapter. Each operation takes time in the logarithm of the queue, but for
-/// the moving of short keys in a flat array.
+/// The queued requests of one replica. Requests whose adapter is resident are
+/// ready and sorted by deadline within each urgency class (earliest deadline
+/// first); the others are blocked and grouped by adapter. Each operation takes
+/// time logarithmic in the length of the queue, apart from moving short keys in
+/// a contiguous array.
 /// Reference for the order: C. L. Liu, J. W. Layland, "Scheduling algorithms
 /// for multiprogramming in a hard-real-time environment", Journal of the ACM
 /// 20(1), 1973.
 class waiting_queue {
 public:
-    /// @param ready true when the request's adapter is resident
+    /// @param ready true if the request's adapter is resident
     void add(waiting_request request, bool ready, instant now);
-    /// @returns the request, or nothing when it doesn't wait here
+    /// @returns the request, or nothing if it is not in the queue
     std::optional<waiting_request> remove(request_id const& id);
-    /// @returns the request, or nullptr when it doesn't wait here
+    /// @returns the request, or nullptr if it is not in the queue
     waiting_request const* find(request_id const& id) const;
-    /// The adapter became resident: its requests get ready.
+    /// Makes the requests for an adapter ready, because it has become resident.
     void unblock(adapter_ref const& adapter, instant now);
-    /// The adapter is resident no more: its requests get blocked.
+    /// Blocks the requests for an adapter, because it can no longer be used.
     void block(adapter_ref const& adapter, instant now);
 
     /// @returns the ready request with the earliest deadline, or nullptr
     waiting_request const* first_ready(urgency which) const;
-    /// @returns requests of the class that are ready
+    /// @returns the number of ready requests of the class
     std::size_t ready(urgency which) const;
-    /// @returns requests of the class, ready or blocked
+    /// @returns the number of requests of the class, ready or blocked
     std::size_t size(urgency which) const;
-    /// @returns all that wait
+    /// @returns the number of all queued requests
     std::size_t size() const noexcept { return by_sequence_.size(); }
-    /// @returns ready requests that go before one with this deadline
+    /// @returns the number of ready requests that would be granted before a
+    ///   request with this class and deadline
     std::size_t count_ahead(urgency which, instant deadline) const;
-    /// @returns requests that wait for this adapter, ready or blocked
+    /// @returns the number of requests for this adapter, ready or blocked
     std::size_t waiting_for(adapter_ref const& adapter) const;
-    /// @returns a request whose latest start has passed, or nullptr
+    /// @returns a request whose latest start time has passed, or nullptr
     waiting_request const* first_late(instant now) const;
-    /// @returns the group of one adapter, if it is blocked
+    /// @returns the requests for one adapter as a group, if they are blocked
     std::optional<blocked_group> blocked(adapter_ref const& adapter) const;
-    /// @returns all blocked groups, in the order of their adapters
+    /// @returns all blocked groups, sorted by adapter
     std::vector<blocked_group> all_blocked() const;
-    /// @returns the ids that wait for this adapter, oldest first
+    /// @returns the ids of the requests for this adapter, oldest first
     std::vector<request_id> ids_waiting_for(adapter_ref const& adapter) const;
-    /// @returns the ids that came from this node, oldest first
+    /// @returns the ids of the requests from this node, oldest first
     std::vector<request_id> ids_from(node_id const& node) const;
-    /// @returns all ids, oldest first
+    /// @returns the ids of all requests, oldest first
     std::vector<request_id> all_ids() const;
 
 private:
@@ -89,7 +92,7 @@
         friend auto operator<=>(key const&, key const&) = default;
     };
     struct group {
-        /// Sequences, oldest first.
+        /// Sequence numbers of the requests, oldest first.
         std::set<std::uint64_t> members;
         std::array<std::uint32_t, urgency_count> counts{};
     };
--- a/test/scheduling_fixture.hpp
+++ b/test/scheduling_fixture.hpp
@@ -17,7 +17,8 @@
     return {adapter_id(name), version};
 }
 
-/// One replica's scheduler, its engine played by the test, in virtual time.
+/// The scheduler of one replica in virtual time. The test plays the engine, the
+/// entry nodes and the owner of the weight store.
 class scheduler_fixture {
 public:
     explicit scheduler_fixture(
@@ -27,7 +28,7 @@
         take_ownership(1);
     }
 
-    /// Two slots and two sequences; reports and heartbeats as the test says.
+    /// Two adapter slots and a batch of two sequences.
     static scheduler_settings default_settings() {
         scheduler_settings settings;
         settings.replica = endpoint_id("r1");
@@ -39,7 +40,7 @@
     replica_scheduler<>& scheduler() { return scheduler_; }
     instant now() const { return now_; }
 
-    /// Lets time pass in ticks.
+    /// Advances the time in steps of 20 ms, with a tick after each.
     void advance(milliseconds span) {
         constexpr milliseconds step{20};
         for (milliseconds passed{}; passed < span; passed += step) {
@@ -114,7 +115,7 @@
             {settings_.replica, which, permission, milliseconds(500)}, now_);
         collect();
     }
-    /// Loads an adapter as if all goes well.
+    /// Permits the load of an adapter and reports its success.
     void load(adapter_ref const& which) {
         permit_load(which);
         engine_order const command = last<engine_order>();
@@ -122,7 +123,7 @@
         complete_command(command, order_result::done);
     }
 
-    /// @returns all actions of a kind since the last forget()
+    /// @returns all actions of a type since the last clear_actions()
     template <class Action>
     std::vector<Action> all() const {
         std::vector<Action> result;
@@ -139,7 +140,7 @@
         REQUIRE_FALSE(found.empty());
         return found.back();
     }
-    /// @returns the granted requests, in order
+    /// @returns the ids of the granted requests, in order
     std::vector<std::string> granted() const {
         std::vector<std::string> result;
         for (reply_grant const& each : all<reply_grant>()) {
@@ -147,7 +148,7 @@
         }
         return result;
     }
-    /// @returns why the request was refused; none when it was not
+    /// @returns why the request was refused; `none` if it was not refused
     reason refused(std::string const& request) const {
         for (reply_refusal const& each : all<reply_refusal>()) {
             if (each.message.request.str() == request) {
--- a/test/scheduling_owner_test.cpp
+++ b/test/scheduling_owner_test.cpp
@@ -17,20 +17,22 @@
 
 } // namespace
 
-// A stream is cut under its caller: its owner died, and the successor, who
-// knows nothing of the request, evicted the adapter that it runs on.
-TEST_CASE("a new owner takes adapters as in use until it knows") {
+// Guards against aborted streams after a takeover: the owner crashes, and its
+// successor, which does not know about a running request, evicts the adapter
+// that the request uses.
+TEST_CASE(
+    "a new owner treats adapters as in use until a report proves otherwise") {
     scheduler_fixture fixture;
     fixture.report({audit, labels});
     fixture.request_grant("new", licences);
     fixture.advance(milliseconds(200));
 
-    SUBCASE("a report from within the old grants' time confirms nothing") {
+    SUBCASE("a report measured while old grants are usable proves nothing") {
         CHECK(fixture.all<send_load_request>().empty());
         fixture.report({audit, labels});
         CHECK(fixture.all<send_load_request>().empty());
 
-        SUBCASE("a later one does, for what it says is idle") {
+        SUBCASE("a later report proves which adapters are idle") {
             fixture.advance(grants_expired);
             fixture.clear_actions();
             fixture.report({audit, labels}, {audit});
@@ -39,7 +41,7 @@
         }
     }
 
-    SUBCASE("what the engine runs beyond its grants takes up the batch") {
+    SUBCASE("running requests without a grant occupy the batch") {
         fixture.report({audit, labels}, {audit, labels});
         fixture.request_grant("a", audit);
         CHECK(fixture.granted().empty());
@@ -47,14 +49,14 @@
         CHECK(fixture.granted() == names{"a"});
     }
 
-    SUBCASE("heartbeats tell what runs") {
+    SUBCASE("heartbeats show which requests are running") {
         fixture.heartbeat({fixture.grant_entry("old", audit, true)}, "n2");
         CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 1);
         fixture.heartbeat({fixture.grant_entry("lost", audit, false)}, "n3");
         CHECK(fixture.refused("lost") == reason::owner_unreachable);
     }
 
-    SUBCASE("the former owner's table tells it at once") {
+    SUBCASE("the table of the former owner shows it at once") {
         scheduler_fixture former;
         former.report({audit, labels});
         former.request_grant("old", audit);
@@ -73,7 +75,7 @@
         CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 1);
     }
 
-    SUBCASE("without any word the longest request's time has to pass") {
+    SUBCASE("without a report the longest request time has to pass") {
         scheduler_fixture other;
         other.report({audit, labels}, {audit, labels});
         other.advance(seconds(119));
@@ -85,8 +87,8 @@
     }
 }
 
-// An engine runs fewer and fewer requests at once over the hours: some releases
-// were lost, and the owner counts their grants for good.
+// Guards against a slow loss of batch capacity: release messages are lost, and
+// the owner counts their grants forever.
 TEST_CASE("a lost release is repaired by the heartbeat") {
     scheduler_fixture fixture;
     fixture.report({audit});
@@ -98,12 +100,12 @@
          fixture.grant_entry("c", audit, false)});
     CHECK(fixture.granted() == names{"a", "b", "c"});
 
-    SUBCASE("other nodes' grants are left alone") {
+    SUBCASE("grants of other nodes are unaffected") {
         fixture.heartbeat({}, "n2");
         CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 2);
     }
 
-    SUBCASE("a grant that was never used ends with its time") {
+    SUBCASE("a grant that was never used expires") {
         fixture.advance(grants_expired);
         fixture.heartbeat(
             {fixture.grant_entry("b", audit, true),
@@ -112,9 +114,10 @@
     }
 }
 
-// An entry node dies, and its requests run on in the engine for a while. Either
-// their adapter is evicted under them, or their places are never used again.
-TEST_CASE("a dead entry node's grants run until the engine says otherwise") {
+// Requests of a crashed entry node keep running in the engine for a while.
+// Guards against evicting their adapter while they run, and against never
+// reusing their slots of the batch.
+TEST_CASE("grants of a crashed entry node last until the engine is idle") {
     scheduler_fixture fixture;
     fixture.report({audit});
     fixture.request_grant("a", audit);
@@ -124,21 +127,22 @@
     fixture.advance(seconds(1));
     CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 1);
 
-    SUBCASE("by a report") {
+    SUBCASE("a report shows the adapter as idle") {
         fixture.report({audit});
         fixture.advance(seconds(1));
         CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 0);
     }
 
-    SUBCASE("by the longest request's time") {
+    SUBCASE("the longest request time has passed") {
         fixture.advance(seconds(112));
         CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 0);
     }
 }
 
-// Two nodes order one engine about, and an adapter vanishes under a request.
-// One of them was paused past its authority and woke up believing in it.
-TEST_CASE("an owner without authority orders nothing") {
+// Guards against two nodes that command the same engine, so that an adapter is
+// evicted while a request uses it. The cause is an owner that was paused beyond
+// the end of its authority and resumes without noticing.
+TEST_CASE("an owner without authority sends no commands") {
     scheduler_fixture fixture;
     fixture.take_ownership(2, milliseconds(2'000));
     fixture.advance(grants_expired);
@@ -146,25 +150,26 @@
     fixture.request_grant("new", licences);
     REQUIRE(fixture.all<send_load_request>().size() == 1);
 
-    SUBCASE("its authority lapsed between permission and order") {
+    SUBCASE("the authority expires between permission and command") {
         fixture.advance(milliseconds(400));
         fixture.permit_load(licences);
         CHECK(fixture.all<engine_order>().empty());
 
-        SUBCASE("residents are served on, as in an outage of the log") {
+        SUBCASE(
+            "resident adapters are still served, as in an outage of the log") {
             fixture.request_grant("a", audit);
             CHECK(fixture.granted() == names{"a"});
         }
     }
 
-    SUBCASE("orders bear the claim and end with the authority") {
+    SUBCASE("commands carry the fencing number and expire with the authority") {
         fixture.permit_load(licences);
         engine_order const evict = fixture.last<engine_order>();
         CHECK(evict.fencing == log_offset{2});
         CHECK(evict.not_after <= fixture.now() + milliseconds(400));
 
-        // The engine has seen a newer owner's number.
-        SUBCASE("one that is refused for its fencing number ends all") {
+        // The engine has seen the fencing number of a newer owner.
+        SUBCASE("a command refused for its fencing number ends the ownership") {
             fixture.request_grant("waits", licences);
             fixture.clear_actions();
             fixture.complete_command(evict, order_result::refused_fencing);
@@ -175,7 +180,7 @@
         }
     }
 
-    SUBCASE("a newer claim ends it while a load is under way") {
+    SUBCASE("a newer claim ends the ownership during a load") {
         fixture.report({audit});
         fixture.permit_load(licences);
         engine_order const load = fixture.last<engine_order>();
@@ -190,9 +195,10 @@
     }
 }
 
-// In an outage of the log one adapter is not served, though it is resident: it
-// was about to be evicted when the owner's authority lapsed.
-TEST_CASE("an adapter that was stopped is served on when authority lapses") {
+// Guards against a resident adapter that is not served during an outage of the
+// log: it was draining for its eviction when the authority of the owner
+// expired.
+TEST_CASE("a draining adapter is served again when the authority expires") {
     scheduler_fixture fixture;
     fixture.take_ownership(2, milliseconds(2'400));
     fixture.advance(grants_expired);
@@ -201,7 +207,7 @@
     fixture.request_grant("l", labels);
     fixture.request_grant("new", licences);
     fixture.advance(milliseconds(520));
-    // The one in the least demand, or the first by name, is stopped.
+    // The adapter with the lowest demand, or the first by name, is drained.
     fixture.release("a");
     fixture.request_grant("a2", audit);
     REQUIRE(fixture.granted() == names{"a", "l"});
@@ -209,7 +215,7 @@
     CHECK(fixture.granted() == names{"a", "l", "a2"});
 }
 
-TEST_CASE("an owner that stops refuses what waits and lets run what runs") {
+TEST_CASE("a stopping owner refuses queued requests and keeps running ones") {
     scheduler_fixture fixture;
     fixture.report({audit});
     fixture.request_grant("a", audit);
--- a/test/scheduling_queue_test.cpp
+++ b/test/scheduling_queue_test.cpp
@@ -7,22 +7,22 @@
 adapter_ref const audit = adapter("audit");
 adapter_ref const labels = adapter("labels");
 
-/// An attempt of a request that was sent elsewhere often enough.
+/// Number of an attempt that is past the maximum number of redirects.
 constexpr std::uint32_t beyond_redirects = 3;
 
 } // namespace
 
-TEST_CASE("an owner queues and grants") {
+TEST_CASE("an owner queues and grants requests") {
     scheduler_fixture fixture;
     fixture.report({audit});
 
-    SUBCASE("as many run as the engine batches") {
+    SUBCASE("as many requests run as fit into the batch") {
         fixture.request_grant("a", audit);
         fixture.request_grant("b", audit);
         fixture.request_grant("c", audit);
         CHECK(fixture.granted() == names{"a", "b"});
 
-        SUBCASE("the next one runs when one has ended") {
+        SUBCASE("the next request runs when one has completed") {
             fixture.advance(milliseconds(100));
             fixture.release("a");
             CHECK(fixture.granted() == names{"a", "b", "c"});
@@ -45,7 +45,7 @@
         }
     }
 
-    SUBCASE("a request passes those that wait for a load") {
+    SUBCASE("a ready request overtakes requests that wait for a load") {
         fixture.request_grant("cold", labels);
         fixture.request_grant("warm", audit);
         CHECK(fixture.granted() == names{"warm"});
@@ -57,10 +57,10 @@
     }
 }
 
-// Under a steady stream of urgent work a background request waits until its
-// caller gives up, though the engine serves many requests meanwhile. The cause
-// is an order by urgency alone: there is always something more urgent.
-TEST_CASE("the lowest class is not starved for good") {
+// Guards against starvation: with a steady stream of urgent requests, a
+// scheduler that orders by urgency alone never serves a background request,
+// although the engine serves many requests in the meantime.
+TEST_CASE("the lowest class does not starve") {
     scheduler_fixture fixture;
     fixture.report({audit});
     fixture.request_grant("x", audit);
@@ -78,9 +78,10 @@
     CHECK(served);
 }
 
-// A licence match waits for a long answer to end, since the batch was filled
-// up with work that could have waited.
-TEST_CASE("the last place of a batch is kept for urgent work") {
+// Guards against urgent requests, such as a licence match, that wait for a long
+// answer to complete because the batch is full of requests that could have
+// waited.
+TEST_CASE("the last slot of a batch is reserved for urgent requests") {
     urgent_first const policy;
     instant const now = instant{} + std::chrono::hours(1);
     batch_state state;
@@ -89,7 +90,7 @@
     state.classes[2].ready = 5;
     CHECK(policy.next_class(state, now) == urgency::normal);
 
-    SUBCASE("while some is about") {
+    SUBCASE("if an immediate request arrived recently") {
         state.classes[0].last_request = now - seconds(4);
         CHECK_FALSE(policy.next_class(state, now));
         state.classes[1].ready = 1;
@@ -99,16 +100,17 @@
         CHECK(policy.next_class(state, now) == urgency::normal);
     }
 
-    SUBCASE("but not for ever") {
+    SUBCASE("until the reserve period has passed") {
         state.classes[0].last_request = now - seconds(5);
         CHECK(policy.next_class(state, now) == urgency::normal);
     }
 }
 
-// A caller is told "too late" only after its whole deadline, having waited in
-// a queue that could never have served it in time. Its next try then comes too
-// late as well. The owner knows how long a request takes, and says so at once.
-TEST_CASE("overload is refused at once") {
+// Guards against callers that learn only at their deadline that a request is
+// too late, after a wait in a queue that could never have served it in time;
+// the retry then is too late as well. The owner can estimate the time of a
+// request, and refuses it at once.
+TEST_CASE("requests beyond the capacity are refused at once") {
     scheduler_fixture fixture;
     fixture.report({audit});
     fixture.request_grant("a", audit);
@@ -119,7 +121,7 @@
             "n1", beyond_redirects);
     }
 
-    SUBCASE("what can't make its deadline is not queued") {
+    SUBCASE("a request that cannot meet its deadline is not queued") {
         fixture.request_grant(
             "hopeless", audit, urgency::normal, seconds(4), "n1",
             beyond_redirects);
@@ -129,7 +131,8 @@
         CHECK(fixture.refused("q7") == reason::none);
     }
 
-    SUBCASE("what is late in the queue is refused before its deadline") {
+    SUBCASE(
+        "a queued request that is too late is refused before its deadline") {
         fixture.request_grant(
             "waits", audit, urgency::background, seconds(15), "n1",
             beyond_redirects);
@@ -138,7 +141,7 @@
         CHECK(fixture.refused("waits") == reason::deadline_unreachable);
     }
 
-    SUBCASE("a full queue refuses, in its own class only") {
+    SUBCASE("a full queue refuses only requests of its own class") {
         scheduler_settings small = scheduler_fixture::default_settings();
         small.queue_limit = 1;
         scheduler_fixture other(small);
@@ -153,20 +156,20 @@
     }
 }
 
-// Requests queue for many seconds at some replicas while others idle: entry
-// nodes know queues only from replies to their own requests, which are old by
-// the time of the next one.
-TEST_CASE("an owner with a long queue sends the first asks elsewhere") {
+// Guards against requests that queue for many seconds at some replicas while
+// others are idle. Entry nodes know the queues only from replies to their own
+// requests, which are outdated by the time of the next request.
+TEST_CASE("an owner with a long queue redirects the first attempts") {
     scheduler_fixture fixture;
     fixture.report({audit, labels});
     fixture.request_grant("a", audit);
     fixture.request_grant("b", audit);
 
-    SUBCASE("a short queue is waited for") {
+    SUBCASE("a request waits in a short queue") {
         fixture.request_grant("l", labels);
         CHECK(fixture.refused("l") == reason::none);
 
-        SUBCASE("a long one isn't") {
+        SUBCASE("a request is redirected from a long queue") {
             fixture.request_grant("m", labels);
             CHECK(fixture.refused("m") == reason::queue_full);
             auto const after =
@@ -174,7 +177,7 @@
             CHECK(after == milliseconds(0));
         }
 
-        SUBCASE("unless the request was sent on twice already") {
+        SUBCASE("a request that was redirected twice is queued") {
             fixture.request_grant(
                 "m", labels, urgency::normal, seconds(30), "n1",
                 beyond_redirects);
@@ -182,7 +185,7 @@
         }
     }
 
-    SUBCASE("an adapter in steady demand is sent to its copies sooner") {
+    SUBCASE("requests for an adapter in steady demand are redirected sooner") {
         for (int count = 0; count < 4; ++count) {
             std::string const name = "x" + std::to_string(count);
             fixture.request_grant(
@@ -196,14 +199,15 @@
     }
 }
 
-// A caller's answer comes twice, and a booking is made twice. An ask was sent
-// again after a lost connection, and the owner took it for a second request.
-TEST_CASE("a repeated ask earns no second grant") {
+// Guards against duplicate execution, such as a booking made twice: a grant
+// request is repeated after a lost connection, and the owner mistakes it for a
+// second request.
+TEST_CASE("a repeated grant request receives no second grant") {
     scheduler_fixture fixture;
     fixture.report({audit});
     fixture.request_grant("a", audit);
 
-    SUBCASE("one that was granted is answered with the same grant") {
+    SUBCASE("a granted request receives the same grant again") {
         fixture.advance(milliseconds(200));
         fixture.request_grant("a", audit);
         auto const grants = fixture.all<reply_grant>();
@@ -213,20 +217,20 @@
         CHECK(fixture.scheduler().feedback(audit, fixture.now()).running == 1);
     }
 
-    SUBCASE("past the grant's time nothing is answered") {
+    SUBCASE("after the grant has expired there is no answer") {
         fixture.advance(milliseconds(1'000));
         fixture.request_grant("a", audit);
         CHECK(fixture.all<reply_grant>().size() == 1);
     }
 
-    SUBCASE("one that waits goes on waiting, once") {
+    SUBCASE("a queued request stays in the queue once") {
         fixture.request_grant("b", audit);
         fixture.request_grant("c", audit);
         fixture.request_grant("c", audit);
         CHECK(fixture.scheduler().feedback(audit, fixture.now()).queued == 1);
     }
 
-    SUBCASE("a further attempt replaces the earlier one") {
+    SUBCASE("a further attempt replaces the earlier attempt") {
         fixture.request_grant(
             "a", audit, urgency::normal, seconds(30), "n1", 1);
         CHECK(fixture.last<reply_grant>().message.attempt == 1);
@@ -234,10 +238,10 @@
     }
 }
 
-// An engine runs fewer requests than it could, until the owner is replaced.
-// An entry node took its ask back just when the grant was on its way, and the
-// owner still counts the grant.
-TEST_CASE("a withdrawal that crosses the grant frees its place") {
+// Guards against a loss of batch capacity until the owner is replaced: an entry
+// node cancels its request while the grant is in transit, and the owner counts
+// the grant forever.
+TEST_CASE("a cancellation that crosses the grant frees its slot") {
     scheduler_fixture fixture;
     fixture.report({audit});
     fixture.request_grant("a", audit);
@@ -246,7 +250,7 @@
     fixture.cancel_request("a");
     CHECK(fixture.granted() == names{"a", "b", "c"});
 
-    SUBCASE("one that still waits is just gone") {
+    SUBCASE("a cancelled request is removed from the queue") {
         fixture.request_grant("d", audit);
         fixture.cancel_request("d");
         fixture.release("b");
--- a/test/scheduling_slots_test.cpp
+++ b/test/scheduling_slots_test.cpp
@@ -8,12 +8,12 @@
 adapter_ref const labels = adapter("labels");
 adapter_ref const licences = adapter("licences");
 
-/// Past the time in which a former owner's grants could still be sent.
+/// Longer than the time within which grants of a former owner can be used.
 constexpr milliseconds grants_expired{1'600};
 
 } // namespace
 
-TEST_CASE("an owner swaps adapters") {
+TEST_CASE("an owner evicts one adapter to load another") {
     scheduler_fixture fixture;
     fixture.advance(grants_expired);
     fixture.report({audit, labels});
@@ -22,13 +22,13 @@
     fixture.request_grant("l", labels);
     fixture.release("l");
 
-    SUBCASE("nothing is evicted before a load is allowed") {
+    SUBCASE("nothing is evicted before the load is permitted") {
         fixture.report({audit, labels}, {audit});
         fixture.request_grant("new", licences);
         CHECK(fixture.all<send_load_request>().size() == 1);
         CHECK(fixture.all<engine_order>().empty());
 
-        SUBCASE("then the idle adapter makes room, and the load follows") {
+        SUBCASE("then the idle adapter is evicted, and the load follows") {
             fixture.permit_load(licences);
             engine_order const evict = fixture.last<engine_order>();
             CHECK(evict.kind == engine_order_kind::evict);
@@ -42,9 +42,9 @@
             CHECK(fixture.last<send_load_result>().message.ok);
         }
 
-        // An adapter that was just evicted is granted again: an older report,
-        // which came late, still names it.
-        SUBCASE("a report from before the eviction doesn't bring it back") {
+        // Guards against a grant for an adapter that was just evicted, because
+        // an older report that arrives late still lists it.
+        SUBCASE("a report measured before the eviction does not restore it") {
             fixture.permit_load(licences);
             engine_order const evict = fixture.last<engine_order>();
             fixture.advance(milliseconds(40));
@@ -54,7 +54,7 @@
             CHECK(fixture.granted() == names{"a", "l"});
         }
 
-        SUBCASE("a second permission for it is given back") {
+        SUBCASE("a second permission for the adapter is returned") {
             fixture.permit_load(licences, 1);
             fixture.permit_load(licences, 2);
             load_result const returned =
@@ -63,25 +63,25 @@
             CHECK_FALSE(returned.started);
         }
 
-        // A caller's stream breaks off because its adapter vanished. The
-        // adapter was chosen for eviction while idle, and a request for it
-        // came before the eviction had taken place.
-        SUBCASE("a request that meets the eviction waits for it") {
+        // Guards against aborted streams: an idle adapter is chosen for
+        // eviction, and a request for it arrives before the eviction has taken
+        // effect.
+        SUBCASE("a request that arrives during the eviction waits for it") {
             fixture.permit_load(licences);
             engine_order const evict = fixture.last<engine_order>();
             fixture.request_grant("late", labels);
             CHECK(fixture.granted() == names{"a", "l"});
 
-            SUBCASE("and is granted when the engine refused to evict") {
+            SUBCASE("and is granted if the engine refuses to evict") {
                 fixture.complete_command(evict, order_result::refused_busy);
                 CHECK(fixture.granted().back() == "late");
             }
         }
     }
 
-    // As above, but the engine's report is older than the last grant's end: it
-    // can't tell whether the engine has finished.
-    SUBCASE("a report from before the last release confirms nothing") {
+    // As above, but the report was measured before the last grant ended, so it
+    // cannot show whether the engine has completed the request.
+    SUBCASE("a report measured before the last release proves nothing") {
         fixture.report({audit, labels}, {audit}, 1, milliseconds(10));
         fixture.request_grant("new", licences);
         CHECK(fixture.all<send_load_request>().empty());
@@ -91,8 +91,8 @@
         CHECK(fixture.all<send_load_request>().size() == 1);
     }
 
-    // Reports overtake each other on the way.
-    SUBCASE("an older report that comes later confirms nothing") {
+    // Reports can overtake each other in transit.
+    SUBCASE("an older report that arrives late proves nothing") {
         fixture.advance(milliseconds(100));
         fixture.report({audit, labels}, {audit, labels});
         fixture.report({audit, labels}, {audit}, 1, milliseconds(50));
@@ -100,7 +100,7 @@
         CHECK(fixture.all<send_load_request>().empty());
     }
 
-    SUBCASE("a permission that can't be used is given back") {
+    SUBCASE("a permission that cannot be used is returned") {
         fixture.report({audit, labels}, {audit});
         fixture.request_grant("new", licences);
         fixture.request_grant("again", labels);
@@ -110,9 +110,10 @@
         CHECK_FALSE(fixture.last<send_load_result>().message.started);
     }
 
-    // A request for a cold adapter waits until its caller gives up, while the
-    // engine is busy with others: adapters in steady use never get idle.
-    SUBCASE("one that waits too long takes a slot in use") {
+    // Guards against a request for an adapter that is not resident and waits
+    // until its deadline, because all resident adapters are in steady use and
+    // never become idle.
+    SUBCASE("a request that waits too long causes an adapter in use to drain") {
         fixture.request_grant("l2", labels);
         fixture.report({audit, labels}, {audit, labels});
         fixture.request_grant("new", licences);
@@ -130,9 +131,10 @@
     }
 }
 
-// A request waits for an adapter that never comes, or a second load of it is
-// paid for: the engine's answer to the order was lost on the way.
-TEST_CASE("a lost answer is settled by a later report") {
+// Guards against requests that wait for an adapter that is never loaded, and
+// against a second load of the same adapter: the engine's answer to a load
+// command is lost.
+TEST_CASE("a later report resolves a lost command result") {
     scheduler_fixture fixture;
     fixture.report({});
     fixture.request_grant("a", audit);
@@ -141,18 +143,18 @@
     fixture.complete_command(load, order_result::lost);
     fixture.advance(milliseconds(100));
 
-    SUBCASE("the load had taken effect") {
+    SUBCASE("the load has succeeded") {
         fixture.report({audit});
         CHECK(fixture.granted() == names{"a"});
         CHECK(fixture.last<send_load_result>().message.ok);
         CHECK(fixture.commands(engine_order_kind::load).size() == 1);
     }
 
-    SUBCASE("while it may still come, it is not ordered again") {
+    SUBCASE("the load command is not repeated while it may still arrive") {
         fixture.report({});
         CHECK(fixture.all<send_load_request>().size() == 1);
 
-        SUBCASE("afterwards it is") {
+        SUBCASE("the load is requested again afterwards") {
             fixture.advance(milliseconds(15'100));
             fixture.clear_actions();
             fixture.report({});
@@ -160,15 +162,15 @@
         }
     }
 
-    SUBCASE("a report from before the loss settles nothing") {
+    SUBCASE("a report measured before the loss resolves nothing") {
         fixture.report({audit}, {}, 1, milliseconds(200));
         CHECK(fixture.granted().empty());
     }
 }
 
-// A caller's stream breaks off: an eviction whose answer was lost was given up,
-// its adapter granted again, and then the order arrived after all.
-TEST_CASE("a lost eviction blocks its adapter until it can't arrive") {
+// Guards against aborted streams: the result of an evict command is lost, the
+// adapter is granted again, and the command reaches the engine afterwards.
+TEST_CASE("a lost evict command blocks its adapter until it has expired") {
     scheduler_fixture fixture;
     fixture.advance(grants_expired);
     fixture.report({audit, labels});
@@ -182,13 +184,13 @@
     fixture.report({audit, labels});
     CHECK(fixture.granted().empty());
 
-    SUBCASE("it is granted once the order's time is over") {
+    SUBCASE("the adapter is granted once the command has expired") {
         fixture.advance(milliseconds(600));
         fixture.report({audit, labels});
         CHECK(fixture.granted() == names{"a"});
     }
 
-    SUBCASE("its slot is free when it had taken effect") {
+    SUBCASE("the slot is free if the eviction has taken effect") {
         fixture.report({labels});
         fixture.advance(milliseconds(20));
         CHECK(fixture.scheduler().feedback(audit, fixture.now()).queued == 2);
@@ -198,9 +200,9 @@
     }
 }
 
-// As above: a report that was taken before the eviction was ordered must not
-// free the slot, or a further load finds none.
-TEST_CASE("a report from before a lost eviction settles nothing") {
+// As above: a report measured before the evict command was sent must not free
+// the slot, or the load that follows finds no free slot.
+TEST_CASE("a report measured before a lost eviction resolves nothing") {
     scheduler_fixture fixture;
     fixture.advance(grants_expired);
     fixture.report({audit, labels});
@@ -217,9 +219,10 @@
     CHECK(fixture.commands(engine_order_kind::load).size() == 1);
 }
 
-// All requests of one adapter wait until their deadlines, though another
-// replica could have served them: its load fails on this one again and again.
-TEST_CASE("a load that fails is tried again, and then elsewhere") {
+// Guards against requests that wait until their deadlines for an adapter that
+// repeatedly fails to load at this replica, although another replica could
+// serve them.
+TEST_CASE("a failed load is retried, and then requests are refused") {
     scheduler_fixture fixture;
     fixture.report({});
     fixture.request_grant("a", audit);
@@ -229,14 +232,14 @@
     CHECK_FALSE(fixture.last<send_load_result>().message.ok);
     CHECK(fixture.refused("a") == reason::none);
 
-    SUBCASE("not before its backoff has passed") {
+    SUBCASE("no retry before the backoff has passed") {
         fixture.clear_actions();
         fixture.advance(milliseconds(240));
         CHECK(fixture.all<send_load_request>().empty());
         fixture.advance(milliseconds(300));
         CHECK_FALSE(fixture.all<send_load_request>().empty());
 
-        SUBCASE("after the second failure waiting requests go elsewhere") {
+        SUBCASE("after the second failure queued requests are refused") {
             fixture.permit_load(audit, 2);
             fixture.complete_command(
                 fixture.last<engine_order>(), order_result::failed);
@@ -250,9 +253,9 @@
     }
 }
 
-// For minutes after an engine's restart its requests are refused or stall: the
-// owner believes that the engine still holds what it held.
-TEST_CASE("an engine that restarted is taken as empty") {
+// Guards against minutes of refused or delayed requests after a restart of the
+// engine, because the owner assumes that the adapters are still resident.
+TEST_CASE("a restarted engine is treated as empty") {
     scheduler_fixture fixture;
     fixture.report({audit, labels});
     fixture.request_grant("a", audit);
@@ -263,7 +266,7 @@
     CHECK(fixture.granted().empty());
     CHECK(fixture.last<send_load_request>().message.waiting == 1);
 
-    SUBCASE("what it held is wanted again ahead of demand") {
+    SUBCASE("adapters that were resident are prefetched") {
         names prefetched;
         fixture.advance(milliseconds(600));
         for (send_load_request const& each : fixture.all<send_load_request>()) {
@@ -272,15 +275,16 @@
         CHECK(std::ranges::count(prefetched, "labels") > 0);
     }
 
-    SUBCASE("a report of the earlier run that comes late is skipped") {
+    SUBCASE("a late report of the earlier incarnation is ignored") {
         fixture.report({audit, labels}, {}, 1);
         CHECK(fixture.granted().empty());
     }
 }
 
-// Right after a new version is published every caller of it stalls, or those
-// admitted before it find their version gone.
-TEST_CASE("a new version is warmed before the old one is let go") {
+// Guards against two failures after a new version is published: all its callers
+// wait for the load, or requests that were admitted before find their version
+// evicted.
+TEST_CASE("a new version is loaded before the old one is evicted") {
     scheduler_fixture fixture;
     fixture.advance(grants_expired);
     adapter_ref const next = adapter("audit", 2);
@@ -288,7 +292,7 @@
     fixture.request_grant("l", labels);
     fixture.release("l");
     fixture.report({audit, labels});
-    // Without the rollout the old version is in the least demand.
+    // Without the rollout the old version would have the lowest demand.
     fixture.request_grant("a", audit);
     fixture.release("a");
     fixture.request_grant("l2", labels);
@@ -305,12 +309,12 @@
     fixture.complete_command(evict, order_result::done);
     fixture.complete_command(fixture.last<engine_order>(), order_result::done);
 
-    SUBCASE("both serve their requests meanwhile") {
+    SUBCASE("both versions serve their requests in the meantime") {
         fixture.request_grant("old", audit);
         CHECK(fixture.granted() == names{"new", "old"});
     }
 
-    SUBCASE("then the old one goes first") {
+    SUBCASE("then the old version is evicted first") {
         fixture.release("new");
         fixture.report({audit, next});
         fixture.request_grant("l3", labels);
