--- a/src/Loading/load_messages.hpp
+++ b/src/Loading/load_messages.hpp
@@ -8,41 +8,43 @@
 
 namespace camphorpoint {
 
-/// Replica's owner to weight store's owner: this replica wants an adapter.
-/// Sent again while the want lasts, so that a store's new owner learns of it
-/// and one whose replica fell silent is forgotten.
+/// Owner of a replica to owner of a weight store: requests permission to load
+/// an adapter. The message is repeated while the load is needed, so that a new
+/// owner of the store learns of the load request, and so that the store's owner
+/// can drop the load requests of replicas that no longer repeat them.
 struct load_request {
     endpoint_id replica;
     adapter_ref adapter;
-    /// The most urgent class that waits.
+    /// Most urgent class of the waiting requests.
     urgency how_urgent = urgency::normal;
-    /// Requests that wait; 0 for a load ahead of demand.
+    /// Number of waiting requests; 0 for a prefetch.
     std::uint32_t waiting = 0;
     std::chrono::milliseconds oldest_wait{};
-    /// Requests a second that the replica expects for the adapter.
+    /// Demand that the replica expects for the adapter, in requests per second.
     double expected_demand = 0;
 
-    /// @returns true when nobody waits yet
+    /// @returns true if no request waits for the adapter yet
     bool is_prefetch() const noexcept { return waiting == 0; }
 
     template <class Archive>
     void serialize(Archive& archive);
 };
 
-/// Weight store's owner to replica's owner: the load may start.
+/// Owner of the weight store to owner of the replica: the load may start.
 struct load_allowed {
     endpoint_id replica;
     adapter_ref adapter;
-    /// The permission's number, unique within one ownership of the store.
+    /// Number of the permission, unique within one ownership of the store.
     std::uint64_t permission = 0;
-    /// The load must have started within this time of the receipt.
+    /// The load must start within this time after receipt of the message.
     std::chrono::milliseconds valid_for{};
 
     template <class Archive>
     void serialize(Archive& archive);
 };
 
-/// Weight store's owner to replica's owner: not now.
+/// Owner of the weight store to owner of the replica: the load is not permitted
+/// now.
 struct load_denied {
     endpoint_id replica;
     adapter_ref adapter;
@@ -52,22 +54,24 @@
     void serialize(Archive& archive);
 };
 
-/// Replica's owner to weight store's owner: a permission is used up.
+/// Owner of the replica to owner of the weight store: the result of a permitted
+/// load, which releases the permission.
 struct load_result {
     endpoint_id replica;
     adapter_ref adapter;
     std::uint64_t permission = 0;
-    /// False when the permission went back unused.
+    /// False if the permission is returned unused.
     bool started = true;
     bool ok = false;
-    /// From the order to its answer.
+    /// Time from the load command to its result.
     std::chrono::milliseconds took{};
 
     template <class Archive>
     void serialize(Archive& archive);
 };
 
-/// Replica's owner to weight store's owner: the want is gone.
+/// Owner of the replica to owner of the weight store: the load is no longer
+/// needed.
 struct load_cancelled {
     endpoint_id replica;
     adapter_ref adapter;
--- a/src/Loading/store_budget.cpp
+++ b/src/Loading/store_budget.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-/// How much a waiting request of each class counts.
+/// Weight of one waiting request, by urgency class.
 constexpr std::array<double, urgency_count> class_weight{8, 4, 2, 1};
-/// Loads that take this many times as long as usual mean a slow store.
+/// Loads that take more than this many times the baseline load time indicate a
+/// slow store.
 constexpr int slow_load_factor = 3;
 
 double seconds(duration span) {
@@ -26,8 +27,8 @@
 
 store_budget::store_budget(store_limits const& limits)
     : limits_(limits) {
-    assert(limits.loads_per_second > 0 && "a store without loads has no owner");
-    assert(limits.concurrency > 0 && "a store must serve one load at a time");
+    assert(limits.loads_per_second > 0 && "loads_per_second must be positive");
+    assert(limits.concurrency > 0 && "concurrency must be positive");
 }
 
 std::size_t store_budget::starts_in_window() const {
@@ -36,10 +37,11 @@
 }
 
 duration store_budget::window() const {
-    // A permission may lie unused for valid_for, so that starts which were
-    // allowed in one second could crowd into a shorter one at the store. The
-    // store counts what it sees; what one window allows is never more than
-    // its rate, and permissions are used at once in the usual case.
+    // A permission may stay unused for `valid_for`, so starts that were
+    // permitted within one window could reach the store within a shorter time.
+    // This is accepted: the store counts the loads that reach it, one window
+    // never permits more than the store's rate, and permissions are normally
+    // used at once.
     double const length =
         static_cast<double>(starts_in_window()) / limits_.loads_per_second;
     return std::chrono::duration_cast<duration>(
@@ -53,9 +55,9 @@
     fencing_ = fencing;
     not_after_ = not_after;
     if (taken_over) {
-        // The former owner may have dealt out the whole window just before its
-        // authority ended; without this pause both owners' loads would meet at
-        // the store, which then slows down for all.
+        // The former owner may have permitted the loads of a complete window
+        // just before its authority ended. Without this delay the loads of both
+        // owners would reach the store together and slow it down for all.
         starts_.assign(starts_in_window(), now);
         running_.clear();
     }
@@ -92,10 +94,10 @@
     if (given == running_.end()) {
         return false;
     }
-    // A repeated ask that crossed its permission on the way would earn a
-    // second load of the same adapter. A replica that holds a permission does
-    // not ask, so an ask that comes later means that the word of the load's
-    // end was lost.
+    // The repeated request may have crossed its permission in transit, and a
+    // further permission would load the same adapter twice. A replica that
+    // holds a permission sends no requests, so a later request means that the
+    // message with the load's result was lost.
     if (now - given->second.given < limits_.valid_for) {
         return true;
     }
@@ -127,14 +129,15 @@
         known != running_.end() &&
         known->second.key == load_key{message.replica, message.adapter};
     if (!matches) {
-        // A late word on a former owner's permission, or one that was given
-        // up: nothing to free.
+        // The permission was given by a former owner, or it has expired: there
+        // is nothing to release.
         return;
     }
     instant const given = known->second.given;
     running_.erase(known);
     if (!message.started) {
-        // The store never saw it: the second has room for another.
+        // The load never reached the store, so its start does not count towards
+        // the rate.
         auto const start = std::ranges::find(starts_, given);
         if (start != starts_.end()) {
             starts_.erase(start);
@@ -158,8 +161,8 @@
     duration const took = message.took;
     bool const first = baseline_load_time_ == duration{};
     recent_load_time_ = first ? took : move_average(recent_load_time_, took);
-    // The usual time follows the fast loads at once and slow ones hardly, so
-    // that a slow spell doesn't become the measure of itself.
+    // The baseline follows faster loads at once and slower loads hardly at all,
+    // so that a period of slow loads does not become the new baseline.
     constexpr int baseline_drift = 64;
     baseline_load_time_ =
         first || took < baseline_load_time_
@@ -169,7 +172,7 @@
 }
 
 void store_budget::record_failure(load_result const& message, instant now) {
-    // One adapter that always fails says nothing about the store.
+    // Repeated failures of one adapter give no evidence about the store.
     if (message.adapter.id == last_failed_ && !down()) {
         return;
     }
@@ -195,8 +198,9 @@
 }
 
 void store_budget::drop_expired(instant now) {
-    // A replica whose owner died asks no more: its wants would take loads that
-    // nobody carries out, and its permissions would block the store for good.
+    // A replica whose owner crashed repeats no requests. Its pending requests
+    // would receive permissions that are never used, and its permissions would
+    // block the store forever.
     std::erase_if(requests_, [&](auto const& each) {
         return now - each.second.last_received > limits_.request_lifetime;
     });
@@ -214,8 +218,9 @@
 }
 
 bool store_budget::may_start(instant now) const {
-    // The deadline is checked with each permission: a paused owner wakes up
-    // in the middle of its work and still believes that it owns the store.
+    // The end of the authority is checked before each permission, since an
+    // owner that was paused may resume at any point without noticing that its
+    // authority has expired.
     bool const authorized = owned_ && now < not_after_;
     std::size_t const max_running = down() ? 1 : limits_.concurrency;
     return authorized && now >= paused_until_ &&
--- a/src/Loading/store_budget.hpp
+++ b/src/Loading/store_budget.hpp
@@ -14,40 +14,41 @@
 
 namespace camphorpoint {
 
-/// Tell a replica's owner that its load may start.
+/// Sends a replica's owner the permission to start its load.
 struct send_load_allowed {
     node_id to;
     load_allowed message;
 };
 
-/// Tell a replica's owner to come back later.
+/// Notifies a replica's owner that the store permits no loads for a while.
 struct send_load_denied {
     node_id to;
     load_denied message;
 };
 
-/// What a store_budget asks for.
+/// An action that a store_budget requests from its environment.
 using budget_action =
     std::variant<send_load_allowed, send_load_denied, log_event>;
 
-/// Decides who loads next from one weight store. Runs at the store's owner;
-/// with fallback_limits() limits also at each node that reaches no owner.
+/// Decides which replica may load next from one weight store. Runs at the owner
+/// of the store; a node that cannot reach the owner uses a store_budget of its
+/// own, with the limits from fallback_limits().
 ///
-/// Loads start at most `loads_per_second` times in any second and at most
-/// `concurrency` run at once. Among the wants the one with the largest weighted
-/// wait goes first: all loads last about as long, so that serving the largest
-/// weight first gives the least weighted waiting time in all.
+/// At most `loads_per_second` loads start in any second, and at most
+/// `concurrency` loads run at the same time. The pending request with the
+/// largest weight goes first. All loads take about the same time, so serving
+/// the largest weight first minimizes the total weighted waiting time.
 /// Reference: W. E. Smith, "Various optimizers for single-stage production",
 /// Naval Research Logistics Quarterly 3, 1956.
 class store_budget {
 public:
     explicit store_budget(store_limits const& limits);
 
-    /// The store is owned from now until `not_after`. Under a new fencing
-    /// number the last second counts as fully used, since the former owner may
-    /// have dealt it out.
+    /// This node owns the store until `not_after`. With a new fencing number
+    /// the last second counts as fully used, since the former owner may have
+    /// permitted loads in it.
     void on_authority(log_offset fencing, instant not_after, instant now);
-    /// A newer claim was seen: nothing more is allowed.
+    /// A newer claim of the store was seen: no further loads are permitted.
     void on_authority_lost(instant now);
     void on_load_request(
         node_id const& from, load_request const& request, instant now);
@@ -55,17 +56,19 @@
         node_id const& from, load_cancelled const& message, instant now);
     void on_load_result(
         node_id const& from, load_result const& message, instant now);
-    /// Time has passed. Permissions are given here and with each other event.
+    /// Removes expired entries and permits loads. Loads are permitted after
+    /// every other event too.
     void on_tick(instant now);
 
-    /// @returns what is to be done, in order; the list is empty afterwards
+    /// Removes and returns the pending actions.
+    /// @returns the actions to execute, in order
     std::vector<budget_action> take_actions();
 
-    /// @returns how many wants wait
+    /// @returns the number of pending load requests
     std::size_t waiting() const noexcept { return requests_.size(); }
-    /// @returns how many permissions are in use
+    /// @returns the number of permissions in use
     std::size_t running() const noexcept { return running_.size(); }
-    /// @returns true while failures say that the store is down
+    /// @returns true while consecutive failures indicate that the store is down
     bool down() const noexcept {
         return failures_ >= limits_.failures_when_down;
     }
@@ -110,13 +113,13 @@
     bool owned_ = false;
     request_map requests_;
     std::map<std::uint64_t, permission> running_;
-    /// Starts of the last window, oldest first.
+    /// Start times of the loads in the last window, oldest first.
     std::deque<instant> starts_;
     std::uint64_t next_permission_ = 1;
     std::uint32_t failures_ = 0;
     adapter_id last_failed_;
     instant paused_until_;
-    /// Measured load times: the usual one, and the one of late.
+    /// Baseline and recent average of the measured load times.
     duration baseline_load_time_{};
     duration recent_load_time_{};
     std::vector<budget_action> actions_;
--- a/src/Loading/store_limits.hpp
+++ b/src/Loading/store_limits.hpp
@@ -6,38 +6,41 @@
 
 namespace camphorpoint {
 
-/// What a weight store bears, and how its owner deals it out.
+/// Capacity of a weight store and the rules for sharing it among replicas.
 struct store_limits {
-    /// Loads that may start in a second.
+    /// Maximum number of loads that start per second.
     double loads_per_second = 5;
-    /// Loads that the store serves at once at full speed.
+    /// Number of concurrent loads that the store serves at full speed.
     std::uint32_t concurrency = 2;
-    /// How long a permission may lie unused at the replica's owner.
+    /// Time for which a permission may stay unused at the replica's owner.
     std::chrono::milliseconds valid_for{500};
-    /// A want that is not repeated within this time is forgotten.
+    /// A load request that is not repeated within this time is dropped.
     std::chrono::milliseconds request_lifetime{2'000};
-    /// A permission of which nothing more is heard counts as running this long.
+    /// A permission without a reported result counts as in use for this long.
     std::chrono::milliseconds longest_load{20'000};
-    /// A wait of this length doubles a want's weight.
+    /// A wait of this length doubles the weight of a load request.
     std::chrono::milliseconds aging{1'000};
-    /// How far ahead expected demand counts as if it waited already.
+    /// Expected demand within this time counts like requests that already wait.
     std::chrono::milliseconds demand_horizon{500};
-    /// Share of the rate that loads ahead of demand may take.
+    /// Fraction of the rate that prefetches may use.
     double prefetch_fraction = 0.5;
-    /// First and longest pause after loads of several adapters failed in a row.
+    /// Initial and maximum pause of all loads after loads of several adapters
+    /// failed consecutively.
     std::chrono::milliseconds first_pause{500};
     std::chrono::milliseconds longest_pause{10'000};
-    /// Failures in a row, of different adapters, that mean the store is down.
+    /// Number of consecutive failures, of different adapters, after which the
+    /// store counts as down.
     std::uint32_t failures_when_down = 3;
 };
 
-/// What one node may load by itself while the store's owner is out of reach:
-/// an equal share of the rate, one load at a time.
-/// All nodes together then never start more loads a second than the store
-/// allows; they may have more at once, at most one each.
-/// @param nodes how many nodes share the store; 0 counts as 1
-/// @param whole the store's limits
-/// @returns limits for a store_budget of the node's own
+/// Limits for the loads of one node while the owner of the store is
+/// unreachable: an equal part of the rate, and one load at a time. Together the
+/// nodes never start more loads per second than the store permits; but each
+/// node may run one load, so that more loads than `concurrency` may run at the
+/// same time.
+/// @param nodes number of nodes that share the store; 0 counts as 1
+/// @param total limits of the store
+/// @returns limits for the node's own store_budget
 store_limits fallback_limits(std::size_t nodes, store_limits const& total);
 
 } // namespace camphorpoint
--- a/test/loading_budget_test.cpp
+++ b/test/loading_budget_test.cpp
@@ -11,7 +11,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A weight store's budget, its loads played by the test.
+/// The budget of a weight store in virtual time. The test plays the owners of
+/// the replicas and their loads.
 class budget_fixture {
 public:
     explicit budget_fixture(store_limits const& limits = {})
@@ -52,7 +53,7 @@
         budget_.on_load_result(node_id("n1"), message, now_);
         collect();
     }
-    /// @returns the adapters whose loads were allowed, in order
+    /// @returns the adapters whose loads were permitted, in order
     std::vector<std::string> allowed() const {
         std::vector<std::string> names;
         for (load_allowed const& each : allowed_) {
@@ -84,20 +85,20 @@
 
 } // namespace
 
-TEST_CASE("a weight store's owner deals out loads") {
+TEST_CASE("the owner of a weight store permits loads") {
     budget_fixture fixture;
     fixture.request_load("a");
     fixture.request_load("b");
     CHECK(fixture.allowed() == names{"a", "b"});
 
-    SUBCASE("no more at once than the store serves at full speed") {
+    SUBCASE("no more concurrent loads than the store serves at full speed") {
         fixture.request_load("c");
         CHECK(fixture.allowed().size() == 2);
         fixture.report_result(0, true);
         CHECK(fixture.allowed() == names{"a", "b", "c"});
     }
 
-    SUBCASE("no more in a second than the store allows") {
+    SUBCASE("no more loads per second than the store permits") {
         for (std::size_t count = 0; count < 9; ++count) {
             fixture.request_load("x" + std::to_string(count));
             fixture.report_result(count, true);
@@ -115,28 +116,28 @@
         CHECK(fixture.allowed().back() == "more");
     }
 
-    SUBCASE("the most waiting goes first") {
+    SUBCASE("the adapter with the most waiting requests goes first") {
         fixture.request_load("few", 2);
         fixture.request_load("many", 5);
         fixture.report_result(0, true);
         CHECK(fixture.allowed().back() == "many");
     }
 
-    SUBCASE("urgent work counts for more") {
+    SUBCASE("urgent requests have a larger weight") {
         fixture.request_load("many", 3);
         fixture.request_load("urgent", 1, urgency::immediate);
         fixture.report_result(0, true);
         CHECK(fixture.allowed().back() == "urgent");
     }
 
-    SUBCASE("a long wait counts for more than many") {
+    SUBCASE("a long wait outweighs several requests") {
         fixture.request_load("old", 1, urgency::normal, milliseconds(4'000));
         fixture.request_load("many", 3);
         fixture.report_result(0, true);
         CHECK(fixture.allowed().back() == "old");
     }
 
-    SUBCASE("nothing ahead of demand while others load") {
+    SUBCASE("no prefetch while other loads run") {
         fixture.request_load("ahead", 0);
         fixture.report_result(0, true);
         CHECK(fixture.allowed().size() == 2);
@@ -145,8 +146,9 @@
         CHECK(fixture.allowed().back() == "ahead");
     }
 
-    // A replica's owner asks again while the permission is on its way to it.
-    SUBCASE("an ask that crosses its permission earns no second load") {
+    // The owner of a replica repeats its request while the permission is in
+    // transit.
+    SUBCASE("a request that crosses its permission gets no second load") {
         fixture.report_result(1, true);
         fixture.request_load("a", 3);
         CHECK(fixture.allowed() == names{"a", "b"});
@@ -154,7 +156,7 @@
         CHECK(fixture.allowed() == names{"a", "b"});
     }
 
-    SUBCASE("a permission that was given back doesn't use up the rate") {
+    SUBCASE("a returned permission does not count towards the rate") {
         fixture.report_result(0, false, milliseconds(0), false);
         fixture.report_result(1, false, milliseconds(0), false);
         for (std::size_t count = 0; count < 5; ++count) {
@@ -165,9 +167,10 @@
     }
 }
 
-// The store is never asked for anything again, or loads that nobody carries
-// out use it up: the replica's owner died with its permission.
-TEST_CASE("what falls silent is forgotten") {
+// Guards against a blocked store, and against permissions that are never used:
+// the owner of a replica crashes while it holds a permission or has pending
+// requests.
+TEST_CASE("requests and permissions that are not renewed expire") {
     budget_fixture fixture;
     fixture.request_load("a");
     fixture.request_load("b");
@@ -178,9 +181,10 @@
     CHECK(fixture.budget().running() == 0);
 }
 
-// For minutes after the store comes back it is swamped by everyone's retries,
-// or, while it is down, engines hold slots for loads that can't end.
-TEST_CASE("a store that is down is tried with one load at a time") {
+// Guards against an overload of the store by retries for minutes after its
+// recovery, and against slots that are blocked by loads that cannot complete
+// while it is down.
+TEST_CASE("a store that is down receives one load at a time") {
     budget_fixture fixture;
     fixture.request_load("a");
     fixture.request_load("b");
@@ -193,7 +197,7 @@
     CHECK(fixture.budget().down());
     fixture.report_result(3, false);
 
-    SUBCASE("nothing is allowed during the pause, and askers are told") {
+    SUBCASE("loads are denied during the pause") {
         std::size_t const before = fixture.allowed().size();
         fixture.request_load("d");
         CHECK(fixture.denied().back().retry_after > milliseconds(0));
@@ -202,12 +206,12 @@
         fixture.advance(milliseconds(20));
         CHECK(fixture.allowed().size() == before + 1);
 
-        SUBCASE("a load that works ends it") {
+        SUBCASE("a successful load ends the pause") {
             fixture.report_result(before, true);
             CHECK_FALSE(fixture.budget().down());
         }
 
-        SUBCASE("one that fails doubles it") {
+        SUBCASE("a failed load doubles the pause") {
             fixture.report_result(before, false);
             fixture.request_load("e");
             CHECK(fixture.denied().back().retry_after == milliseconds(2'000));
@@ -215,8 +219,9 @@
     }
 }
 
-// One broken adapter stops all loads: its failures are taken for the store's.
-TEST_CASE("one adapter's failures don't mean that the store is down") {
+// Guards against one broken adapter that stops all loads because its failures
+// are attributed to the store.
+TEST_CASE("failures of one adapter do not mean that the store is down") {
     budget_fixture fixture;
     for (std::size_t count = 0; count < 5; ++count) {
         fixture.request_load("broken");
@@ -225,9 +230,10 @@
     CHECK_FALSE(fixture.budget().down());
 }
 
-// Two owners of one store: the old one was paused and wakes up, or its claim
-// was followed by another. Loads beyond the rate slow down all of them.
-TEST_CASE("an owner of the store deals out only what is its own") {
+// Guards against two owners of one store that together exceed its rate, which
+// slows down all loads. The cause is an owner that was paused and resumes, or a
+// claim that was followed by another claim.
+TEST_CASE("an owner of the store stays within its authority") {
     store_limits const limits;
     store_budget budget(limits);
     instant const now = instant{} + std::chrono::hours(1);
@@ -237,7 +243,7 @@
     budget.on_load_request(node_id("n1"), message, now);
     CHECK(budget.running() == 0);
 
-    SUBCASE("a new owner leaves out the second that the old one dealt out") {
+    SUBCASE("a new owner skips the second that the old owner may have used") {
         budget.on_authority(log_offset{4}, now + seconds(9), now);
         CHECK(budget.running() == 0);
         budget.on_tick(now + milliseconds(999));
@@ -246,14 +252,14 @@
         CHECK(budget.running() == 1);
     }
 
-    SUBCASE("a paused owner deals out nothing past its authority") {
+    SUBCASE("a paused owner permits nothing after its authority has ended") {
         budget.on_authority(log_offset{4}, now + milliseconds(500), now);
         budget.on_tick(now + milliseconds(1'200));
         CHECK(budget.running() == 0);
     }
 }
 
-TEST_CASE("without an owner the nodes share the rate") {
+TEST_CASE("without a reachable owner the nodes share the rate") {
     store_limits const total;
     store_limits const per_node = fallback_limits(9, total);
     CHECK(per_node.loads_per_second * 9 == doctest::Approx(5));
