--- a/src/Scheduling/time_estimates.hpp
+++ b/src/Scheduling/time_estimates.hpp
@@ -10,7 +10,8 @@
 
 namespace camphorpoint::internal {
 
-/// How long things take on one replica: assumed at first, then measured.
+/// Estimated durations on one replica: initial values from the settings, then
+/// moving averages of measurements.
 class time_estimates {
 public:
     explicit time_estimates(scheduler_settings const& settings)
@@ -19,40 +20,44 @@
         , load_(settings.load_time)
         , stall_(settings.load_time) {}
 
-    /// A request ran this long and answered so many tokens.
-    void note_service(duration took, std::uint32_t tokens) {
+    /// Records the running time of a request and the number of tokens in its
+    /// answer.
+    void record_service_time(duration took, std::uint32_t tokens) {
         service_ = move_average(service_, took);
         if (tokens > 0) {
             token_ = move_average(token_, took / tokens);
         }
     }
-    /// A load's order took this long.
-    void note_load(duration took) { load_ = move_average(load_, took); }
-    /// An adapter's first request waited this long for it.
-    void note_stall(duration waited, instant now) {
+    /// Records the time from a load command to its result.
+    void record_load_time(duration took) { load_ = move_average(load_, took); }
+    /// Records how long the first request for an adapter waited until the
+    /// adapter was resident.
+    void record_stall(duration waited, instant now) {
         stall_ = move_average(stall(now), waited);
-        stalled_ = now;
+        last_stall_ = now;
     }
 
-    /// @param tokens expected; 0 when unknown
-    /// @returns how long a request runs
+    /// @param tokens expected number of tokens; 0 if unknown
+    /// @returns the expected running time of a request
     duration service(std::uint32_t tokens) const {
         return tokens == 0 ? service_ : token_ * tokens;
     }
-    /// @returns how long a request of which nothing is known runs
+    /// @returns the expected running time of a request of unknown size
     duration service() const { return service_; }
-    /// @returns how long a load's order takes
+    /// @returns the expected time from a load command to its result
     duration load() const { return load_; }
-    /// @returns how long a request waits for a load, the store's queue
-    /// included; a long wait of the past is forgotten by and by
+    /// @returns how long a request is expected to wait for a load, including
+    ///   the wait for the weight store's permission; the influence of long
+    ///   waits in the past decays exponentially
     duration stall(instant now) const {
         constexpr std::chrono::seconds half_life{5};
         double const passed =
-            std::chrono::duration<double>(now - stalled_) / half_life;
-        double const left = std::exp2(-std::max(0.0, passed));
-        duration const beyond = std::max(duration{}, stall_ - load_);
-        double const kept = left * static_cast<double>(beyond.count());
-        return load_ + duration(static_cast<duration::rep>(kept));
+            std::chrono::duration<double>(now - last_stall_) / half_life;
+        double const remaining_fraction = std::exp2(-std::max(0.0, passed));
+        duration const excess = std::max(duration{}, stall_ - load_);
+        double const remaining_excess =
+            remaining_fraction * static_cast<double>(excess.count());
+        return load_ + duration(static_cast<duration::rep>(remaining_excess));
     }
 
 private:
@@ -60,7 +65,7 @@
     duration service_;
     duration load_;
     duration stall_;
-    instant stalled_;
+    instant last_stall_;
 };
 
 } // namespace camphorpoint::internal
