--- a/src/Gateway/declaration_follower.hpp
+++ b/src/Gateway/declaration_follower.hpp
@@ -26,14 +26,14 @@
     /// @param changed called when routes or versions have changed
     declaration_follower(
         gateway_state& state, platform::store_client& store,
-        store_monitor& watch, std::function<void()> changed);
+        store_monitor& monitor, std::function<void()> changed);
 
     /// Begins to follow.
     void start();
     /// Ends at the next answer.
     void stop();
     /// Another node has read so far, and knows so much.
-    void handle_peer_progress(store_position place, std::uint64_t total);
+    void handle_peer_progress(store_position position, std::uint64_t total);
     /// The store has come back from an older copy: everything is read anew.
     void on_store_rollback(store_epoch epoch, instant read_at);
     /// The store answers again: a wait from before may never end.
@@ -41,31 +41,31 @@
 
 private:
     boost::asio::awaitable<void> follow();
-    boost::asio::awaitable<void> read(declaration_poll asked);
+    boost::asio::awaitable<void> poll(declaration_poll request);
     boost::asio::awaitable<platform::store_result<platform::keyed_batch>>
-    ask(declaration_poll const& asked);
-    boost::asio::awaitable<void> end_useless_wait();
+    fetch_batch(declaration_poll const& request);
+    boost::asio::awaitable<void> cancel_stalled_long_poll();
     /// @returns false when it was ended early, as another reading is due
-    boost::asio::awaitable<bool> pause(std::chrono::milliseconds time);
-    std::chrono::milliseconds longest_wait() const;
-    void look_again();
-    void
-    take_all(platform::keyed_batch const& batch, declaration_poll const& asked);
-    bool take_configuration(std::string const& text);
-    void take_version(std::string const& text, duration grace);
+    boost::asio::awaitable<bool> wait_for(std::chrono::milliseconds time);
+    std::chrono::milliseconds long_poll_time() const;
+    void schedule_long_poll_check();
+    void apply_batch(
+        platform::keyed_batch const& batch, declaration_poll const& request);
+    bool apply_configuration(std::string const& text);
+    void apply_version(std::string const& text, duration grace);
 
     gateway_state* state_;
     platform::store_client* store_;
     store_monitor* monitor_;
-    std::function<void()> changed_;
-    declaration_poll_schedule plan_;
+    std::function<void()> on_change_;
+    declaration_poll_schedule schedule_;
     platform::store_reading reading_;
-    boost::asio::steady_timer pause_timer_;
+    boost::asio::steady_timer delay_timer_;
     /// Set while a reading, and while a wait, goes on.
-    bool reading_now_ = false;
-    bool waiting_ = false;
-    instant reading_began_;
-    bool looking_ = false;
+    bool poll_in_progress_ = false;
+    bool long_polling_ = false;
+    instant poll_started_at_;
+    bool check_scheduled_ = false;
     // Shared with the coroutines, which end after it has turned false.
     std::shared_ptr<bool> running_ = std::make_shared<bool>(true);
 };
--- a/src/Gateway/peer_datagram.hpp
+++ b/src/Gateway/peer_datagram.hpp
@@ -22,16 +22,17 @@
     std::string adapter;
     std::uint32_t version = 0;
     /// For whom, as a number of `load_priority`.
-    std::uint8_t kind = 0;
+    std::uint8_t priority = 0;
     /// It is the first that is said of a request to this replica: it can be
     /// turned away.
     bool first_request = false;
     /// The request may wait for so long.
-    std::uint32_t patience_ms = 0;
+    std::uint32_t wait_budget_ms = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(replica, adapter, version, kind, first_request, patience_ms);
+        archive(
+            replica, adapter, version, priority, first_request, wait_budget_ms);
     }
 };
 
@@ -55,11 +56,11 @@
     std::uint64_t replica = 0;
     std::string adapter;
     std::uint32_t version = 0;
-    bool held = false;
+    bool resident = false;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(replica, adapter, version, held);
+        archive(replica, adapter, version, resident);
     }
 };
 
@@ -91,11 +92,11 @@
     std::uint64_t replica = 0;
     std::string adapter;
     /// How long it would take.
-    std::uint32_t wait_ms = 0;
+    std::uint32_t expected_wait_ms = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(replica, adapter, wait_ms);
+        archive(replica, adapter, expected_wait_ms);
     }
 };
 
@@ -105,11 +106,11 @@
     std::uint64_t replica = 0;
     std::string adapter;
     /// Replicas that are asked for; one of them gets the request.
-    std::uint8_t of = 1;
+    std::uint8_t queried_replicas = 1;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(replica, adapter, of);
+        archive(replica, adapter, queried_replicas);
     }
 };
 
@@ -133,10 +134,10 @@
 struct peer_registry_entry {
     std::string id;
     /// Where the entry stands in the list's records.
-    std::uint64_t place = 0;
+    std::uint64_t position = 0;
     bool listed = false;
     /// Milliseconds since 1970; 0 when it does not say.
-    std::int64_t born = 0;
+    std::int64_t started_at_ms = 0;
     std::uint64_t heartbeat = 0;
     std::string service;
     std::string host;
@@ -145,14 +146,14 @@
     std::uint32_t slots = 0;
     bool leaving = false;
     /// Milliseconds; 0 when it did not say.
-    std::uint32_t remaining = 0;
+    std::uint32_t remaining_ms = 0;
     std::vector<std::string> models;
 
     template <class Archive>
     void serialize(Archive& archive) {
         archive(
-            id, place, listed, born, heartbeat, service, host, port, domain,
-            slots, leaving, remaining, models);
+            id, position, listed, started_at_ms, heartbeat, service, host, port,
+            domain, slots, leaving, remaining_ms, models);
     }
 };
 
@@ -171,45 +172,45 @@
 
 /// A replica ended while it ran a content for the sender.
 struct peer_crash {
-    std::uint64_t content = 0;
+    std::uint64_t fingerprint = 0;
     std::uint64_t replica = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(content, replica);
+        archive(fingerprint, replica);
     }
 };
 
 /// A content is not run, or is run again.
 struct peer_quarantine {
-    std::uint64_t content = 0;
-    std::uint32_t turn = 0;
-    std::uint32_t left_ms = 0;
+    std::uint64_t fingerprint = 0;
+    std::uint32_t revision = 0;
+    std::uint32_t remaining_ms = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(content, turn, left_ms);
+        archive(fingerprint, revision, remaining_ms);
     }
 };
 
 /// What is said of a run at its content's gate.
 enum class gate_message_kind : std::uint8_t {
-    may_begin,
-    begins,
-    waits,
+    admission_request,
+    admitted,
+    deferred,
     proven,
     ended
 };
 
 /// A run of a content asks, is answered, or has shown something.
 struct peer_gate_message {
-    std::uint64_t content = 0;
-    std::uint64_t run = 0;
-    gate_message_kind what = gate_message_kind::may_begin;
+    std::uint64_t fingerprint = 0;
+    std::uint64_t attempt = 0;
+    gate_message_kind kind = gate_message_kind::admission_request;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(content, run, what);
+        archive(fingerprint, attempt, kind);
     }
 };
 
@@ -221,24 +222,24 @@
     /// The sender's peer address, by which its group knows it.
     std::string from;
     /// Set when it says no more than that the sender is there.
-    bool present = false;
-    std::vector<peer_replica_usage> loads;
-    std::vector<peer_replica_usage_query> asks;
-    /// Set when `loads` answer these `asks`.
-    bool answers = false;
-    std::vector<peer_load_request> wants;
-    std::vector<peer_adapter_usage> uses;
-    std::vector<peer_residency> words;
+    bool alive = false;
+    std::vector<peer_replica_usage> replica_usages;
+    std::vector<peer_replica_usage_query> usage_queries;
+    /// Set when `replica_usages` answer these `usage_queries`.
+    bool answers_queries = false;
+    std::vector<peer_load_request> load_requests;
+    std::vector<peer_adapter_usage> adapter_usages;
+    std::vector<peer_residency> residencies;
     std::vector<peer_claim> claims;
     std::vector<peer_suspicion> suspicions;
-    std::vector<peer_load_rejection> denials;
-    std::vector<peer_crash> ends;
+    std::vector<peer_load_rejection> load_rejections;
+    std::vector<peer_crash> crashes;
     /// Contents that have ended well after an end that the sender told.
     std::vector<std::uint64_t> completions;
     std::vector<peer_quarantine> quarantines;
-    std::vector<peer_gate_message> gates;
+    std::vector<peer_gate_message> gate_messages;
     /// One at most.
-    std::vector<peer_registry_update> readings;
+    std::vector<peer_registry_update> registry_updates;
     /// How far the sender has read what the operator declares; 0 when it says
     /// nothing of it.
     store_position declared_position;
@@ -255,18 +256,20 @@
     template <class Archive>
     void serialize(Archive& archive) {
         archive(
-            format, from, present, loads, asks, answers, wants, uses, words,
-            claims, suspicions, denials, ends, completions, quarantines, gates,
-            readings, declared_position, declared_total, queries_declared,
-            knows_quarantines);
+            format, from, alive, replica_usages, usage_queries, answers_queries,
+            load_requests, adapter_usages, residencies, claims, suspicions,
+            load_rejections, crashes, completions, quarantines, gate_messages,
+            registry_updates, declared_position, declared_total,
+            queries_declared, knows_quarantines);
     }
     /// @returns true when there is nothing to say
     bool empty() const noexcept {
-        return !present && loads.empty() && asks.empty() && wants.empty() &&
-               uses.empty() && words.empty() && claims.empty() &&
-               suspicions.empty() && denials.empty() && ends.empty() &&
-               completions.empty() && quarantines.empty() && gates.empty() &&
-               readings.empty();
+        return !alive && replica_usages.empty() && usage_queries.empty() &&
+               load_requests.empty() && adapter_usages.empty() &&
+               residencies.empty() && claims.empty() && suspicions.empty() &&
+               load_rejections.empty() && crashes.empty() &&
+               completions.empty() && quarantines.empty() &&
+               gate_messages.empty() && registry_updates.empty();
     }
 };
 
--- a/src/Gateway/peer_messenger.cpp
+++ b/src/Gateway/peer_messenger.cpp
@@ -20,34 +20,35 @@
 /// How often the counts of replicas are told to all. A replica takes in some
 /// requests in that time; more often costs each node a datagram to each other
 /// one.
-constexpr milliseconds telling_pause{100};
+constexpr milliseconds broadcast_interval{100};
 /// With more nodes than this each tells less often, so that what one node
 /// receives in a second stays about the same.
-constexpr unsigned nodes_at_full_pace = 10;
+constexpr unsigned nodes_at_full_rate = 10;
 /// Running requests are told again so often, as a datagram may be lost.
-constexpr unsigned ticks_to_repeat = 2;
+constexpr unsigned ticks_per_repeat = 2;
 /// Changes of the list in one datagram; an entry has 100 to 180 bytes.
-constexpr std::size_t most_changes = 5;
+constexpr std::size_t max_changes_per_datagram = 5;
 /// Wants of one adapter at one replica are not repeated sooner.
-constexpr duration want_pause = std::chrono::milliseconds(250);
+constexpr duration min_load_request_interval = std::chrono::milliseconds(250);
 /// Word of a replica's load is fresh for this long: with all nodes together it
 /// takes in one or two requests meanwhile.
-constexpr duration fresh_word = std::chrono::milliseconds(40);
+constexpr duration usage_max_age = std::chrono::milliseconds(40);
 /// A node tells its claims with its counts, a few times in this.
-constexpr duration owner_silent = std::chrono::seconds(3);
+constexpr duration lease_holder_lost_after = std::chrono::seconds(3);
 /// A node tells its counts every 100 ms, one of 90 every second: a holder that
 /// is silent for longer, and for two such pauses, is not there.
-constexpr duration holder_silent = std::chrono::milliseconds(1'500);
+constexpr duration lease_holder_suspected_after =
+    std::chrono::milliseconds(1'500);
 /// A node that was not heard for so long is no longer counted as one.
-constexpr duration peer_lasts = std::chrono::seconds(20);
+constexpr duration peer_expiry = std::chrono::seconds(20);
 
 /// Counts of one datagram, twelve bytes each, and claims of as many.
-constexpr std::size_t most_counts = 40;
-constexpr std::size_t most_claims = 40;
+constexpr std::size_t max_usages_per_datagram = 40;
+constexpr std::size_t max_claims_per_datagram = 40;
 
 /// How many pauses lie between two tellings of a node.
-unsigned pauses_between(unsigned nodes) {
-    return 1 + nodes / nodes_at_full_pace;
+unsigned ticks_between_broadcasts(unsigned nodes) {
+    return 1 + nodes / nodes_at_full_rate;
 }
 
 } // namespace
@@ -56,9 +57,9 @@
     return fleet::id_hash(replica) % partition_count;
 }
 
-peer_messenger::peer_messenger(gateway_state& state, receiver to)
+peer_messenger::peer_messenger(gateway_state& state, message_handlers handlers)
     : state_(&state)
-    , to_(std::move(to))
+    , handlers_(std::move(handlers))
     , link_(state.io.get_executor(), [this](std::string const& bytes) {
         receive(bytes);
     }) {}
@@ -68,7 +69,7 @@
     if (problem.empty()) {
         running_ = true;
         asio::co_spawn(
-            state_->io, [this] { return tell_counts(); }, asio::detached);
+            state_->io, [this] { return run_broadcasts(); }, asio::detached);
     }
     return problem;
 }
@@ -87,7 +88,7 @@
 }
 
 void peer_messenger::send_all(peer_datagram const& message) {
-    for (auto const& [peer, heard] : state_->peers) {
+    for (auto const& [peer, last_received] : state_->peers) {
         send(peer, message);
     }
 }
@@ -97,7 +98,7 @@
     if (member != state_->own_address) {
         state_->peers.try_emplace(member, boot_clock::now());
     }
-    owners_[partition] = std::move(member);
+    lease_holders_[partition] = std::move(member);
 }
 
 bool peer_messenger::lacks_reachable_lease_holder(instant now) const {
@@ -106,71 +107,74 @@
             each.second.record.models.empty()) {
             return false;
         }
-        auto const owner = owners_.find(partition_of(each.first));
-        if (owner == owners_.end()) {
+        auto const holder = lease_holders_.find(partition_of(each.first));
+        if (holder == lease_holders_.end()) {
             return true;
         }
-        auto const heard = state_->peers.find(owner->second);
-        bool const silent =
-            heard == state_->peers.end() || now >= heard->second + owner_silent;
-        return owner->second != state_->own_address && silent;
+        auto const last_received = state_->peers.find(holder->second);
+        bool const unreachable =
+            last_received == state_->peers.end() ||
+            now >= last_received->second + lease_holder_lost_after;
+        return holder->second != state_->own_address && unreachable;
     });
 }
 
 void peer_messenger::request_load(
-    replica const& at, adapter_ref const& adapter, load_priority kind,
-    bool first_request, duration patience) {
+    replica const& at, adapter_ref const& adapter, load_priority priority,
+    bool first_request, duration wait_budget) {
     instant const now = boot_clock::now();
-    instant& said = wanted_[{at.record.id, adapter.id}];
+    instant& last_sent = last_load_requests_[{at.record.id, adapter.id}];
     // Guards against a holder that is swamped by the repeats of hundreds of
     // requests for an adapter that has just become busy: a node's requests
     // repeat with one voice.
-    if (!first_request && now < said + want_pause) {
+    if (!first_request && now < last_sent + min_load_request_interval) {
         return;
     }
-    said = now;
-    peer_load_request asked;
-    asked.replica = fleet::id_hash(at.record.id);
-    asked.adapter = adapter.id.str();
-    asked.version = adapter.version;
-    asked.kind = static_cast<std::uint8_t>(kind);
-    asked.first_request = first_request;
-    asked.patience_ms = clamped_milliseconds(patience);
-    auto const owner = owners_.find(partition_of(at.record.id));
-    if (owner == owners_.end()) {
+    last_sent = now;
+    peer_load_request request;
+    request.replica = fleet::id_hash(at.record.id);
+    request.adapter = adapter.id.str();
+    request.version = adapter.version;
+    request.priority = static_cast<std::uint8_t>(priority);
+    request.first_request = first_request;
+    request.wait_budget_ms = clamped_milliseconds(wait_budget);
+    auto const holder = lease_holders_.find(partition_of(at.record.id));
+    if (holder == lease_holders_.end()) {
         return;
     }
-    if (owner->second == state_->own_address) {
-        take_want(asked, state_->own_address);
+    if (holder->second == state_->own_address) {
+        handle_load_request(request, state_->own_address);
         return;
     }
     // Guards against requests that wait for a load that nobody orders: a node
     // that was stopped or killed during the store's outage has no successor
     // until the outage ends. They go to the next home instead, whose holder is
     // there.
-    auto const heard = state_->peers.find(owner->second);
-    duration const two_tellings =
-        2 * telling_pause * pauses_between(state_->nodes());
-    if (heard != state_->peers.end() &&
-        now >= heard->second + std::max(holder_silent, two_tellings)) {
-        take_denial(
-            {asked.replica, asked.adapter, clamped_milliseconds(holder_silent)},
+    auto const last_received = state_->peers.find(holder->second);
+    duration const two_broadcasts =
+        2 * broadcast_interval * ticks_between_broadcasts(state_->nodes());
+    if (last_received != state_->peers.end() &&
+        now >= last_received->second +
+                   std::max(lease_holder_suspected_after, two_broadcasts)) {
+        handle_load_rejection(
+            {request.replica, request.adapter,
+             clamped_milliseconds(lease_holder_suspected_after)},
             now);
         return;
     }
     peer_datagram message;
-    message.wants.push_back(std::move(asked));
-    send(owner->second, std::move(message));
+    message.load_requests.push_back(std::move(request));
+    send(holder->second, std::move(message));
 }
 
 void peer_messenger::broadcast_residency(
-    endpoint_id const& at, std::vector<peer_residency> words) {
-    for (peer_residency& each : words) {
+    endpoint_id const& at, std::vector<peer_residency> residencies) {
+    for (peer_residency& each : residencies) {
         each.replica = fleet::id_hash(at);
     }
-    while (!words.empty()) {
+    while (!residencies.empty()) {
         peer_datagram message;
-        message.words = drain_batch(words);
+        message.residencies = drain_batch(residencies);
         send_all(message);
     }
 }
@@ -182,32 +186,33 @@
     send_all(message);
 }
 
-void peer_messenger::broadcast_registry_update(peer_registry_update reading) {
+void peer_messenger::broadcast_registry_update(peer_registry_update update) {
     // In pieces that follow one another: a lost one is a gap before the next.
-    std::vector<peer_registry_entry> all = std::move(reading.changes);
+    std::vector<peer_registry_entry> all = std::move(update.changes);
     std::size_t done = 0;
     do {
-        std::size_t const end = std::min(all.size(), done + most_changes);
+        std::size_t const end =
+            std::min(all.size(), done + max_changes_per_datagram);
         peer_registry_update piece;
-        store_epoch const epoch = reading.to.epoch;
+        store_epoch const epoch = update.to.epoch;
         piece.from =
-            done == 0 ? reading.from : store_position{epoch, all[done].place};
-        piece.to = end == all.size() ? reading.to
-                                     : store_position{epoch, all[end].place};
+            done == 0 ? update.from : store_position{epoch, all[done].position};
+        piece.to = end == all.size() ? update.to
+                                     : store_position{epoch, all[end].position};
         piece.changes.assign(
             all.begin() + static_cast<std::ptrdiff_t>(done),
             all.begin() + static_cast<std::ptrdiff_t>(end));
         peer_datagram message;
-        message.readings.push_back(std::move(piece));
+        message.registry_updates.push_back(std::move(piece));
         send_all(message);
         done = end;
     } while (done < all.size());
 }
 
-void peer_messenger::broadcast_suspicion(replica const& at, duration rest) {
+void peer_messenger::broadcast_suspicion(replica const& at, duration backoff) {
     peer_datagram message;
     message.suspicions.push_back(
-        {fleet::id_hash(at.record.id), clamped_milliseconds(rest)});
+        {fleet::id_hash(at.record.id), clamped_milliseconds(backoff)});
     send_all(message);
 }
 
@@ -234,69 +239,70 @@
 }
 
 void peer_messenger::send_use(use_key const& key, use_count& count) {
-    auto const owner = owners_.find(partition_of(key.replica));
-    if (owner == owners_.end()) {
+    auto const holder = lease_holders_.find(partition_of(key.replica));
+    if (holder == lease_holders_.end()) {
         return;
     }
-    peer_adapter_usage told{
+    peer_adapter_usage usage{
         fleet::id_hash(key.replica), key.adapter.str(), count.running,
         count.prompt_tokens};
     count.prompt_tokens = 0;
-    if (owner->second == state_->own_address) {
-        take_use(told, state_->own_address, boot_clock::now());
+    if (holder->second == state_->own_address) {
+        handle_usage(usage, state_->own_address, boot_clock::now());
         return;
     }
     peer_datagram message;
-    message.uses.push_back(std::move(told));
-    send(owner->second, std::move(message));
+    message.adapter_usages.push_back(std::move(usage));
+    send(holder->second, std::move(message));
 }
 
 void peer_messenger::repeat_uses() {
     std::map<std::string, std::vector<peer_adapter_usage>> to;
     instant const now = boot_clock::now();
     for (auto const& [key, count] : uses_) {
-        auto const owner = owners_.find(partition_of(key.replica));
-        if (owner == owners_.end()) {
+        auto const holder = lease_holders_.find(partition_of(key.replica));
+        if (holder == lease_holders_.end()) {
             continue;
         }
-        peer_adapter_usage told{
+        peer_adapter_usage usage{
             fleet::id_hash(key.replica), key.adapter.str(), count.running, 0};
-        if (owner->second == state_->own_address) {
-            take_use(told, state_->own_address, now);
+        if (holder->second == state_->own_address) {
+            handle_usage(usage, state_->own_address, now);
         } else {
-            to[owner->second].push_back(std::move(told));
+            to[holder->second].push_back(std::move(usage));
         }
     }
     for (auto& [peer, all] : to) {
         while (!all.empty()) {
             peer_datagram message;
-            message.uses = drain_batch(all);
+            message.adapter_usages = drain_batch(all);
             send(peer, std::move(message));
         }
     }
 }
 
-bool peer_messenger::orders_for(endpoint_id const& at) const {
-    auto const owner = owners_.find(partition_of(at));
-    return owner != owners_.end() && owner->second == state_->own_address;
+bool peer_messenger::is_lease_holder(endpoint_id const& at) const {
+    auto const holder = lease_holders_.find(partition_of(at));
+    return holder != lease_holders_.end() &&
+           holder->second == state_->own_address;
 }
 
 replica_usage
-peer_messenger::counted(std::uint64_t replica, instant now) const {
-    replica_usage total = ledger_.usage(replica, now);
-    total.free_slots = to_.free_slots(replica);
+peer_messenger::current_usage(std::uint64_t replica, instant now) const {
+    replica_usage total = request_tracker_.usage(replica, now);
+    total.free_slots = handlers_.free_slots(replica);
     return total;
 }
 
 std::optional<peer_replica_usage>
-peer_messenger::total_of(std::uint64_t replica, instant now) const {
+peer_messenger::usage_message(std::uint64_t replica, instant now) const {
     constexpr double most = std::numeric_limits<std::uint16_t>::max();
     camphorpoint::replica const* const at =
         state_->replicas.find_by_hash(replica);
-    if (at == nullptr || !orders_for(at->record.id)) {
+    if (at == nullptr || !is_lease_holder(at->record.id)) {
         return std::nullopt;
     }
-    replica_usage const total = counted(replica, now);
+    replica_usage const total = current_usage(replica, now);
     peer_replica_usage load;
     load.replica = replica;
     load.free_slots = static_cast<std::int16_t>(total.free_slots);
@@ -306,63 +312,65 @@
     return load;
 }
 
-void peer_messenger::take_use(
+void peer_messenger::handle_usage(
     peer_adapter_usage const& use, std::string const& from, instant now) {
-    ledger_.update(
+    request_tracker_.update(
         from, use.replica, adapter_id(use.adapter), use.running,
         use.prompt_tokens, now);
-    state_->replicas.update_usage(use.replica, counted(use.replica, now), now);
+    state_->replicas.update_usage(
+        use.replica, current_usage(use.replica, now), now);
     // What counts for the slot is whether any node has runs there.
     peer_adapter_usage of_all = use;
     of_all.running =
-        ledger_.in_use(use.replica, adapter_id(use.adapter)) ? 1 : 0;
-    to_.use(of_all);
+        request_tracker_.in_use(use.replica, adapter_id(use.adapter)) ? 1 : 0;
+    handlers_.on_usage(of_all);
 }
 
 std::vector<endpoint_id> peer_messenger::query_replica_usage(
     std::vector<replica*> const& of, adapter_id const& adapter, instant now) {
     std::vector<endpoint_id> asked;
     for (replica const* const each : of) {
-        auto const owner = owners_.find(partition_of(each->record.id));
-        bool const known =
-            owner != owners_.end() && owner->second != state_->own_address;
-        if (known && now >= each->usage_received_at + fresh_word) {
+        auto const holder = lease_holders_.find(partition_of(each->record.id));
+        bool const known = holder != lease_holders_.end() &&
+                           holder->second != state_->own_address;
+        if (known && now >= each->usage_received_at + usage_max_age) {
             peer_datagram message;
-            message.asks.push_back(
+            message.usage_queries.push_back(
                 {fleet::id_hash(each->record.id), adapter.str(),
                  static_cast<std::uint8_t>(of.size())});
-            send(owner->second, std::move(message));
+            send(holder->second, std::move(message));
             asked.push_back(each->record.id);
         }
     }
     return asked;
 }
 
-void peer_messenger::take_ask(
-    peer_replica_usage_query const& ask, std::string const& from, instant now) {
-    auto const total = total_of(ask.replica, now);
+void peer_messenger::handle_usage_query(
+    peer_replica_usage_query const& query, std::string const& from,
+    instant now) {
+    auto const total = usage_message(query.replica, now);
     if (!total) {
         return;
     }
-    ledger_.add_expected_request(
-        ask.replica, 1.0 / std::max<double>(1, ask.of), now);
+    request_tracker_.add_expected_request(
+        query.replica, 1.0 / std::max<double>(1, query.queried_replicas), now);
     peer_datagram message;
-    message.loads.push_back(*total);
+    message.replica_usages.push_back(*total);
     // Echoed: it names who waits for the answer.
-    message.asks.push_back(ask);
-    message.answers = true;
+    message.usage_queries.push_back(query);
+    message.answers_queries = true;
     send(from, std::move(message));
 }
 
-void peer_messenger::forget_peers(instant now) {
+void peer_messenger::expire_peers(instant now) {
     std::erase_if(state_->peers, [&](auto const& each) {
-        return now >= each.second + peer_lasts;
+        return now >= each.second + peer_expiry;
     });
 }
 
-peer_datagram peer_messenger::declared() const {
+peer_datagram peer_messenger::status_message() const {
     peer_datagram message;
-    message.present = true;
+    message.alive = true;
     message.declared_position = state_->declared_position;
     message.declared_total = state_->declared_total();
     message.knows_quarantines =
@@ -372,7 +380,7 @@
 
 void peer_messenger::query_declared() {
     if (!state_->start.done()) {
-        peer_datagram message = declared();
+        peer_datagram message = status_message();
         message.queries_declared = true;
         for (std::string const& each : state_->start.peers_to_ask()) {
             send(each, message);
@@ -380,24 +388,25 @@
     }
 }
 
-void peer_messenger::tell_totals(instant now) {
-    std::erase_if(wanted_, [&](auto const& each) {
-        return now >= each.second + want_pause;
+void peer_messenger::broadcast_status(instant now) {
+    std::erase_if(last_load_requests_, [&](auto const& each) {
+        return now >= each.second + min_load_request_interval;
     });
-    peer_datagram message = declared();
+    peer_datagram message = status_message();
     for (auto const& [id, each] : state_->replicas.all()) {
-        if (!each.accepts_requests() || message.loads.size() >= most_counts) {
+        if (!each.accepts_requests() ||
+            message.replica_usages.size() >= max_usages_per_datagram) {
             continue;
         }
         std::uint64_t const name = fleet::id_hash(id);
-        if (auto const total = total_of(name, now)) {
-            message.loads.push_back(*total);
-            state_->replicas.update_usage(name, counted(name, now), now);
+        if (auto const total = usage_message(name, now)) {
+            message.replica_usages.push_back(*total);
+            state_->replicas.update_usage(name, current_usage(name, now), now);
         }
     }
     for (std::size_t const each : state_->leases.held_partitions()) {
         auto const token = state_->leases.token(each, now);
-        if (token && message.claims.size() < most_claims) {
+        if (token && message.claims.size() < max_claims_per_datagram) {
             message.claims.push_back(
                 {static_cast<std::uint32_t>(each), *token});
         }
@@ -405,24 +414,24 @@
     send_all(message);
 }
 
-asio::awaitable<void> peer_messenger::tell_counts() {
+asio::awaitable<void> peer_messenger::run_broadcasts() {
     unsigned tick = 0;
     while (running_) {
         instant const now = boot_clock::now();
-        if (tick % pauses_between(state_->nodes()) == 0) {
-            tell_totals(now);
+        if (tick % ticks_between_broadcasts(state_->nodes()) == 0) {
+            broadcast_status(now);
             repeat_quarantines(now);
         }
         query_declared();
-        if (tick % ticks_to_repeat == 0) {
-            repeat_ends(now);
+        if (tick % ticks_per_repeat == 0) {
+            repeat_crashes(now);
             repeat_uses();
-            ledger_.drop_timed_out_nodes(now);
+            request_tracker_.drop_timed_out_nodes(now);
             state_->replicas.expire_usage(now);
         }
         ++tick;
-        forget_peers(now);
-        asio::steady_timer timer(state_->io, telling_pause);
+        expire_peers(now);
+        asio::steady_timer timer(state_->io, broadcast_interval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
 }
--- a/src/Gateway/peer_messenger.hpp
+++ b/src/Gateway/peer_messenger.hpp
@@ -27,26 +27,27 @@
 class peer_messenger {
 public:
     /// Takes wants and uses that are this node's to heed.
-    struct receiver {
+    struct message_handlers {
         /// @returns nothing when it is taken, else how long it would take
-        std::function<std::optional<duration>(peer_load_request const& want)>
-            want;
-        std::function<void(peer_adapter_usage const& use)> use;
+        std::function<std::optional<duration>(peer_load_request const& request)>
+            on_load_request;
+        std::function<void(peer_adapter_usage const& use)> on_usage;
         /// @returns adapters that could be loaded at a replica that this node
         ///          orders for, less those that wait
         std::function<int(std::uint64_t replica)> free_slots;
         /// Another node has read on in the list of replicas.
-        std::function<void(peer_registry_update const& reading)> reading;
+        std::function<void(peer_registry_update const& reading)>
+            on_registry_update;
         /// Another node has read so far in what the operator declares, and
         /// knows so much of it.
-        std::function<void(store_position place, std::uint64_t total)>
-            declarations;
+        std::function<void(store_position position, std::uint64_t total)>
+            on_peer_progress;
         /// Another node has met this era of the store.
-        std::function<void(store_epoch epoch)> epoch;
+        std::function<void(store_epoch epoch)> on_epoch;
     };
 
     /// @param beliefs where word from others goes; must outlive this
-    peer_messenger(gateway_state& state, receiver to);
+    peer_messenger(gateway_state& state, message_handlers handlers);
 
     /// Binds and begins to tell counts.
     /// @returns the reason when the address can't be had, empty on success
@@ -59,41 +60,42 @@
     /// @param first_request the request has not asked at this replica before
     /// @param patience how long the request may wait for it there
     void request_load(
-        replica const& at, adapter_ref const& adapter, load_priority kind,
-        bool first_request, duration patience);
+        replica const& at, adapter_ref const& adapter, load_priority priority,
+        bool first_request, duration wait_budget);
     /// Tells all nodes of changes at a replica that this node orders for.
     void broadcast_residency(
-        endpoint_id const& at, std::vector<peer_residency> words);
+        endpoint_id const& at, std::vector<peer_residency> residencies);
     /// Tells all nodes that this one orders for a partition.
     void broadcast_claim(std::size_t partition, std::uint64_t token);
     /// Tells all nodes that a replica is silent.
-    void broadcast_suspicion(replica const& at, duration rest);
+    void broadcast_suspicion(replica const& at, duration backoff);
     /// Counts that a replica ended while it ran a content, here and at the
     /// nodes that count it.
     /// @param replica another name for each start of it
     /// @returns true when others count it, who may know of more ends
-    bool report_crash(request_fingerprint content, std::uint64_t replica);
+    bool report_crash(request_fingerprint fingerprint, std::uint64_t replica);
     /// A run of a content ended well: it has not ended its replicas.
-    void report_completion(request_fingerprint content);
+    void report_completion(request_fingerprint fingerprint);
     /// @returns true when runs of a content begin one at a time: a replica has
     ///          ended under it, or this node has begun and may not know of that
-    bool requires_admission(request_fingerprint content, instant now) const;
+    bool requires_admission(request_fingerprint fingerprint, instant now) const;
     /// A run asks to begin.
     /// @param run number of the run, unique over all nodes
     /// @returns false when another run of the content is under way somewhere
     boost::asio::awaitable<bool>
-    request_admission(request_fingerprint content, std::uint64_t run);
+    request_admission(request_fingerprint fingerprint, std::uint64_t attempt);
     /// A run of a content has brought a part of its answer.
-    void report_progress(request_fingerprint content);
+    void report_progress(request_fingerprint fingerprint);
     /// A run that was let begin has ended and has shown nothing.
-    void report_attempt_ended(request_fingerprint content, std::uint64_t run);
+    void report_attempt_ended(
+        request_fingerprint fingerprint, std::uint64_t attempt);
     /// Tells all nodes whether a content is run.
-    void broadcast_quarantine(quarantine_update const& word);
+    void broadcast_quarantine(quarantine_update const& update);
     /// Asks a few nodes how much they know of what the operator declares, while
     /// this one has begun and has not heard it.
     void query_declared();
     /// Tells all nodes what this one has read in the list.
-    void broadcast_registry_update(peer_registry_update reading);
+    void broadcast_registry_update(peer_registry_update update);
     /// Notes that a request uses an adapter, until `release`, and tells whoever
     /// orders for the replica.
     /// @param prompt_tokens that the replica has to read for it
@@ -126,68 +128,71 @@
         friend auto operator<=>(use_key const&, use_key const&) = default;
     };
 
-    boost::asio::awaitable<void> tell_counts();
+    boost::asio::awaitable<void> run_broadcasts();
     void receive(std::string const& bytes);
-    void take(peer_datagram const& message);
+    void handle(peer_datagram const& message);
     void send(std::string const& peer, peer_datagram message);
     void send_all(peer_datagram const& message);
     void send_use(use_key const& key, use_count& count);
     void repeat_uses();
-    void take_use(
+    void handle_usage(
         peer_adapter_usage const& use, std::string const& from, instant now);
-    void take_ask(
-        peer_replica_usage_query const& ask, std::string const& from,
+    void handle_usage_query(
+        peer_replica_usage_query const& query, std::string const& from,
         instant now);
-    replica_usage counted(std::uint64_t replica, instant now) const;
+    replica_usage current_usage(std::uint64_t replica, instant now) const;
     std::optional<peer_replica_usage>
-    total_of(std::uint64_t replica, instant now) const;
-    void tell_totals(instant now);
-    bool orders_for(endpoint_id const& at) const;
-    void forget_peers(instant now);
-    peer_datagram declared() const;
-    void take_denial(peer_load_rejection const& denial, instant now);
-    bool has_place_for(peer_load_request const& want, instant now) const;
-    void take_want(peer_load_request const& want, std::string const& from);
-    void count_end(peer_crash const& end, instant now);
-    void clear(request_fingerprint content);
-    void forget_told_contents(instant now);
-    std::set<std::string> counters_of(std::uint64_t content) const;
-    void repeat_ends(instant now);
+    usage_message(std::uint64_t replica, instant now) const;
+    void broadcast_status(instant now);
+    bool is_lease_holder(endpoint_id const& at) const;
+    void expire_peers(instant now);
+    peer_datagram status_message() const;
+    void
+    handle_load_rejection(peer_load_rejection const& rejection, instant now);
+    bool has_capacity_for(peer_load_request const& request, instant now) const;
+    void handle_load_request(
+        peer_load_request const& request, std::string const& from);
+    void count_crash(peer_crash const& crash, instant now);
+    void lift_quarantine(request_fingerprint fingerprint);
+    void expire_reported_fingerprints(instant now);
+    std::set<std::string> crash_counters_of(std::uint64_t fingerprint) const;
+    void repeat_crashes(instant now);
     void repeat_quarantines(instant now);
-    void take_quarantine(
-        peer_quarantine const& told, std::string const& from, instant now);
+    void handle_quarantine(
+        peer_quarantine const& message, std::string const& from, instant now);
 
-    std::string gate_of(request_fingerprint content, instant now) const;
-    bool
-    begins_here(request_fingerprint content, std::uint64_t run, instant now);
-    void send_gate(std::string const& to, peer_gate_message word);
-    void take_gate(
-        peer_gate_message const& word, std::string const& from, instant now);
+    std::string
+    gate_node_of(request_fingerprint fingerprint, instant now) const;
+    bool admit_locally(
+        request_fingerprint fingerprint, std::uint64_t attempt, instant now);
+    void send_gate_message(std::string const& to, peer_gate_message message);
+    void handle_gate_message(
+        peer_gate_message const& message, std::string const& from, instant now);
 
     /// An ask at a content's gate, until it is answered.
-    struct gate_question {
+    struct pending_admission {
         boost::asio::steady_timer* timer = nullptr;
-        std::optional<bool> begins;
+        std::optional<bool> admitted;
     };
     /// An end that this node has seen, and until when it is told again.
-    struct told_end {
-        peer_crash end;
-        instant until;
+    struct reported_crash {
+        peer_crash crash;
+        instant repeat_until;
     };
 
     gateway_state* state_;
-    receiver to_;
+    message_handlers handlers_;
     probe_link link_;
-    std::map<std::size_t, std::string> owners_;
+    std::map<std::size_t, std::string> lease_holders_;
     std::map<use_key, use_count> uses_;
     /// When this node said last that it waits for an adapter at a replica.
-    std::map<use_key, instant> wanted_;
-    running_request_tracker ledger_;
-    std::deque<told_end> ends_;
+    std::map<use_key, instant> last_load_requests_;
+    running_request_tracker request_tracker_;
+    std::deque<reported_crash> recent_crashes_;
     /// Contents whose ends this node has told, and when it did last.
-    std::unordered_map<request_fingerprint, instant> told_contents_;
+    std::unordered_map<request_fingerprint, instant> reported_fingerprints_;
     request_gate gate_;
-    std::unordered_map<std::uint64_t, gate_question> gate_questions_;
+    std::unordered_map<std::uint64_t, pending_admission> pending_admissions_;
     bool running_ = false;
 };
 
--- a/src/Gateway/peer_messenger_gate.cpp
+++ b/src/Gateway/peer_messenger_gate.cpp
@@ -16,124 +16,127 @@
 
 /// The node that keeps a content's gate answers within a few milliseconds; an
 /// answer that is lost is asked for once more.
-constexpr std::chrono::milliseconds gate_answers{20};
-constexpr int gate_asks = 2;
+constexpr std::chrono::milliseconds gate_answer_timeout{20};
+constexpr int max_gate_attempts = 2;
 /// One that was not heard for so long is not asked.
-constexpr duration gate_silent = std::chrono::milliseconds(1'500);
+constexpr duration gate_node_timeout = std::chrono::milliseconds(1'500);
 
 } // namespace
 
 bool peer_messenger::requires_admission(
-    request_fingerprint content, instant now) const {
+    request_fingerprint fingerprint, instant now) const {
     return !state_->quarantine_sync_state.complete(now) ||
-           state_->quarantine.suspected(content);
+           state_->quarantine.suspected(fingerprint);
 }
 
 // The first of the nodes that count the content's ends, as they hear of these
 // before all others.
-std::string
-peer_messenger::gate_of(request_fingerprint content, instant now) const {
+std::string peer_messenger::gate_node_of(
+    request_fingerprint fingerprint, instant now) const {
     for (std::uint64_t each = 0; each < crash_counter_nodes; ++each) {
         std::size_t const partition =
-            combine_hashes(static_cast<std::uint64_t>(content), each) %
+            combine_hashes(static_cast<std::uint64_t>(fingerprint), each) %
             partition_count;
-        auto const owner = owners_.find(partition);
-        if (owner == owners_.end()) {
+        auto const holder = lease_holders_.find(partition);
+        if (holder == lease_holders_.end()) {
             continue;
         }
-        auto const heard = state_->peers.find(owner->second);
-        bool const there =
-            heard != state_->peers.end() && now < heard->second + gate_silent;
-        if (there || owner->second == state_->own_address) {
-            return owner->second;
+        auto const last_received = state_->peers.find(holder->second);
+        bool const reachable = last_received != state_->peers.end() &&
+                               now < last_received->second + gate_node_timeout;
+        if (reachable || holder->second == state_->own_address) {
+            return holder->second;
         }
     }
     return state_->own_address;
 }
 
-void peer_messenger::send_gate(std::string const& to, peer_gate_message word) {
-    peer_datagram message;
-    message.gates.push_back(word);
-    send(to, std::move(message));
+void peer_messenger::send_gate_message(
+    std::string const& to, peer_gate_message message) {
+    peer_datagram datagram;
+    datagram.gate_messages.push_back(message);
+    send(to, std::move(datagram));
 }
 
-bool peer_messenger::begins_here(
-    request_fingerprint content, std::uint64_t run, instant now) {
-    return !state_->quarantine.quarantined_for(content, now) &&
-           gate_.try_admit(content, run, now);
+bool peer_messenger::admit_locally(
+    request_fingerprint fingerprint, std::uint64_t attempt, instant now) {
+    return !state_->quarantine.quarantined_for(fingerprint, now) &&
+           gate_.try_admit(fingerprint, attempt, now);
 }
 
 asio::awaitable<bool> peer_messenger::request_admission(
-    request_fingerprint content, std::uint64_t run) {
-    peer_gate_message const ask{
-        static_cast<std::uint64_t>(content), run, gate_message_kind::may_begin};
-    for (int tries = 0; tries < gate_asks; ++tries) {
+    request_fingerprint fingerprint, std::uint64_t attempt) {
+    peer_gate_message const request{
+        static_cast<std::uint64_t>(fingerprint), attempt,
+        gate_message_kind::admission_request};
+    for (int tries = 0; tries < max_gate_attempts; ++tries) {
         instant const now = boot_clock::now();
-        std::string const at = gate_of(content, now);
+        std::string const at = gate_node_of(fingerprint, now);
         if (at == state_->own_address) {
-            co_return begins_here(content, run, now);
+            co_return admit_locally(fingerprint, attempt, now);
         }
-        asio::steady_timer timer(state_->io, gate_answers);
-        gate_questions_[run] = {&timer, std::nullopt};
-        send_gate(at, ask);
+        asio::steady_timer timer(state_->io, gate_answer_timeout);
+        pending_admissions_[attempt] = {&timer, std::nullopt};
+        send_gate_message(at, request);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-        auto const answer = gate_questions_.extract(run);
-        if (answer && answer.mapped().begins) {
-            co_return *answer.mapped().begins;
+        auto const answer = pending_admissions_.extract(attempt);
+        if (answer && answer.mapped().admitted) {
+            co_return *answer.mapped().admitted;
         }
     }
     // Nobody keeps the gate: a request is not held up for that.
     co_return true;
 }
 
-void peer_messenger::report_progress(request_fingerprint content) {
+void peer_messenger::report_progress(request_fingerprint fingerprint) {
     instant const now = boot_clock::now();
-    std::string const at = gate_of(content, now);
+    std::string const at = gate_node_of(fingerprint, now);
     if (at == state_->own_address) {
-        gate_.mark_safe(content, now);
+        gate_.mark_safe(fingerprint, now);
         return;
     }
-    send_gate(
-        at,
-        {static_cast<std::uint64_t>(content), 0, gate_message_kind::proven});
+    send_gate_message(
+        at, {static_cast<std::uint64_t>(fingerprint), 0,
+             gate_message_kind::proven});
 }
 
 void peer_messenger::report_attempt_ended(
-    request_fingerprint content, std::uint64_t run) {
-    std::string const at = gate_of(content, boot_clock::now());
+    request_fingerprint fingerprint, std::uint64_t attempt) {
+    std::string const at = gate_node_of(fingerprint, boot_clock::now());
     if (at == state_->own_address) {
-        gate_.release(content, run);
+        gate_.release(fingerprint, attempt);
         return;
     }
-    send_gate(
-        at,
-        {static_cast<std::uint64_t>(content), run, gate_message_kind::ended});
+    send_gate_message(
+        at, {static_cast<std::uint64_t>(fingerprint), attempt,
+             gate_message_kind::ended});
 }
 
-void peer_messenger::take_gate(
-    peer_gate_message const& word, std::string const& from, instant now) {
-    request_fingerprint const content{word.content};
-    switch (word.what) {
-    case gate_message_kind::may_begin: {
-        bool const begins = begins_here(content, word.run, now);
-        send_gate(
-            from,
-            {word.content, word.run,
-             begins ? gate_message_kind::begins : gate_message_kind::waits});
+void peer_messenger::handle_gate_message(
+    peer_gate_message const& message, std::string const& from, instant now) {
+    request_fingerprint const fingerprint{message.fingerprint};
+    switch (message.kind) {
+    case gate_message_kind::admission_request: {
+        bool const admitted = admit_locally(fingerprint, message.attempt, now);
+        send_gate_message(
+            from, {message.fingerprint, message.attempt,
+                   admitted ? gate_message_kind::admitted
+                            : gate_message_kind::deferred});
         break;
     }
     case gate_message_kind::proven:
-        gate_.mark_safe(content, now);
+        gate_.mark_safe(fingerprint, now);
         break;
     case gate_message_kind::ended:
-        gate_.release(content, word.run);
+        gate_.release(fingerprint, message.attempt);
         break;
-    case gate_message_kind::begins:
-    case gate_message_kind::waits:
-        auto const question = gate_questions_.find(word.run);
-        if (question != gate_questions_.end()) {
-            question->second.begins = word.what == gate_message_kind::begins;
-            question->second.timer->cancel();
+    case gate_message_kind::admitted:
+    case gate_message_kind::deferred:
+        auto const pending = pending_admissions_.find(message.attempt);
+        if (pending != pending_admissions_.end()) {
+            pending->second.admitted =
+                message.kind == gate_message_kind::admitted;
+            pending->second.timer->cancel();
         }
         break;
     }
--- a/src/Gateway/peer_messenger_quarantine.cpp
+++ b/src/Gateway/peer_messenger_quarantine.cpp
@@ -14,39 +14,39 @@
 /// An end is told again for so long: its datagram may be lost, and who counts
 /// may change, of which a node learns within two seconds. It is counted once
 /// all the same.
-constexpr duration end_told_for = std::chrono::milliseconds(3'000);
+constexpr duration crash_repeat_period = std::chrono::milliseconds(3'000);
 /// Ends told again at a time: of a replica that ends some fifty runs break.
-constexpr std::size_t most_ends = 256;
+constexpr std::size_t max_repeated_crashes = 256;
 /// Contents whose ends this node remembers to have told, and for how long: as
 /// long as those who count them do.
-constexpr std::size_t most_told_contents = 4'096;
-constexpr duration evidence_kept = std::chrono::minutes(10);
+constexpr std::size_t max_reported_fingerprints = 4'096;
+constexpr duration evidence_retention = std::chrono::minutes(10);
 /// Words of contents in one datagram, sixteen bytes each.
-constexpr std::size_t most_quarantines = 16;
+constexpr std::size_t max_quarantines_per_datagram = 16;
 
-peer_quarantine wire_of(quarantine_update const& word) {
+peer_quarantine to_wire(quarantine_update const& update) {
     return {
-        static_cast<std::uint64_t>(word.fingerprint), word.revision,
-        clamped_milliseconds(word.remaining)};
+        static_cast<std::uint64_t>(update.fingerprint), update.revision,
+        clamped_milliseconds(update.remaining)};
 }
 
 } // namespace
 
 bool peer_messenger::report_crash(
-    request_fingerprint content, std::uint64_t replica) {
+    request_fingerprint fingerprint, std::uint64_t replica) {
     instant const now = boot_clock::now();
-    peer_crash const end{static_cast<std::uint64_t>(content), replica};
-    ends_.push_back({end, now + end_told_for});
-    if (ends_.size() > most_ends) {
-        ends_.pop_front();
+    peer_crash const crash{static_cast<std::uint64_t>(fingerprint), replica};
+    recent_crashes_.push_back({crash, now + crash_repeat_period});
+    if (recent_crashes_.size() > max_repeated_crashes) {
+        recent_crashes_.pop_front();
     }
-    told_contents_[content] = now;
-    forget_told_contents(now);
-    count_end(end, now);
-    std::set<std::string> const others = counters_of(end.content);
+    reported_fingerprints_[fingerprint] = now;
+    expire_reported_fingerprints(now);
+    count_crash(crash, now);
+    std::set<std::string> const others = crash_counters_of(crash.fingerprint);
     for (std::string const& each : others) {
         peer_datagram message;
-        message.ends.push_back(end);
+        message.crashes.push_back(crash);
         send(each, std::move(message));
     }
     return !others.empty();
@@ -55,97 +55,101 @@
 // Guards against a content that many ask for in the same words and that is held
 // for ends that lie apart, though it has ended well in between: each node would
 // clear it of its own evidence only.
-void peer_messenger::report_completion(request_fingerprint content) {
-    clear(content);
+void peer_messenger::report_completion(request_fingerprint fingerprint) {
+    lift_quarantine(fingerprint);
     // Few contents have had an end, so that a run which ends well costs
     // nothing.
-    if (told_contents_.erase(content) == 0) {
+    if (reported_fingerprints_.erase(fingerprint) == 0) {
         return;
     }
-    auto const number = static_cast<std::uint64_t>(content);
-    std::erase_if(ends_, [number](told_end const& each) {
-        return each.end.content == number;
+    auto const number = static_cast<std::uint64_t>(fingerprint);
+    std::erase_if(recent_crashes_, [number](reported_crash const& each) {
+        return each.crash.fingerprint == number;
     });
-    for (std::string const& each : counters_of(number)) {
+    for (std::string const& each : crash_counters_of(number)) {
         peer_datagram message;
         message.completions.push_back(number);
         send(each, std::move(message));
     }
 }
 
-void peer_messenger::clear(request_fingerprint content) {
-    auto const word = state_->quarantine.record_success(content);
-    if (!word) {
+void peer_messenger::lift_quarantine(request_fingerprint fingerprint) {
+    auto const update = state_->quarantine.record_success(fingerprint);
+    if (!update) {
         return;
     }
     state_->log_event(log_line(event_code::content_cleared)
-                          .with("content", to_string(content))
-                          .with("turn", word->revision)
+                          .with("content", to_string(fingerprint))
+                          .with("turn", update->revision)
                           .with("by", state_->own_address));
-    broadcast_quarantine(*word);
+    broadcast_quarantine(*update);
 }
 
-void peer_messenger::forget_told_contents(instant now) {
-    if (told_contents_.size() > most_told_contents) {
-        std::erase_if(told_contents_, [now](auto const& each) {
-            return now >= each.second + evidence_kept;
+void peer_messenger::expire_reported_fingerprints(instant now) {
+    if (reported_fingerprints_.size() > max_reported_fingerprints) {
+        std::erase_if(reported_fingerprints_, [now](auto const& each) {
+            return now >= each.second + evidence_retention;
         });
     }
-    if (told_contents_.size() > most_told_contents) {
-        told_contents_.erase(told_contents_.begin());
+    if (reported_fingerprints_.size() > max_reported_fingerprints) {
+        reported_fingerprints_.erase(reported_fingerprints_.begin());
     }
 }
 
-void peer_messenger::count_end(peer_crash const& end, instant now) {
-    request_fingerprint const content{end.content};
-    gate_.revoke(content);
-    if (auto const word =
-            state_->quarantine.record_crash(content, end.replica, now)) {
+void peer_messenger::count_crash(peer_crash const& crash, instant now) {
+    request_fingerprint const fingerprint{crash.fingerprint};
+    gate_.revoke(fingerprint);
+    if (auto const update =
+            state_->quarantine.record_crash(fingerprint, crash.replica, now)) {
         state_->log_event(log_line(event_code::content_held, log_level::warning)
-                              .with("content", to_string(content))
-                              .with("turn", word->revision)
+                              .with("content", to_string(fingerprint))
+                              .with("turn", update->revision)
                               .with("by", state_->own_address));
-        broadcast_quarantine(*word);
+        broadcast_quarantine(*update);
     }
 }
 
 // Few nodes count a content, the same ones for all, so that an end costs the
 // same number of datagrams with any number of nodes.
-std::set<std::string> peer_messenger::counters_of(std::uint64_t content) const {
+std::set<std::string>
+peer_messenger::crash_counters_of(std::uint64_t fingerprint) const {
     std::set<std::string> members;
     for (std::uint64_t each = 0; each < crash_counter_nodes; ++each) {
         std::size_t const partition =
-            combine_hashes(content, each) % partition_count;
-        auto const owner = owners_.find(partition);
-        if (owner != owners_.end() && owner->second != state_->own_address) {
-            members.insert(owner->second);
+            combine_hashes(fingerprint, each) % partition_count;
+        auto const holder = lease_holders_.find(partition);
+        if (holder != lease_holders_.end() &&
+            holder->second != state_->own_address) {
+            members.insert(holder->second);
         }
     }
     return members;
 }
 
-void peer_messenger::repeat_ends(instant now) {
-    while (!ends_.empty() && now >= ends_.front().until) {
-        ends_.pop_front();
+void peer_messenger::repeat_crashes(instant now) {
+    while (!recent_crashes_.empty() &&
+           now >= recent_crashes_.front().repeat_until) {
+        recent_crashes_.pop_front();
     }
     std::map<std::string, std::vector<peer_crash>> to;
-    for (told_end const& each : ends_) {
-        for (std::string const& member : counters_of(each.end.content)) {
-            to[member].push_back(each.end);
+    for (reported_crash const& each : recent_crashes_) {
+        for (std::string const& member :
+             crash_counters_of(each.crash.fingerprint)) {
+            to[member].push_back(each.crash);
         }
     }
     for (auto& [member, ends] : to) {
         while (!ends.empty()) {
             peer_datagram message;
-            message.ends = drain_batch(ends);
+            message.crashes = drain_batch(ends);
             send(member, std::move(message));
         }
     }
 }
 
-void peer_messenger::broadcast_quarantine(quarantine_update const& word) {
+void peer_messenger::broadcast_quarantine(quarantine_update const& update) {
     peer_datagram message;
-    message.quarantines.push_back(wire_of(word));
+    message.quarantines.push_back(to_wire(update));
     send_all(message);
 }
 
@@ -154,25 +158,25 @@
     state_->quarantine.remove_expired(now);
     peer_datagram message;
     for (quarantine_update const& each :
-         state_->quarantine.next_batch(most_quarantines, now)) {
-        message.quarantines.push_back(wire_of(each));
+         state_->quarantine.next_batch(max_quarantines_per_datagram, now)) {
+        message.quarantines.push_back(to_wire(each));
     }
     send_all(message);
 }
 
-void peer_messenger::take_quarantine(
-    peer_quarantine const& told, std::string const& from, instant now) {
-    quarantine_update const word{
-        request_fingerprint{told.content}, told.turn,
-        std::chrono::milliseconds(told.left_ms)};
-    if (!state_->quarantine.apply(word, now)) {
+void peer_messenger::handle_quarantine(
+    peer_quarantine const& message, std::string const& from, instant now) {
+    quarantine_update const update{
+        request_fingerprint{message.fingerprint}, message.revision,
+        std::chrono::milliseconds(message.remaining_ms)};
+    if (!state_->quarantine.apply(update, now)) {
         return;
     }
-    event_code const what = word.quarantined() ? event_code::content_held
-                                               : event_code::content_cleared;
+    event_code const what = update.quarantined() ? event_code::content_held
+                                                 : event_code::content_cleared;
     state_->log_event(log_line(what, log_level::warning)
-                          .with("content", to_string(word.fingerprint))
-                          .with("turn", word.revision)
+                          .with("content", to_string(update.fingerprint))
+                          .with("turn", update.revision)
                           .with("by", from));
 }
 
--- a/src/Gateway/peer_messenger_receive.cpp
+++ b/src/Gateway/peer_messenger_receive.cpp
@@ -10,58 +10,61 @@
 
 /// Slots come free and loads end within some hundred milliseconds: a forecast
 /// that is older says little.
-constexpr duration denial_lasts = std::chrono::milliseconds(400);
+constexpr duration rejection_lifetime = std::chrono::milliseconds(400);
 /// How long it may take a replica that has no place for another request: its
 /// runs have to end first.
-constexpr duration until_place = std::chrono::milliseconds(1'000);
+constexpr duration wait_for_capacity = std::chrono::milliseconds(1'000);
 
-bool waits(peer_load_request const& want) {
-    return want.kind < static_cast<std::uint8_t>(load_priority::prefetch);
+bool is_demand(peer_load_request const& request) {
+    return request.priority <
+           static_cast<std::uint8_t>(load_priority::prefetch);
 }
 
 } // namespace
 
-bool peer_messenger::has_place_for(
-    peer_load_request const& want, instant now) const {
+bool peer_messenger::has_capacity_for(
+    peer_load_request const& request, instant now) const {
     // Guards against hundreds of requests for an adapter that has just become
     // busy which all wait for one replica: those beyond its places are turned
     // away at once and have it loaded elsewhere at the same time.
-    replica const* const at = state_->replicas.find_by_hash(want.replica);
-    if (at == nullptr || !want.first_request) {
+    replica const* const at = state_->replicas.find_by_hash(request.replica);
+    if (at == nullptr || !request.first_request) {
         return true;
     }
-    replica_usage const total = ledger_.usage(want.replica, now);
+    replica_usage const total = request_tracker_.usage(request.replica, now);
     return replica_selector::has_capacity(total, at->record.slots);
 }
 
-void peer_messenger::take_want(
-    peer_load_request const& want, std::string const& from) {
+void peer_messenger::handle_load_request(
+    peer_load_request const& request, std::string const& from) {
     instant const now = boot_clock::now();
     std::optional<duration> const wait =
-        has_place_for(want, now) ? to_.want(want) : until_place;
+        has_capacity_for(request, now) ? handlers_.on_load_request(request)
+                                       : wait_for_capacity;
     if (!wait) {
-        if (waits(want) && want.first_request) {
-            ledger_.add_waiting_request(want.replica, now);
+        if (is_demand(request) && request.first_request) {
+            request_tracker_.add_waiting_request(request.replica, now);
         }
         return;
     }
-    peer_load_rejection const denial{
-        want.replica, want.adapter, clamped_milliseconds(*wait)};
+    peer_load_rejection const rejection{
+        request.replica, request.adapter, clamped_milliseconds(*wait)};
     if (from == state_->own_address) {
-        take_denial(denial, now);
+        handle_load_rejection(rejection, now);
         return;
     }
     peer_datagram message;
-    message.denials.push_back(denial);
+    message.load_rejections.push_back(rejection);
     send(from, std::move(message));
 }
 
-void peer_messenger::take_denial(
-    peer_load_rejection const& denial, instant now) {
-    if (replica* const at = state_->replicas.find_by_hash(denial.replica)) {
-        adapter_id const adapter(denial.adapter);
+void peer_messenger::handle_load_rejection(
+    peer_load_rejection const& rejection, instant now) {
+    if (replica* const at = state_->replicas.find_by_hash(rejection.replica)) {
+        adapter_id const adapter(rejection.adapter);
         at->denials[adapter] = {
-            now + denial_lasts, now + milliseconds(denial.wait_ms)};
+            now + rejection_lifetime,
+            now + milliseconds(rejection.expected_wait_ms)};
         state_->waiters.notify(adapter);
     }
 }
@@ -69,50 +72,50 @@
 void peer_messenger::receive(std::string const& bytes) {
     auto const message = decode_peer_datagram(bytes);
     if (message && message->from != state_->own_address) {
-        take(*message);
+        handle(*message);
     }
 }
 
-void peer_messenger::take(peer_datagram const& message) {
+void peer_messenger::handle(peer_datagram const& message) {
     instant const now = boot_clock::now();
     state_->peers[message.from] = now;
     // First, so that places of it are met by who knows it.
     if (message.declared_position.epoch > state_->epoch) {
-        to_.epoch(message.declared_position.epoch);
+        handlers_.on_epoch(message.declared_position.epoch);
     }
-    if (message.present) {
+    if (message.alive) {
         state_->start.handle_peer_total(message.from, message.declared_total);
     }
     if (message.queries_declared) {
-        send(message.from, declared());
+        send(message.from, status_message());
     }
-    for (peer_replica_usage const& each : message.loads) {
+    for (peer_replica_usage const& each : message.replica_usages) {
         replica_usage const total{
             each.running, static_cast<double>(each.backlog_tokens),
             each.free_slots};
         state_->replicas.update_usage(each.replica, total, now);
     }
-    for (peer_replica_usage_query const& each : message.asks) {
-        if (message.answers) {
+    for (peer_replica_usage_query const& each : message.usage_queries) {
+        if (message.answers_queries) {
             state_->waiters.notify(adapter_id(each.adapter));
         } else {
-            take_ask(each, message.from, now);
+            handle_usage_query(each, message.from, now);
         }
     }
     for (peer_claim const& each : message.claims) {
         if (each.partition >= partition_count) {
             continue;
         }
-        owners_[each.partition] = message.from;
+        lease_holders_[each.partition] = message.from;
         state_->leases.on_higher_token(each.partition, each.token);
     }
-    for (peer_residency const& each : message.words) {
+    for (peer_residency const& each : message.residencies) {
         replica const* const at = state_->replicas.find_by_hash(each.replica);
         adapter_id const adapter(each.adapter);
         if (at == nullptr) {
             continue;
         }
-        if (each.held) {
+        if (each.resident) {
             state_->replicas.mark_resident(
                 at->record.id, {adapter, each.version}, now);
             state_->waiters.notify(adapter);
@@ -125,36 +128,37 @@
             at->health.adopt_suspicion(now + milliseconds(each.milliseconds));
         }
     }
-    for (peer_load_request const& each : message.wants) {
-        take_want(each, message.from);
+    for (peer_load_request const& each : message.load_requests) {
+        handle_load_request(each, message.from);
     }
-    for (peer_load_rejection const& each : message.denials) {
-        take_denial(each, now);
+    for (peer_load_rejection const& each : message.load_rejections) {
+        handle_load_rejection(each, now);
     }
-    for (peer_crash const& each : message.ends) {
-        count_end(each, now);
+    for (peer_crash const& each : message.crashes) {
+        count_crash(each, now);
     }
     for (std::uint64_t const each : message.completions) {
-        clear(request_fingerprint{each});
+        lift_quarantine(request_fingerprint{each});
     }
-    for (peer_gate_message const& each : message.gates) {
-        take_gate(each, message.from, now);
+    for (peer_gate_message const& each : message.gate_messages) {
+        handle_gate_message(each, message.from, now);
     }
     if (message.knows_quarantines) {
         state_->quarantine_sync_state.on_message_from_synced_node(now);
     }
     for (peer_quarantine const& each : message.quarantines) {
-        take_quarantine(each, message.from, now);
+        handle_quarantine(each, message.from, now);
     }
-    for (peer_adapter_usage const& each : message.uses) {
-        take_use(each, message.from, now);
+    for (peer_adapter_usage const& each : message.adapter_usages) {
+        handle_usage(each, message.from, now);
     }
-    for (peer_registry_update const& each : message.readings) {
-        to_.reading(each);
+    for (peer_registry_update const& each : message.registry_updates) {
+        handlers_.on_registry_update(each);
     }
     if (is_ahead(message.declared_position, state_->declared_position) ||
         message.declared_total > state_->declared_total()) {
-        to_.declarations(message.declared_position, message.declared_total);
+        handlers_.on_peer_progress(
+            message.declared_position, message.declared_total);
     }
 }
 
--- a/src/Gateway/registry_follower.cpp
+++ b/src/Gateway/registry_follower.cpp
@@ -21,60 +21,61 @@
 
 /// How long one reading waits for news. A connection that has gone silent
 /// without a reset shows after this and the silence allowed.
-constexpr milliseconds wait_for_news{2'000};
+constexpr milliseconds long_poll_time{2'000};
 /// After a failed call. Shorter would spend calls that all nodes share.
-constexpr milliseconds retry_pause{250};
+constexpr milliseconds retry_delay{250};
 /// The list is read whole so often. Word of adapters comes from those who order
 /// for the replicas, so this mends only what was lost of it.
-constexpr duration whole_list_again = std::chrono::seconds(20);
+constexpr duration full_poll_interval = std::chrono::seconds(20);
 constexpr auto topic = platform::store_topic::replicas;
 
 /// @returns what to tell of a replica; its end when there is none
-peer_registry_entry change_of(endpoint_id const& id, replica const* at) {
-    peer_registry_entry told;
-    told.id = id.str();
+peer_registry_entry to_wire(endpoint_id const& id, replica const* at) {
+    peer_registry_entry entry;
+    entry.id = id.str();
     if (at == nullptr) {
-        return told;
+        return entry;
     }
     replica_record const& record = at->record;
-    told.listed = true;
-    told.heartbeat = record.heartbeat;
-    told.born =
+    entry.listed = true;
+    entry.heartbeat = record.heartbeat;
+    entry.started_at_ms =
         record.started_at ? record.started_at->time_since_epoch().count() : 0;
-    told.service = record.service.str();
-    told.host = record.address.host;
-    told.port = record.address.port;
-    told.domain = record.domain.str();
-    told.slots = record.slots;
-    told.leaving = record.leaving;
+    entry.service = record.service.str();
+    entry.host = record.address.host;
+    entry.port = record.address.port;
+    entry.domain = record.domain.str();
+    entry.slots = record.slots;
+    entry.leaving = record.leaving;
     if (record.remaining) {
-        told.remaining = static_cast<std::uint32_t>(record.remaining->count());
+        entry.remaining_ms =
+            static_cast<std::uint32_t>(record.remaining->count());
     }
     for (model_id const& each : record.models) {
-        told.models.push_back(each.str());
+        entry.models.push_back(each.str());
     }
-    return told;
+    return entry;
 }
 
 /// @returns the entry that was told of, with the adapters that are known here
 replica_record
-record_of(peer_registry_entry const& told, fleet const& replicas) {
+from_wire(peer_registry_entry const& entry, fleet const& replicas) {
     replica_record record;
-    record.id = endpoint_id(told.id);
-    record.service = service_id(told.service);
-    record.address = {told.host, told.port};
-    record.domain = domain_id(told.domain);
-    record.slots = told.slots;
-    record.heartbeat = told.heartbeat;
-    record.leaving = told.leaving;
-    if (told.remaining > 0) {
-        record.remaining = milliseconds(told.remaining);
+    record.id = endpoint_id(entry.id);
+    record.service = service_id(entry.service);
+    record.address = {entry.host, entry.port};
+    record.domain = domain_id(entry.domain);
+    record.slots = entry.slots;
+    record.heartbeat = entry.heartbeat;
+    record.leaving = entry.leaving;
+    if (entry.remaining_ms > 0) {
+        record.remaining = milliseconds(entry.remaining_ms);
     }
-    for (std::string const& each : told.models) {
+    for (std::string const& each : entry.models) {
         record.models.emplace_back(each);
     }
-    if (told.born != 0) {
-        record.started_at = incarnation(milliseconds(told.born));
+    if (entry.started_at_ms != 0) {
+        record.started_at = incarnation(milliseconds(entry.started_at_ms));
     }
     replica const* const known = replicas.find(record.id);
     if (known != nullptr && known->record.started_at == record.started_at) {
@@ -90,19 +91,19 @@
 } // namespace
 
 registry_follower::registry_follower(
-    gateway_state& state, platform::store_client& store, store_monitor& watch,
-    peer_messenger& words, std::function<void()> changed)
+    gateway_state& state, platform::store_client& store, store_monitor& monitor,
+    peer_messenger& messenger, std::function<void()> changed)
     : state_(&state)
     , store_(&store)
-    , monitor_(&watch)
-    , messenger_(&words)
-    , changed_(std::move(changed))
-    , turns_(state.settings.registry_poll_interval)
-    , list_timer_(state.io) {}
+    , monitor_(&monitor)
+    , messenger_(&messenger)
+    , on_change_(std::move(changed))
+    , schedule_(state.settings.registry_poll_interval)
+    , poll_timer_(state.io) {}
 
 void registry_follower::stop() {
     *running_ = false;
-    list_timer_.cancel();
+    poll_timer_.cancel();
 }
 
 void registry_follower::start() {
@@ -110,27 +111,27 @@
         state_->io, [this] { return follow(); }, asio::detached);
 }
 
-asio::awaitable<void> registry_follower::pause(milliseconds time) {
+asio::awaitable<void> registry_follower::sleep_for(milliseconds time) {
     asio::steady_timer timer(state_->io, time);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-void registry_follower::note_gone(endpoint_id const& id) {
+void registry_follower::log_removal(endpoint_id const& id) {
     state_->log_event(
         log_line(event_code::replica_gone).with("replica", id.str()));
-    changed_();
+    on_change_();
 }
 
-void registry_follower::take_end(endpoint_id const& id) {
+void registry_follower::apply_removal(endpoint_id const& id) {
     instant const now = boot_clock::now();
     bool const keep = !state_->store_stable(now);
     if (state_->replicas.mark_unlisted(id, keep, now) ==
         fleet_change::removed) {
-        note_gone(id);
+        log_removal(id);
     }
 }
 
-bool registry_follower::apply(replica_record const& record) {
+bool registry_follower::apply_entry(replica_record const& record) {
     fleet_change const change =
         state_->replicas.apply(record, boot_clock::now());
     if (change == fleet_change::none) {
@@ -149,81 +150,82 @@
             .with("replica", record.id.str())
             .with("service", record.service.str())
             .with("domain", record.domain.str()));
-    changed_();
+    on_change_();
     return true;
 }
 
-registry_follower::taken
-registry_follower::take_replica(platform::keyed_record const& record) {
+registry_follower::record_effect
+registry_follower::apply_record(platform::keyed_record const& record) {
     if (!record.value) {
-        take_end(endpoint_id(record.key));
+        apply_removal(endpoint_id(record.key));
         return {false, true};
     }
-    auto const read = platform::read_replica(record.key, *record.value);
-    if (!read) {
+    auto const parsed = platform::read_replica(record.key, *record.value);
+    if (!parsed) {
         // Whoever wrote it: what it names can't be used, as if it had ended.
         state_->log_event(
             log_line(event_code::configuration_rejected, log_level::error)
                 .with("replica", record.key)
                 .with("findings", "no entry of a replica"));
-        take_end(endpoint_id(record.key));
+        apply_removal(endpoint_id(record.key));
         return {false, true};
     }
-    bool const news = apply(*read);
-    for (adapter_ref const& each : read->adapters) {
+    bool const changed = apply_entry(*parsed);
+    for (adapter_ref const& each : parsed->adapters) {
         state_->waiters.notify(each.id);
     }
-    return {true, news};
+    return {true, changed};
 }
 
 void registry_follower::handle_registry_update(
-    peer_registry_update const& reading) {
+    peer_registry_update const& update) {
     instant const now = boot_clock::now();
-    if (reading.to.epoch != reading.from.epoch) {
+    if (update.to.epoch != update.from.epoch) {
         return;
     }
-    registry_update_fit const word =
-        turns_.handle_update(reading.from, reading.to, now);
-    if (word == registry_update_fit::later_epoch) {
-        monitor_->observe_epoch(reading.to.epoch, epoch_from_peer);
+    registry_update_fit const fit =
+        schedule_.handle_update(update.from, update.to, now);
+    if (fit == registry_update_fit::later_epoch) {
+        monitor_->observe_epoch(update.to.epoch, epoch_from_peer);
     }
-    if (word == registry_update_fit::applies) {
-        for (peer_registry_entry const& each : reading.changes) {
+    if (fit == registry_update_fit::applies) {
+        for (peer_registry_entry const& each : update.changes) {
             if (each.listed) {
-                apply(record_of(each, state_->replicas));
+                apply_entry(from_wire(each, state_->replicas));
             } else {
-                take_end(endpoint_id(each.id));
+                apply_removal(endpoint_id(each.id));
             }
         }
     }
-    list_timer_.cancel();
+    poll_timer_.cancel();
 }
 
-void registry_follower::tell(
+void registry_follower::apply_and_broadcast(
     store_position from, platform::keyed_batch const& batch) {
-    peer_registry_update reading;
+    peer_registry_update update;
     // What others have told meanwhile is no news here any more, so this word
     // must not cover it: whoever has missed theirs would take it for whole.
-    bool const told_on = is_ahead(batch.next, turns_.position());
-    reading.from = max_position(from, told_on ? turns_.position() : batch.next);
-    reading.to = batch.next;
+    bool const peers_ahead = is_ahead(batch.next, schedule_.position());
+    update.from =
+        max_position(from, peers_ahead ? schedule_.position() : batch.next);
+    update.to = batch.next;
     for (platform::keyed_record const& each : batch.records) {
-        taken const came = take_replica(each);
-        if (came.news) {
+        record_effect const effect = apply_record(each);
+        if (effect.changed) {
             endpoint_id const id(each.key);
-            peer_registry_entry change =
-                change_of(id, came.entry ? state_->replicas.find(id) : nullptr);
-            change.place = each.place;
-            reading.changes.push_back(std::move(change));
+            peer_registry_entry change = to_wire(
+                id, effect.is_entry ? state_->replicas.find(id) : nullptr);
+            change.position = each.place;
+            update.changes.push_back(std::move(change));
         }
     }
-    messenger_->broadcast_registry_update(std::move(reading));
+    messenger_->broadcast_registry_update(std::move(update));
 }
 
-void registry_follower::take_whole(platform::keyed_batch const& batch) {
+void registry_follower::apply_snapshot(platform::keyed_batch const& batch) {
     std::vector<endpoint_id> listed;
     for (platform::keyed_record const& each : batch.records) {
-        if (take_replica(each).entry) {
+        if (apply_record(each).is_entry) {
             listed.emplace_back(each.key);
         }
     }
@@ -231,29 +233,29 @@
     bool const keep = !state_->store_stable(now);
     for (endpoint_id const& id :
          state_->replicas.mark_unlisted_except(listed, keep, now)) {
-        note_gone(id);
+        log_removal(id);
     }
 }
 
 asio::awaitable<platform::store_result<platform::keyed_batch>>
-registry_follower::ask(bool whole, store_position from) {
+registry_follower::fetch_batch(bool full, store_position from) {
     platform::reading_times times;
     times.silence = state_->settings.store_timeout;
-    if (whole) {
+    if (full) {
         co_return co_await store_->newest(topic, times, reading_);
     }
-    times.wait = wait_for_news;
+    times.wait = long_poll_time;
     co_return co_await store_->read_on(topic, from, times, reading_);
 }
 
-asio::awaitable<bool> registry_follower::step() {
-    bool const whole = turns_.needs_full_poll();
-    store_position const from = turns_.position();
+asio::awaitable<bool> registry_follower::try_poll() {
+    bool const full = schedule_.needs_full_poll();
+    store_position const from = schedule_.position();
     instant const began = boot_clock::now();
     reading_ = platform::store_reading();
-    auto const batch = co_await ask(whole, from);
+    auto const batch = co_await fetch_batch(full, from);
     log_store_read(
-        *state_, topic, whole ? "whole" : "on", from.offset, began, reading_,
+        *state_, topic, full ? "whole" : "on", from.offset, began, reading_,
         batch);
     if (!batch && reading_.cancelled()) {
         co_return true;
@@ -263,7 +265,7 @@
             batch.error() == platform::store_failure::forgotten;
         if (forgotten) {
             monitor_->note_answer();
-            turns_.position_expired();
+            schedule_.position_expired();
         } else {
             monitor_->note_failure(topic, began, reading_, batch.error());
         }
@@ -271,29 +273,29 @@
     }
     monitor_->note_answer();
     store_position const next = batch.value().next;
-    if (!turns_.is_valid_answer(whole, from, next)) {
+    if (!schedule_.is_valid_answer(full, from, next)) {
         co_return false;
     }
-    if (whole) {
-        take_whole(batch.value());
+    if (full) {
+        apply_snapshot(batch.value());
         monitor_->note_snapshot(topic, next.epoch);
     } else {
-        tell(from, batch.value());
+        apply_and_broadcast(from, batch.value());
     }
-    turns_.poll_completed(next, boot_clock::now());
+    schedule_.poll_completed(next, boot_clock::now());
     co_return true;
 }
 
-asio::awaitable<void> registry_follower::read() {
-    bool const answered = co_await step();
+asio::awaitable<void> registry_follower::poll() {
+    bool const answered = co_await try_poll();
     if (!answered) {
-        co_await pause(retry_pause);
+        co_await sleep_for(retry_delay);
     }
 }
 
 void registry_follower::on_store_rollback(store_epoch epoch, instant read_at) {
-    turns_.enter_epoch(epoch, read_at);
-    list_timer_.cancel();
+    schedule_.enter_epoch(epoch, read_at);
+    poll_timer_.cancel();
     // It waits for what comes after an old place, for as long as two seconds.
     if (!reading_.begun()) {
         reading_.cancel();
@@ -302,31 +304,32 @@
 
 asio::awaitable<void> registry_follower::follow() {
     auto const alive = running_;
-    instant read_whole = boot_clock::now();
+    instant last_full_poll = boot_clock::now();
     std::uniform_real_distribution<double> part(0, 1);
-    double draw = part(state_->random);
+    double random_sample = part(state_->random);
     while (*alive) {
         instant const now = boot_clock::now();
         for (endpoint_id const& id :
              state_->replicas.expire_missing(state_->store_stable(now), now)) {
-            note_gone(id);
+            log_removal(id);
         }
         // A node that takes the store for lost sees its return by itself only.
         bool const lost = state_->store_unreachable_since != instant::max();
-        if (now >= read_whole + whole_list_again) {
-            turns_.require_full_poll();
-            read_whole = now;
+        if (now >= last_full_poll + full_poll_interval) {
+            schedule_.require_full_poll();
+            last_full_poll = now;
         }
-        if (lost || now >= turns_.next_poll_time(draw)) {
-            co_await read();
-            draw = part(state_->random);
+        if (lost || now >= schedule_.next_poll_time(random_sample)) {
+            co_await poll();
+            random_sample = part(state_->random);
             continue;
         }
-        instant const calm = state_->store_stable_from();
-        instant const due = turns_.next_poll_time(draw);
-        instant const wake = now < calm ? std::min(due, calm) : due;
-        list_timer_.expires_after(time_until(wake));
-        co_await list_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
+        instant const stable_from = state_->store_stable_from();
+        instant const due = schedule_.next_poll_time(random_sample);
+        instant const wake =
+            now < stable_from ? std::min(due, stable_from) : due;
+        poll_timer_.expires_after(time_until(wake));
+        co_await poll_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
     }
 }
 
--- a/src/Gateway/registry_follower.hpp
+++ b/src/Gateway/registry_follower.hpp
@@ -27,7 +27,7 @@
     /// @param changed called when replicas have changed
     registry_follower(
         gateway_state& state, platform::store_client& store,
-        store_monitor& watch, peer_messenger& words,
+        store_monitor& monitor, peer_messenger& messenger,
         std::function<void()> changed);
 
     /// Begins to follow.
@@ -35,39 +35,40 @@
     /// Ends at the next answer.
     void stop();
     /// Another node has read on in the list.
-    void handle_registry_update(peer_registry_update const& reading);
+    void handle_registry_update(peer_registry_update const& update);
     /// The store has come back from an older copy: the list is read whole.
     void on_store_rollback(store_epoch epoch, instant read_at);
 
 private:
     boost::asio::awaitable<void> follow();
     boost::asio::awaitable<platform::store_result<platform::keyed_batch>>
-    ask(bool whole, store_position from);
-    boost::asio::awaitable<void> read();
-    boost::asio::awaitable<bool> step();
-    void tell(store_position from, platform::keyed_batch const& batch);
-    bool apply(replica_record const& record);
-    boost::asio::awaitable<void> pause(std::chrono::milliseconds time);
+    fetch_batch(bool full, store_position from);
+    boost::asio::awaitable<void> poll();
+    boost::asio::awaitable<bool> try_poll();
+    void apply_and_broadcast(
+        store_position from, platform::keyed_batch const& batch);
+    bool apply_entry(replica_record const& record);
+    boost::asio::awaitable<void> sleep_for(std::chrono::milliseconds time);
     /// What a record of the list comes to.
-    struct taken {
+    struct record_effect {
         /// It is the entry of a replica.
-        bool entry = false;
+        bool is_entry = false;
         /// Other nodes are to be told.
-        bool news = false;
+        bool changed = false;
     };
-    taken take_replica(platform::keyed_record const& record);
-    void take_end(endpoint_id const& id);
-    void take_whole(platform::keyed_batch const& batch);
-    void note_gone(endpoint_id const& id);
+    record_effect apply_record(platform::keyed_record const& record);
+    void apply_removal(endpoint_id const& id);
+    void apply_snapshot(platform::keyed_batch const& batch);
+    void log_removal(endpoint_id const& id);
 
     gateway_state* state_;
     platform::store_client* store_;
     store_monitor* monitor_;
     peer_messenger* messenger_;
-    std::function<void()> changed_;
-    registry_poll_schedule turns_;
+    std::function<void()> on_change_;
+    registry_poll_schedule schedule_;
     platform::store_reading reading_;
-    boost::asio::steady_timer list_timer_;
+    boost::asio::steady_timer poll_timer_;
     // Shared with the coroutine, which ends after it has turned false.
     std::shared_ptr<bool> running_ = std::make_shared<bool>(true);
 };
--- a/src/Gateway/replica_controller.cpp
+++ b/src/Gateway/replica_controller.cpp
@@ -26,16 +26,16 @@
 /// means that it, or the way to it, is down.
 constexpr milliseconds replica_timeout{700};
 /// A worker without the right to order asks again.
-constexpr milliseconds no_right_pause{100};
+constexpr milliseconds retry_interval{100};
 /// An entry lapses three writings, of a second or a little more, after the
 /// last.
-constexpr duration entry_lapses = std::chrono::seconds(4);
+constexpr duration registry_entry_lifetime = std::chrono::seconds(4);
 /// The span over which the loads of base models are counted.
 constexpr duration load_window = std::chrono::seconds(5);
 
-load_priority kind_of(peer_load_request const& asked) {
+load_priority priority_of(peer_load_request const& request) {
     auto const last = static_cast<std::uint8_t>(load_priority::prefetch);
-    return static_cast<load_priority>(std::min(asked.kind, last));
+    return static_cast<load_priority>(std::min(request.priority, last));
 }
 
 } // namespace
@@ -49,7 +49,7 @@
 void replica_controller::start() {
     *running_ = true;
     asio::co_spawn(
-        state_->io, [this] { return renew(); }, asio::detached);
+        state_->io, [this] { return run_renewals(); }, asio::detached);
 }
 
 void replica_controller::stop() {
@@ -60,12 +60,12 @@
     state_->leases.clear();
     wake_workers();
     asio::co_spawn(
-        state_->io, [this] { return leave(); }, asio::detached);
+        state_->io, [this] { return leave_group(); }, asio::detached);
 }
 
 void replica_controller::wake_workers() {
-    for (auto const& [id, held] : held_) {
-        held->wake.cancel();
+    for (auto const& [id, controlled] : replicas_) {
+        controlled->wake.cancel();
     }
     if (*running_) {
         spawn_workers();
@@ -92,31 +92,34 @@
     for (auto const& [id, at] : state_->replicas.all()) {
         auto const token = state_->leases.token(partition_of(id), now);
         auto const limits = limits_of(at);
-        if (!token || !limits || !at.accepts_requests() || held_.contains(id)) {
+        if (!token || !limits || !at.accepts_requests() ||
+            replicas_.contains(id)) {
             continue;
         }
-        auto const held = std::make_shared<held_replica>(
+        auto const controlled = std::make_shared<controlled_replica>(
             *limits, limiter_, state_->io, *token,
             *state_->leases.exclusive_since(partition_of(id)));
-        held_[id] = held;
-        limiter_->set_replicas(held_.size());
-        by_short_name_[fleet::id_hash(id)] = id;
+        replicas_[id] = controlled;
+        limiter_->set_replicas(replicas_.size());
+        ids_by_hash_[fleet::id_hash(id)] = id;
         asio::co_spawn(
-            state_->io, [this, id = id, held] { return work(id, held); },
+            state_->io,
+            [this, id = id, controlled] { return run_worker(id, controlled); },
             asio::detached);
     }
 }
 
-std::map<endpoint_id, replica_controller::held_ptr>::const_iterator
-replica_controller::find_held(std::uint64_t replica) const {
-    auto const id = by_short_name_.find(replica);
-    return id == by_short_name_.end() ? held_.end() : held_.find(id->second);
+std::map<endpoint_id, replica_controller::controlled_ptr>::const_iterator
+replica_controller::find_controlled(std::uint64_t replica) const {
+    auto const id = ids_by_hash_.find(replica);
+    return id == ids_by_hash_.end() ? replicas_.end()
+                                    : replicas_.find(id->second);
 }
 
 std::optional<duration>
-replica_controller::handle_load_request(peer_load_request const& asked) {
-    auto const held = find_held(asked.replica);
-    if (held == held_.end()) {
+replica_controller::handle_load_request(peer_load_request const& request) {
+    auto const controlled = find_controlled(request.replica);
+    if (controlled == replicas_.end()) {
         // Another may order for it by now. A node that is stopping can't give
         // its replicas to another while the store is down.
         if (*running_) {
@@ -124,140 +127,147 @@
         }
         return state_->settings.leases.lease;
     }
-    adapter_ref const adapter{adapter_id(asked.adapter), asked.version};
-    slot_tracker& account = held->second->account;
-    if (account.ready(adapter)) {
+    adapter_ref const adapter{adapter_id(request.adapter), request.version};
+    slot_tracker& tracker = controlled->second->tracker;
+    if (tracker.ready(adapter)) {
         // Whoever asks has missed the word of it.
-        publish(held->first, account);
-        std::vector<peer_residency> words{
-            {0, asked.adapter, asked.version, true}};
-        messenger_->broadcast_residency(held->first, std::move(words));
-        state_->replicas.mark_resident(held->first, adapter, boot_clock::now());
+        publish_changes(controlled->first, tracker);
+        std::vector<peer_residency> residencies{
+            {0, request.adapter, request.version, true}};
+        messenger_->broadcast_residency(
+            controlled->first, std::move(residencies));
+        state_->replicas.mark_resident(
+            controlled->first, adapter, boot_clock::now());
         state_->waiters.notify(adapter.id);
         return std::nullopt;
     }
     instant const now = boot_clock::now();
-    load_priority const kind = kind_of(asked);
+    load_priority const priority = priority_of(request);
     // Repeats keep their place.
-    bool const may_refuse =
-        asked.first_request || kind == load_priority::prefetch;
-    auto const refused =
-        may_refuse ? account.refused_wait(
-                         adapter, kind, milliseconds(asked.patience_ms), now)
-                   : std::nullopt;
-    bool const fresh = !account.load_requested(adapter.id);
-    if (refused || fresh) {
+    bool const may_reject =
+        request.first_request || priority == load_priority::prefetch;
+    auto const rejected_wait =
+        may_reject
+            ? tracker.refused_wait(
+                  adapter, priority, milliseconds(request.wait_budget_ms), now)
+            : std::nullopt;
+    bool const first_for_adapter = !tracker.load_requested(adapter.id);
+    if (rejected_wait || first_for_adapter) {
         state_->log_event(
             log_line(
-                refused ? event_code::load_turned_away
-                        : event_code::load_queued)
-                .with("replica", held->first.str())
-                .with("adapter", asked.adapter)
-                .with("kind", to_string(kind))
-                .with("forecast_ms", account.expected_wait(adapter, kind, now))
-                .with("patience_ms", static_cast<int>(asked.patience_ms))
-                .with("free", account.available_slots(now))
-                .with("waiting", account.pending_requests()));
+                rejected_wait ? event_code::load_turned_away
+                              : event_code::load_queued)
+                .with("replica", controlled->first.str())
+                .with("adapter", request.adapter)
+                .with("kind", to_string(priority))
+                .with(
+                    "forecast_ms",
+                    tracker.expected_wait(adapter, priority, now))
+                .with("patience_ms", static_cast<int>(request.wait_budget_ms))
+                .with("free", tracker.available_slots(now))
+                .with("waiting", tracker.pending_requests()));
     }
-    if (refused) {
-        return refused;
+    if (rejected_wait) {
+        return rejected_wait;
     }
-    account.request_load(adapter, kind, now);
-    held->second->wake.cancel();
+    tracker.request_load(adapter, priority, now);
+    controlled->second->wake.cancel();
     return std::nullopt;
 }
 
-void replica_controller::handle_usage(peer_adapter_usage const& told) {
-    auto const held = find_held(told.replica);
-    if (held != held_.end()) {
-        held->second->account.record_use(
-            adapter_id(told.adapter), told.running > 0, boot_clock::now());
+void replica_controller::handle_usage(peer_adapter_usage const& usage) {
+    auto const controlled = find_controlled(usage.replica);
+    if (controlled != replicas_.end()) {
+        controlled->second->tracker.record_use(
+            adapter_id(usage.adapter), usage.running > 0, boot_clock::now());
     }
 }
 
 int replica_controller::free_slots(std::uint64_t replica) const {
-    auto const held = find_held(replica);
-    return held == held_.end()
+    auto const controlled = find_controlled(replica);
+    return controlled == replicas_.end()
                ? 0
-               : held->second->account.available_slots(boot_clock::now());
+               : controlled->second->tracker.available_slots(boot_clock::now());
 }
 
-void replica_controller::publish(endpoint_id const& id, slot_tracker& account) {
+void replica_controller::publish_changes(
+    endpoint_id const& id, slot_tracker& tracker) {
     instant const now = boot_clock::now();
-    std::vector<peer_residency> words;
-    for (residency_change const& each : account.drain_changes()) {
+    std::vector<peer_residency> residencies;
+    for (residency_change const& each : tracker.drain_changes()) {
         if (each.resident) {
             state_->replicas.mark_resident(id, each.adapter, now);
             state_->waiters.notify(each.adapter.id);
         } else {
             state_->replicas.mark_unloading(id, each.adapter.id, now);
         }
-        words.push_back(
+        residencies.push_back(
             {0, each.adapter.id.str(), each.adapter.version, each.resident});
     }
-    messenger_->broadcast_residency(id, std::move(words));
+    messenger_->broadcast_residency(id, std::move(residencies));
 }
 
-asio::awaitable<void> replica_controller::work(endpoint_id id, held_ptr held) {
-    while (*running_ && !held->ended) {
-        co_await work_once(id, held);
+asio::awaitable<void>
+replica_controller::run_worker(endpoint_id id, controlled_ptr controlled) {
+    while (*running_ && !controlled->stopped) {
+        co_await run_worker_step(id, controlled);
     }
-    held_.erase(id);
-    limiter_->set_replicas(held_.size());
-    by_short_name_.erase(fleet::id_hash(id));
+    replicas_.erase(id);
+    limiter_->set_replicas(replicas_.size());
+    ids_by_hash_.erase(fleet::id_hash(id));
 }
 
 asio::awaitable<void>
-replica_controller::work_once(endpoint_id id, held_ptr held) {
+replica_controller::run_worker_step(endpoint_id id, controlled_ptr controlled) {
     replica const* const at = state_->replicas.find(id);
     instant const now = boot_clock::now();
     auto const token = state_->leases.token(partition_of(id), now);
     auto const since = state_->leases.exclusive_since(partition_of(id));
     if (at == nullptr || !at->accepts_requests() || !token ||
-        since != held->since) {
-        held->ended = true;
+        since != controlled->since) {
+        controlled->stopped = true;
         co_return;
     }
-    slot_tracker& account = held->account;
-    if (*token != held->token) {
+    slot_tracker& tracker = controlled->tracker;
+    if (*token != controlled->token) {
         // The same holder under a new number: what it knows of the replica
         // holds on, and a report shows what it may have missed.
-        held->token = *token;
-        account.require_report();
+        controlled->token = *token;
+        tracker.require_report();
     }
-    if (at->record.started_at != held->born) {
+    if (at->record.started_at != controlled->started_at) {
         // Asked by report, which is newer than the list: it may know already.
-        held->born = at->record.started_at;
-        account.require_report();
+        controlled->started_at = at->record.started_at;
+        tracker.require_report();
     }
-    if (account.report_due(now)) {
-        co_await report(id, held);
+    if (tracker.report_due(now)) {
+        co_await fetch_report(id, controlled);
         co_return;
     }
-    want_newer_versions(account);
+    request_newer_versions(tracker);
     service_definition const* const service =
         state_->configuration.find_service(at->record.service);
-    if (account.has_report() && !account.has_model() &&
-        !account.base_model_set() && service != nullptr && service->engine &&
-        !service->engine->models.empty() && may_load_model(*service)) {
-        account.set_base_model(service->engine->models.front().name);
+    if (tracker.has_report() && !tracker.has_model() &&
+        !tracker.base_model_set() && service != nullptr && service->engine &&
+        !service->engine->models.empty() && try_admit_model_load(*service)) {
+        tracker.set_base_model(service->engine->models.front().name);
     }
-    auto const next = account.next_command(now);
-    publish(id, account);
+    auto const next = tracker.next_command(now);
+    publish_changes(id, tracker);
     if (next) {
-        co_await order(id, held, *next);
+        co_await send_command(id, controlled, *next);
         co_return;
     }
-    held->wake.expires_after(std::max<duration>(
-        time_until(account.next_check_at(now)), milliseconds(5)));
-    co_await held->wake.async_wait(use_result);
+    controlled->wake.expires_after(std::max<duration>(
+        time_until(tracker.next_check_at(now)), milliseconds(5)));
+    co_await controlled->wake.async_wait(use_result);
 }
 
 asio::awaitable<void>
-replica_controller::report(endpoint_id id, held_ptr held) {
+replica_controller::fetch_report(endpoint_id id, controlled_ptr controlled) {
     replica const* const at = state_->replicas.find(id);
     ip_address to = at->record.address;
-    bool const first = !held->account.has_report();
+    bool const first = !controlled->tracker.has_report();
     http_call call(state_->io.get_executor(), &state_->replica_connections);
     call_times times;
     times.each_step = replica_timeout;
@@ -271,12 +281,12 @@
     auto const read =
         answered ? platform::read_report(got.response.body) : std::nullopt;
     if (!read) {
-        held->account.on_report_failed(now);
-        asio::steady_timer timer(state_->io, no_right_pause);
+        controlled->tracker.on_report_failed(now);
+        asio::steady_timer timer(state_->io, retry_interval);
         co_await timer.async_wait(use_result);
         co_return;
     }
-    held->account.apply_report(*read, now);
+    controlled->tracker.apply_report(*read, now);
     if (first) {
         state_->log_event(log_line(event_code::replica_reported)
                               .with("replica", id.str())
@@ -284,21 +294,21 @@
                               .with("adapters", read->adapters.size())
                               .with("models", read->models.size()));
     }
-    publish(id, held->account);
+    publish_changes(id, controlled->tracker);
 }
 
-asio::awaitable<void> replica_controller::order(
-    endpoint_id id, held_ptr held, replica_command order) {
+asio::awaitable<void> replica_controller::send_command(
+    endpoint_id id, controlled_ptr controlled, replica_command command) {
     replica const* const at = state_->replicas.find(id);
     ip_address to = at->record.address;
     http_call call(state_->io.get_executor(), &state_->replica_connections);
     http_request request = platform::make_order(
-        order, id, state_->settings.name.str(), held->token);
+        command, id, state_->settings.name.str(), controlled->token);
     // Read again right before the act: the node may have been suspended.
     instant const now = boot_clock::now();
     auto const token = state_->leases.token(partition_of(id), now);
-    if (!token || *token != held->token) {
-        held->account.on_result(order, command_result::not_sent, now);
+    if (!token || *token != controlled->token) {
+        controlled->tracker.on_result(command, command_result::not_sent, now);
         co_return;
     }
     call_times const times = command_times(state_->leases);
@@ -312,21 +322,22 @@
     }
     state_->metrics.count_command(to_string(answer));
     // An order that is given again to see how far it is decides nothing.
-    bool const same_again = held->account.command_pending(order.adapter.id) &&
-                            answer == command_result::accepted;
-    if (!same_again) {
-        note_order(id, *held, order, answer);
+    bool const status_check =
+        controlled->tracker.command_pending(command.adapter.id) &&
+        answer == command_result::accepted;
+    if (!status_check) {
+        log_command(id, *controlled, command, answer);
     }
     if (answer == command_result::fenced) {
-        state_->leases.on_higher_token(partition_of(id), held->token + 1);
+        state_->leases.on_higher_token(partition_of(id), controlled->token + 1);
     }
-    held->account.on_result(order, answer, boot_clock::now());
-    publish(id, held->account);
+    controlled->tracker.on_result(command, answer, boot_clock::now());
+    publish_changes(id, controlled->tracker);
     if (answer == command_result::wrong_replica) {
-        note_replaced(id);
+        handle_replaced_replica(id);
     }
     if (answer == command_result::not_sent) {
-        asio::steady_timer timer(state_->io, no_right_pause);
+        asio::steady_timer timer(state_->io, retry_interval);
         co_await timer.async_wait(use_result);
     }
 }
@@ -334,7 +345,7 @@
 // Guards against a replica that has ended and stands in the list until its
 // entry lapses, after the store's outage for seconds: adapters were asked for
 // there, and the replica that has its address now turned each order away.
-void replica_controller::note_replaced(endpoint_id const& id) {
+void replica_controller::handle_replaced_replica(endpoint_id const& id) {
     instant const now = boot_clock::now();
     replica const* const at = state_->replicas.find(id);
     if (at == nullptr || !at->accepts_requests()) {
@@ -343,52 +354,53 @@
     state_->log_event(log_line(event_code::replica_gone, log_level::warning)
                           .with("replica", id.str())
                           .with("why", "its address is another's"));
-    messenger_->broadcast_suspicion(*at, entry_lapses);
+    messenger_->broadcast_suspicion(*at, registry_entry_lifetime);
     state_->replicas.mark_unlisted(id, false, now);
 }
 
-void replica_controller::note_order(
-    endpoint_id const& id, held_replica const& held,
-    replica_command const& order, command_result answer) {
+void replica_controller::log_command(
+    endpoint_id const& id, controlled_replica const& controlled,
+    replica_command const& command, command_result answer) {
     state_->log_event(log_line(event_code::order_answered)
                           .with("replica", id.str())
-                          .with("order", to_string(order.kind))
-                          .with("adapter", order.adapter.id.str())
-                          .with("expect", order.expected_count)
-                          .with("token", held.token)
+                          .with("order", to_string(command.kind))
+                          .with("adapter", command.adapter.id.str())
+                          .with("expect", command.expected_count)
+                          .with("token", controlled.token)
                           .with("answer", to_string(answer)));
 }
 
-void replica_controller::want_newer_versions(slot_tracker& account) {
+void replica_controller::request_newer_versions(slot_tracker& tracker) {
     // What is in use is left as it is, and the account sees to that: requests
     // go to a replica that gets the new version in a slot of its own.
     instant const now = boot_clock::now();
     for (adapter_ref const& each : state_->versions.all()) {
         bool const outdated =
-            account.ready({each.id, 0}) && !account.ready(each);
+            tracker.ready({each.id, 0}) && !tracker.ready(each);
         if (outdated) {
-            account.request_load(each, load_priority::prefetch, now);
+            tracker.request_load(each, load_priority::prefetch, now);
         }
     }
 }
 
-bool replica_controller::may_load_model(service_definition const& service) {
+bool replica_controller::try_admit_model_load(
+    service_definition const& service) {
     // Loads of base models are rated over all replicas. Each holder takes a
     // share as large as its part of the partitions.
     instant const now = boot_clock::now();
-    std::erase_if(model_loads_, [&](instant const each) {
+    std::erase_if(model_load_times_, [&](instant const each) {
         return now >= each + load_window;
     });
     std::chrono::duration<double> const window = load_window;
-    double const share =
+    double const fraction =
         static_cast<double>(state_->leases.held_partitions().size()) /
         static_cast<double>(partition_count);
-    double const most = std::max(
-        1.0, service.engine->loads_per_second * window.count() * share);
-    if (static_cast<double>(model_loads_.size()) + 1 > most) {
+    double const max_loads = std::max(
+        1.0, service.engine->loads_per_second * window.count() * fraction);
+    if (static_cast<double>(model_load_times_.size()) + 1 > max_loads) {
         return false;
     }
-    model_loads_.push_back(now);
+    model_load_times_.push_back(now);
     return true;
 }
 
--- a/src/Gateway/replica_controller_leases.cpp
+++ b/src/Gateway/replica_controller_leases.cpp
@@ -22,17 +22,17 @@
 
 std::string const group_name = "holders";
 /// The store deals out partitions of topics; a topic has so many.
-constexpr std::size_t parts_of_topic = 12;
-constexpr std::size_t topic_count = partition_count / parts_of_topic;
+constexpr std::size_t partitions_per_topic = 12;
+constexpr std::size_t topic_count = partition_count / partitions_per_topic;
 
 /// Owners may change without a new generation reaching this node.
-constexpr duration owners_again = std::chrono::seconds(30);
+constexpr duration holders_refresh_interval = std::chrono::seconds(30);
 /// At a change of members, which come in rows when nodes are stopped in turn.
 /// Without it nodes that begin together know of each other by halves, and each
 /// takes a larger share of the budget of second sends than is its.
-constexpr duration owners_changed = std::chrono::seconds(2);
+constexpr duration holders_changed_interval = std::chrono::seconds(2);
 /// While a holder is missing.
-constexpr duration owners_missing = std::chrono::seconds(1);
+constexpr duration holders_missing_interval = std::chrono::seconds(1);
 std::string topic_name(std::size_t number) {
     return fmt::format("holding{}", number);
 }
@@ -41,7 +41,7 @@
 std::optional<std::size_t>
 partition_number(std::string const& topic, unsigned part) {
     std::string const prefix = "holding";
-    if (!topic.starts_with(prefix) || part >= parts_of_topic) {
+    if (!topic.starts_with(prefix) || part >= partitions_per_topic) {
         return std::nullopt;
     }
     std::size_t number = 0;
@@ -51,12 +51,12 @@
     if (error != std::errc() || stop != end || number >= topic_count) {
         return std::nullopt;
     }
-    return number * parts_of_topic + part;
+    return number * partitions_per_topic + part;
 }
 
 } // namespace
 
-asio::awaitable<void> replica_controller::leave() {
+asio::awaitable<void> replica_controller::leave_group() {
     auto const alive = running_;
     std::string member = state_->own_address;
     std::string group = group_name;
@@ -69,7 +69,7 @@
     }
 }
 
-asio::awaitable<void> replica_controller::claim_used() {
+asio::awaitable<void> replica_controller::claim_used_partitions() {
     auto const alive = running_;
     for (std::size_t const each : state_->leases.partitions_without_token()) {
         bool const used =
@@ -78,7 +78,7 @@
                        limits_of(other.second);
             });
         if (used && *alive) {
-            co_await claim(each);
+            co_await claim_partition(each);
         }
     }
 }
@@ -86,7 +86,7 @@
 // Guards against replicas that nobody orders for until the next renewal, though
 // their partition could be claimed, or has settled, long before: in the first
 // seconds of all nodes requests wait for these loads.
-asio::awaitable<void> replica_controller::renew() {
+asio::awaitable<void> replica_controller::run_renewals() {
     auto const alive = running_;
     instant renew_at;
     while (*alive) {
@@ -94,7 +94,7 @@
             co_await renew_once();
             renew_at = boot_clock::now() + state_->settings.leases.renewal;
         }
-        co_await claim_used();
+        co_await claim_used_partitions();
         spawn_workers();
         instant const settled =
             state_->leases.next_settling_end(boot_clock::now());
@@ -148,27 +148,27 @@
     // Holders tell their claims to all nodes they know. The list is for those
     // that they don't know yet: without it a want would go to a node that holds
     // the replica no more, and nobody would load what is waited for.
-    bool const changed = owners_generation_ != grant.value().generation;
+    bool const changed = holders_generation_ != grant.value().generation;
     bool const missing = messenger_->lacks_reachable_lease_holder(now);
-    duration const pause = missing   ? owners_missing
-                           : changed ? owners_changed
-                                     : owners_again;
-    if (now >= owners_read_ + pause) {
-        co_await read_owners();
-        owners_generation_ = grant.value().generation;
+    duration const pause = missing   ? holders_missing_interval
+                           : changed ? holders_changed_interval
+                                     : holders_refresh_interval;
+    if (now >= holders_read_at_ + pause) {
+        co_await read_lease_holders();
+        holders_generation_ = grant.value().generation;
     }
 }
 
-asio::awaitable<void> replica_controller::read_owners() {
+asio::awaitable<void> replica_controller::read_lease_holders() {
     auto const alive = running_;
     std::string group = group_name;
-    auto const owners = co_await store_->owners(std::move(group));
-    owners_read_ = boot_clock::now();
-    if (!owners) {
+    auto const holders = co_await store_->owners(std::move(group));
+    holders_read_at_ = boot_clock::now();
+    if (!holders) {
         co_return;
     }
     std::set<std::string> others;
-    for (platform::part_owner const& each : owners.value()) {
+    for (platform::part_owner const& each : holders.value()) {
         auto const number = partition_number(each.topic, each.part);
         if (number && !each.member.empty()) {
             messenger_->set_lease_holder(*number, each.member);
@@ -180,14 +180,16 @@
     messenger_->query_declared();
 }
 
-asio::awaitable<void> replica_controller::claim(std::size_t partition) {
+asio::awaitable<void>
+replica_controller::claim_partition(std::size_t partition) {
     auto const alive = running_;
     // The place of a record in the log is had by one node only, and a later
     // holder's is higher: it is the fencing number.
-    std::string topic = topic_name(partition / parts_of_topic);
+    std::string topic = topic_name(partition / partitions_per_topic);
     std::string record = state_->own_address;
     auto const offset = co_await store_->append(
-        std::move(topic), static_cast<unsigned>(partition % parts_of_topic),
+        std::move(topic),
+        static_cast<unsigned>(partition % partitions_per_topic),
         std::move(record));
     if (!offset) {
         co_return;
--- a/src/Gateway/store_monitor.cpp
+++ b/src/Gateway/store_monitor.cpp
@@ -12,16 +12,16 @@
 /// In a new era each node reads the store whole at a time of its own within
 /// this: not all at once, and soon enough for the two seconds in which a
 /// leaving or a configuration must be known.
-constexpr std::chrono::milliseconds era_spread{800};
+constexpr std::chrono::milliseconds rollback_poll_spread{800};
 
 } // namespace
 
 store_monitor::store_monitor(
-    gateway_state& state, std::function<void()> came_back,
-    std::function<void(store_epoch epoch, instant read_at)> gone_back)
+    gateway_state& state, std::function<void()> on_recovered,
+    std::function<void(store_epoch epoch, instant read_at)> on_rollback)
     : state_(&state)
-    , came_back_(std::move(came_back))
-    , gone_back_(std::move(gone_back)) {}
+    , on_recovered_(std::move(on_recovered))
+    , on_rollback_(std::move(on_rollback)) {}
 
 // Guards against a store that has come back from an older copy and is read on
 // from a place of before: what is written first in the new era stands below
@@ -38,9 +38,10 @@
         return;
     }
     instant const now = boot_clock::now();
-    std::uniform_real_distribution<double> draw(0, 1);
-    instant const read_at = now + std::chrono::duration_cast<duration>(
-                                      era_spread * draw(state_->random));
+    std::uniform_real_distribution<double> sample(0, 1);
+    instant const read_at =
+        now + std::chrono::duration_cast<duration>(
+                  rollback_poll_spread * sample(state_->random));
     state_->log_event(
         log_line(event_code::store_gone_back, log_level::warning)
             .with("from", static_cast<std::uint32_t>(state_->epoch))
@@ -53,25 +54,27 @@
     // Entries that are not in the copy are written again, as after an outage.
     state_->store_reachable_since = now;
     state_->leases.on_store_rollback(epoch);
-    era_met_ = now;
-    list_whole_ = false;
-    declarations_whole_ = false;
-    gone_back_(epoch, read_at);
+    epoch_observed_at_ = now;
+    registry_complete_ = false;
+    declarations_complete_ = false;
+    on_rollback_(epoch, read_at);
 }
 
 void store_monitor::note_snapshot(
     platform::store_topic topic, store_epoch epoch) {
-    if (!era_met_ || epoch != state_->epoch) {
+    if (!epoch_observed_at_ || epoch != state_->epoch) {
         return;
     }
-    list_whole_ = list_whole_ || topic == platform::store_topic::replicas;
-    declarations_whole_ =
-        declarations_whole_ || topic == platform::store_topic::declarations;
-    if (list_whole_ && declarations_whole_) {
-        state_->log_event(log_line(event_code::store_whole_again)
-                              .with("era", static_cast<std::uint32_t>(epoch))
-                              .with("took_ms", boot_clock::now() - *era_met_));
-        era_met_.reset();
+    registry_complete_ =
+        registry_complete_ || topic == platform::store_topic::replicas;
+    declarations_complete_ =
+        declarations_complete_ || topic == platform::store_topic::declarations;
+    if (registry_complete_ && declarations_complete_) {
+        state_->log_event(
+            log_line(event_code::store_whole_again)
+                .with("era", static_cast<std::uint32_t>(epoch))
+                .with("took_ms", boot_clock::now() - *epoch_observed_at_));
+        epoch_observed_at_.reset();
     }
 }
 
@@ -87,19 +90,20 @@
             .with("out_ms", now - state_->store_unreachable_since));
     state_->store_unreachable_since = instant::max();
     state_->store_reachable_since = now;
-    came_back_();
+    on_recovered_();
 }
 
 void store_monitor::note_failure(
     platform::store_topic topic, instant began,
-    platform::store_reading const& seen, platform::store_failure why) {
-    bool const cut = why == platform::store_failure::no_answer && seen.begun();
-    bool const lost = state_->store_unreachable_since != instant::max();
+    platform::store_reading const& reading, platform::store_failure failure) {
+    bool const truncated =
+        failure == platform::store_failure::no_answer && reading.begun();
+    bool const unreachable = state_->store_unreachable_since != instant::max();
     // Guards against a reading that is cut on a full way being taken for an
     // outage of the store: entries that end in an outage are kept for a while,
     // so a replica that has left would get requests. A store that has answered
     // since the reading began, or has begun to answer it, is there.
-    if (lost || cut || last_answer_ >= began) {
+    if (unreachable || truncated || last_answer_ >= began) {
         return;
     }
     state_->store_unreachable_since = boot_clock::now();
@@ -110,19 +114,19 @@
 
 void log_store_read(
     gateway_state& state, platform::store_topic topic, std::string_view how,
-    std::uint64_t from, instant began, platform::store_reading const& seen,
-    platform::store_result<platform::keyed_batch> const& brought) {
+    std::uint64_t from, instant began, platform::store_reading const& reading,
+    platform::store_result<platform::keyed_batch> const& result) {
     // A wait that has brought nothing is no news.
-    if (brought && brought.value().records.empty() &&
-        brought.value().unreadable == 0) {
+    if (result && result.value().records.empty() &&
+        result.value().unreadable == 0) {
         return;
     }
-    if (seen.cancelled()) {
+    if (reading.cancelled()) {
         return;
     }
-    log_level const level = brought ? log_level::info : log_level::warning;
-    std::size_t const records = brought ? brought.value().records.size() : 0;
-    unsigned const unreadable = brought ? brought.value().unreadable : 0;
+    log_level const level = result ? log_level::info : log_level::warning;
+    std::size_t const records = result ? result.value().records.size() : 0;
+    unsigned const unreadable = result ? result.value().unreadable : 0;
     state.log_event(
         log_line(event_code::records_read, level)
             .with("topic", to_string(topic))
@@ -130,9 +134,9 @@
             .with("from", from)
             .with("records", records)
             .with("unreadable", unreadable)
-            .with("bytes", seen.bytes())
+            .with("bytes", reading.bytes())
             .with("took_ms", boot_clock::now() - began)
-            .with("end", brought ? "answered" : to_string(brought.error())));
+            .with("end", result ? "answered" : to_string(result.error())));
 }
 
 } // namespace camphorpoint
--- a/src/Gateway/store_monitor.hpp
+++ b/src/Gateway/store_monitor.hpp
@@ -18,12 +18,13 @@
 class store_monitor {
 public:
     /// @param beliefs   where the belief stands; must outlive the watch
-    /// @param came_back called when the store answers again
-    /// @param gone_back called when the store has come back from an older copy,
+    /// @param on_recovered called when the store answers again
+    /// @param on_rollback called when the store has come back from an older
+    /// copy,
     ///                  with the time at which this node is to read it whole
     store_monitor(
-        gateway_state& state, std::function<void()> came_back,
-        std::function<void(store_epoch epoch, instant read_at)> gone_back);
+        gateway_state& state, std::function<void()> on_recovered,
+        std::function<void(store_epoch epoch, instant read_at)> on_rollback);
 
     /// A reading has been answered.
     void note_answer();
@@ -39,16 +40,17 @@
     /// @param why   how it failed
     void note_failure(
         platform::store_topic topic, instant began,
-        platform::store_reading const& seen, platform::store_failure why);
+        platform::store_reading const& reading,
+        platform::store_failure failure);
 
 private:
     gateway_state* state_;
-    std::function<void()> came_back_;
-    std::function<void(store_epoch epoch, instant read_at)> gone_back_;
+    std::function<void()> on_recovered_;
+    std::function<void(store_epoch epoch, instant read_at)> on_rollback_;
     /// When the present era was met, until all is read whole in it.
-    std::optional<instant> era_met_;
-    bool list_whole_ = false;
-    bool declarations_whole_ = false;
+    std::optional<instant> epoch_observed_at_;
+    bool registry_complete_ = false;
+    bool declarations_complete_ = false;
     instant last_answer_;
 };
 
@@ -59,7 +61,7 @@
 /// @param seen  what came of it
 void log_store_read(
     gateway_state& state, platform::store_topic topic, std::string_view how,
-    std::uint64_t from, instant began, platform::store_reading const& seen,
-    platform::store_result<platform::keyed_batch> const& brought);
+    std::uint64_t from, instant began, platform::store_reading const& reading,
+    platform::store_result<platform::keyed_batch> const& result);
 
 } // namespace camphorpoint
--- a/test/gateway/gateway_fixture.cpp
+++ b/test/gateway/gateway_fixture.cpp
@@ -60,7 +60,7 @@
 
 gateway_fixture::~gateway_fixture() {
     stop(node);
-    for (further_node& each : further_) {
+    for (additional_node& each : additional_nodes_) {
         stop(each.node);
     }
 }
@@ -82,30 +82,33 @@
 
 void gateway_fixture::add_node() {
     start_node();
-    REQUIRE(loop.run_until([this] { return further_.back().node->ready(); }));
+    REQUIRE(loop.run_until(
+        [this] { return additional_nodes_.back().node->ready(); }));
 }
 
 gateway& gateway_fixture::node_at(std::size_t which) {
-    return which == 0 ? *node : *further_.at(which - 1).node;
+    return which == 0 ? *node : *additional_nodes_.at(which - 1).node;
 }
 
 instant gateway_fixture::started(std::size_t which) const {
-    return which == 0 ? started_ : further_.at(which - 1).started;
+    return which == 0 ? started_ : additional_nodes_.at(which - 1).started;
 }
 
 void gateway_fixture::disconnect_store(std::size_t which) {
-    further_.at(which - 1).store->close();
+    additional_nodes_.at(which - 1).store->close();
 }
 
 void gateway_fixture::reconnect_store(std::size_t which) {
-    further_node& joined = further_.at(which - 1);
-    REQUIRE(joined.store->listen(joined.settings.store_address).empty());
+    additional_node& reconnected = additional_nodes_.at(which - 1);
+    REQUIRE(
+        reconnected.store->listen(reconnected.settings.store_address).empty());
 }
 
 void gateway_fixture::start_node() {
-    further_node added;
+    additional_node added;
     added.settings = settings;
-    added.settings.name = node_id(fmt::format("n{}", further_.size() + 2));
+    added.settings.name =
+        node_id(fmt::format("n{}", additional_nodes_.size() + 2));
     added.settings.caller_address = unused_address();
     added.settings.readiness_address = unused_address();
     added.settings.peer_address = unused_address();
@@ -117,27 +120,27 @@
     added.settings.store_address = local(added.store->port());
     added.started = boot_clock::now();
     start(added.settings, added.node);
-    further_.push_back(std::move(added));
+    additional_nodes_.push_back(std::move(added));
 }
 
 void gateway_fixture::restart_nodes() {
     stop(node);
-    past_.push_back(std::move(node));
-    for (further_node& each : further_) {
+    stopped_nodes_.push_back(std::move(node));
+    for (additional_node& each : additional_nodes_) {
         stop(each.node);
-        past_.push_back(std::move(each.node));
+        stopped_nodes_.push_back(std::move(each.node));
     }
     started_ = boot_clock::now();
     start(settings, node);
     REQUIRE(loop.run_until([this] { return node->ready(); }));
-    for (further_node& each : further_) {
+    for (additional_node& each : additional_nodes_) {
         each.started = boot_clock::now();
         start(each.settings, each.node);
         REQUIRE(loop.run_until([&] { return each.node->ready(); }));
     }
 }
 
-void gateway_fixture::make_deadly(
+void gateway_fixture::crash_on_body(
     served_replica& replica, std::string const& body) {
     replica.engine.deadly_body = body;
     replica.engine.on_end = [this, &replica] {
@@ -150,13 +153,13 @@
 
 void gateway_fixture::add_replicas(
     unsigned count, std::string const& deadly_body) {
-    make_deadly(first, deadly_body);
-    make_deadly(second, deadly_body);
+    crash_on_body(first, deadly_body);
+    crash_on_body(second, deadly_body);
     for (unsigned each = 0; each < count; ++each) {
         std::string const name = fmt::format("d{}", more_replicas.size());
         more_replicas.push_back(
             std::make_unique<served_replica>(loop, name, "m", 3));
-        make_deadly(*more_replicas.back(), deadly_body);
+        crash_on_body(*more_replicas.back(), deadly_body);
         list(*more_replicas.back(), "llm");
         endpoint_id const id(name);
         REQUIRE(loop.run_until([&] { return node->knows_replica(id); }));
@@ -252,7 +255,7 @@
 
 ip_address gateway_fixture::caller_address(std::size_t which) const {
     return which == 0 ? settings.caller_address
-                      : further_.at(which - 1).settings.caller_address;
+                      : additional_nodes_.at(which - 1).settings.caller_address;
 }
 
 fetch_result gateway_fixture::stream_from_node(
@@ -289,14 +292,14 @@
 
 void gateway_fixture::send_to_node_async(
     std::size_t which, std::string path, std::string model, std::string id,
-    std::string body, std::vector<int>& ended_with) {
+    std::string body, std::vector<int>& statuses) {
     asio::co_spawn(
         loop.io(),
         send(
             caller_address(which), std::move(path), std::move(model),
             std::move(id), std::move(body)),
-        [&ended_with](std::exception_ptr const&, fetch_result const& got) {
-            ended_with.push_back(got.response.status);
+        [&statuses](std::exception_ptr const&, fetch_result const& got) {
+            statuses.push_back(got.response.status);
         });
 }
 
--- a/test/gateway/gateway_fixture.hpp
+++ b/test/gateway/gateway_fixture.hpp
@@ -81,7 +81,7 @@
     /// @param ended gets the answer's status; must outlive the request
     void send_to_node_async(
         std::size_t node, std::string path, std::string model, std::string id,
-        std::string body, std::vector<int>& ended);
+        std::string body, std::vector<int>& statuses);
     /// @returns how often a request has run, over all replicas
     unsigned runs(std::string const& id) const;
     /// Writes the configuration.
@@ -106,7 +106,7 @@
     std::vector<instant> crash_times;
 
 private:
-    struct further_node {
+    struct additional_node {
         gateway_settings settings;
         std::unique_ptr<gateway> node;
         instant started;
@@ -119,12 +119,12 @@
     ip_address caller_address(std::size_t node) const;
     void start(gateway_settings const& with, std::unique_ptr<gateway>& which);
     void stop(std::unique_ptr<gateway>& which);
-    void make_deadly(served_replica& replica, std::string const& body);
+    void crash_on_body(served_replica& replica, std::string const& body);
 
     instant started_;
-    std::vector<further_node> further_;
+    std::vector<additional_node> additional_nodes_;
     /// Nodes that have stopped; their last waits still end on the loop.
-    std::vector<std::unique_ptr<gateway>> past_;
+    std::vector<std::unique_ptr<gateway>> stopped_nodes_;
 
     http_server store_;
 };
--- a/test/gateway/request_gate_nodes_test.cpp
+++ b/test/gateway/request_gate_nodes_test.cpp
@@ -16,23 +16,24 @@
 namespace {
 
 constexpr std::size_t nodes = 3;
-constexpr std::size_t each_node = 5;
+constexpr std::size_t requests_per_node = 5;
 /// Replicas that a content may end before it is held.
-constexpr unsigned most_ended = 3;
+constexpr unsigned max_crashes = 3;
 
 /// Sends a body to all nodes at once, several times each.
-std::vector<int> send_all(gateway_fixture& world, std::string const& body) {
-    std::vector<int> ended;
-    for (std::size_t each = 0; each < nodes * each_node; ++each) {
+std::vector<int>
+send_to_all_nodes(gateway_fixture& world, std::string const& body) {
+    std::vector<int> statuses;
+    for (std::size_t each = 0; each < nodes * requests_per_node; ++each) {
         world.send_to_node_async(
             each % nodes, "/gen/a", "m", body + std::to_string(each), body,
-            ended);
+            statuses);
     }
-    bool const all = within(world, milliseconds(4'000), [&] {
-        return ended.size() == nodes * each_node;
+    bool const all_answered = within(world, milliseconds(4'000), [&] {
+        return statuses.size() == nodes * requests_per_node;
     });
-    CHECK(all);
-    return ended;
+    CHECK(all_answered);
+    return statuses;
 }
 
 } // namespace
@@ -49,12 +50,12 @@
     within(world, milliseconds(2'500), [] { return false; });
 
     SUBCASE("one that ends its replicas") {
-        send_all(world, "deadly");
-        CHECK(world.crashed_replicas <= most_ended);
+        send_to_all_nodes(world, "deadly");
+        CHECK(world.crashed_replicas <= max_crashes);
     }
     SUBCASE("one that does not is served to all") {
-        auto const ended = send_all(world, "sound");
-        CHECK(std::ranges::count(ended, 200) == ended.size());
+        auto const statuses = send_to_all_nodes(world, "sound");
+        CHECK(std::ranges::count(statuses, 200) == statuses.size());
     }
 }
 
--- a/test/gateway/scripted_replica.cpp
+++ b/test/gateway/scripted_replica.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr auto use_result = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds before_reset{2};
+constexpr std::chrono::milliseconds delay_before_reset{2};
 
 unsigned last_event_of(std::string_view head) {
     constexpr std::string_view name = "Last-Event-Id: ";
@@ -37,15 +37,16 @@
     return number;
 }
 
-std::string head_of(scripted_attempt const& run) {
-    bool const stream = run.status == 200;
+std::string head_of(scripted_attempt const& attempt) {
+    bool const stream = attempt.status == 200;
     std::string head = fmt::format(
         "HTTP/1.1 {} Any\r\n{}Content-Type: {}\r\nConnection: close\r\n",
-        run.status, run.is_signed ? "X-Response-Signature: signed\r\n" : "",
+        attempt.status,
+        attempt.is_signed ? "X-Response-Signature: signed\r\n" : "",
         stream ? "text/event-stream" : "text/plain");
     if (!stream) {
         head += "Content-Length: 2\r\n";
-    } else if (run.framing == body_framing::chunked) {
+    } else if (attempt.framing == body_framing::chunked) {
         head += "Transfer-Encoding: chunked\r\n";
     }
     return head + "\r\n";
@@ -58,11 +59,12 @@
 }
 
 asio::awaitable<bool> write_body(
-    tcp::socket& socket, scripted_attempt const& run, std::string_view body) {
-    bool const chunked = run.framing == body_framing::chunked;
+    tcp::socket& socket, scripted_attempt const& attempt,
+    std::string_view body) {
+    bool const chunked = attempt.framing == body_framing::chunked;
     while (!body.empty()) {
         std::string_view const piece =
-            body.substr(0, std::min(run.piece, body.size()));
+            body.substr(0, std::min(attempt.piece, body.size()));
         std::string text =
             chunked ? fmt::format("{:x}\r\n{}\r\n", piece.size(), piece)
                     : std::string(piece);
@@ -97,20 +99,21 @@
         service, acceptor_.local_endpoint().port());
 }
 
-std::string scripted_replica::event(std::size_t run, unsigned number) {
-    return fmt::format("id: {0}\ndata: r{1} w{0}\n\n", number, run);
+std::string scripted_replica::event(std::size_t attempt, unsigned number) {
+    return fmt::format("id: {0}\ndata: r{1} w{0}\n\n", number, attempt);
 }
 
 std::string scripted_replica::body_of(
-    scripted_attempt const& run, std::size_t number, unsigned after) const {
+    scripted_attempt const& attempt, std::size_t number, unsigned after) const {
     std::string body;
     for (unsigned each = after + 1; each <= events_; ++each) {
-        if (run.skipped.contains(each)) {
+        if (attempt.skipped.contains(each)) {
             continue;
         }
         std::string const text = event(number, each);
-        body += run.unnumbered.contains(each) ? text.substr(text.find('\n') + 1)
-                                              : text;
+        body += attempt.unnumbered.contains(each)
+                    ? text.substr(text.find('\n') + 1)
+                    : text;
     }
     return body;
 }
@@ -134,35 +137,36 @@
     if (error) {
         co_return;
     }
-    scripted_attempt run;
+    scripted_attempt attempt;
     if (!script.empty()) {
-        run = std::move(script.front());
+        attempt = std::move(script.front());
         script.pop_front();
     }
     unsigned const after = last_event_of(head);
     last_event_ids.push_back(after);
-    std::string const whole =
-        run.status == 200 ? body_of(run, last_event_ids.size(), after) : "no";
-    bool const cut = run.bytes < whole.size();
+    std::string const complete_body =
+        attempt.status == 200 ? body_of(attempt, last_event_ids.size(), after)
+                              : "no";
+    bool const cut = attempt.bytes < complete_body.size();
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    std::string head_text = head_of(run);
+    std::string head_text = head_of(attempt);
     bool written = co_await write(socket, std::move(head_text));
-    if (written && run.status != 200) {
-        std::string body = whole;
+    if (written && attempt.status != 200) {
+        std::string body = complete_body;
         written = co_await write(socket, std::move(body));
     } else if (written) {
-        std::string const part = whole.substr(0, run.bytes);
-        written = co_await write_body(socket, run, part);
+        std::string const part = complete_body.substr(0, attempt.bytes);
+        written = co_await write_body(socket, attempt, part);
     }
-    if (written && !cut && run.framing == body_framing::chunked &&
-        run.status == 200) {
+    if (written && !cut && attempt.framing == body_framing::chunked &&
+        attempt.status == 200) {
         std::string end = "0\r\n\r\n";
         co_await write(socket, std::move(end));
     }
-    if (cut && run.cut == disconnect_kind::reset) {
+    if (cut && attempt.cut == disconnect_kind::reset) {
         // A reset throws away what the other side has not read yet.
-        asio::steady_timer timer(loop_->io(), before_reset);
+        asio::steady_timer timer(loop_->io(), delay_before_reset);
         co_await timer.async_wait(use_result);
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
     }
--- a/test/gateway/scripted_replica.hpp
+++ b/test/gateway/scripted_replica.hpp
@@ -63,7 +63,7 @@
     /// @returns its entry in the list of replicas
     std::string entry(std::string const& service) const;
     /// @returns an event of a run, as the run makes it
-    static std::string event(std::size_t run, unsigned number);
+    static std::string event(std::size_t attempt, unsigned number);
 
     /// What the next runs do; those beyond are whole.
     std::deque<scripted_attempt> script;
@@ -74,7 +74,8 @@
     boost::asio::awaitable<void> accept_all();
     boost::asio::awaitable<void> serve(raw_server::socket_type taken);
     std::string body_of(
-        scripted_attempt const& run, std::size_t number, unsigned after) const;
+        scripted_attempt const& attempt, std::size_t number,
+        unsigned after) const;
 
     loopback* loop_;
     unsigned events_;
--- a/test/gateway/store_recovery_test.cpp
+++ b/test/gateway/store_recovery_test.cpp
@@ -20,9 +20,9 @@
 /// than three seconds.
 constexpr milliseconds outage{3'500};
 /// A node asks a store that is away again every second or so.
-constexpr milliseconds asked_again{1'500};
+constexpr milliseconds retry_time{1'500};
 
-void pass(gateway_fixture& world, milliseconds time) {
+void run_for(gateway_fixture& world, milliseconds time) {
     within(world, time, [] { return false; });
 }
 
@@ -34,10 +34,10 @@
     gateway_fixture world;
     world.metadata.silent = true;
     world.start_node();
-    pass(world, outage);
+    run_for(world, outage);
     REQUIRE_FALSE(world.node_at(1).ready());
     world.metadata.silent = false;
-    CHECK(within(world, asked_again, [&] { return world.node_at(1).ready(); }));
+    CHECK(within(world, retry_time, [&] { return world.node_at(1).ready(); }));
     CHECK(
         world.send_to_node(1, "/look/b", "", "q", "x").response.status == 200);
 }
@@ -51,10 +51,10 @@
     world.unlist(world.first);
     world.unlist(world.second);
     world.unlist(world.plain);
-    pass(world, milliseconds(900));
+    run_for(world, milliseconds(900));
     world.metadata.silent = false;
     // By then it has its configuration.
-    pass(world, asked_again);
+    run_for(world, retry_time);
     boost::asio::steady_timer timer(world.loop.io(), milliseconds(300));
     timer.async_wait([&](boost::system::error_code) {
         world.list(world.plain, "app");
@@ -75,13 +75,13 @@
 // as its entry stands: the replica that has its address turns them away.
 TEST_CASE("a replica whose address is another's gets no loads") {
     gateway_fixture world;
-    served_replica gone(world.loop, "gone", "m", 3);
+    served_replica replaced(world.loop, "gone", "m", 3);
     world.metadata.store().put(
-        "keyed.servers", gone.id,
-        gone.engine.entry("llm", world.second.address()));
+        "keyed.servers", replaced.id,
+        replaced.engine.entry("llm", world.second.address()));
     REQUIRE(world.loop.run_until(
-        [&] { return world.node->knows_replica(endpoint_id(gone.id)); }));
-    pass(world, milliseconds(2'000));
+        [&] { return world.node->knows_replica(endpoint_id(replaced.id)); }));
+    run_for(world, milliseconds(2'000));
     for (int each = 1; each <= 6; ++each) {
         auto const got = world.ask(
             "/gen/a", "m/a" + std::to_string(each), "q" + std::to_string(each));
--- a/test/gateway/store_rollback_nodes_test.cpp
+++ b/test/gateway/store_rollback_nodes_test.cpp
@@ -21,38 +21,39 @@
 /// declared, and for a replica that leaves.
 constexpr seconds bound{2};
 /// Records that are lost.
-constexpr int lost = 6;
+constexpr int lost_records = 6;
 /// Two rows of requests find places for their adapters without a wait for one.
 constexpr std::size_t adapters = 3;
-constexpr std::string_view declarations = "keyed.op";
-constexpr std::string_view list = "keyed.servers";
+constexpr std::string_view declarations_topic = "keyed.op";
+constexpr std::string_view registry_topic = "keyed.servers";
 
-void pass(gateway_fixture& world, milliseconds time) {
+void run_for(gateway_fixture& world, milliseconds time) {
     within(world, time, [] { return false; });
 }
 
-bool follow(gateway_fixture& world, unsigned version) {
+bool both_have_version(gateway_fixture& world, unsigned version) {
     return world.node_at(0).configuration_version() == version &&
            world.node_at(1).configuration_version() == version;
 }
 
 /// Writes a configuration and waits until both nodes have it.
-void settle(gateway_fixture& world, unsigned version) {
+void configure_and_wait(gateway_fixture& world, unsigned version) {
     world.configure(version);
-    REQUIRE(world.loop.run_until([&] { return follow(world, version); }));
+    REQUIRE(world.loop.run_until(
+        [&] { return both_have_version(world, version); }));
 }
 
 /// Writes that a replica leaves.
-void let_leave(gateway_fixture& world, testing::served_replica& replica) {
+void start_draining(gateway_fixture& world, testing::served_replica& replica) {
     std::string entry = replica.engine.entry("llm", replica.address());
     entry.replace(entry.find("ready"), 5, "draining");
-    world.metadata.store().put(std::string(list), replica.id, entry);
+    world.metadata.store().put(std::string(registry_topic), replica.id, entry);
 }
 
 /// Sends requests for adapters that nobody holds yet, by turns to both nodes.
-void check_served(gateway_fixture& world, std::string const& row) {
+void check_served(gateway_fixture& world, std::string const& prefix) {
     for (std::size_t each = 0; each < adapters; ++each) {
-        std::string const id = row + std::to_string(each);
+        std::string const id = prefix + std::to_string(each);
         auto const got =
             world.send_to_node(each % 2, "/gen/a", "m/a" + id, id, "x");
         CHECK(got.response.status == 200);
@@ -60,17 +61,17 @@
 }
 
 /// Two holders that order by one number would both be believed.
-void check_holders(gateway_fixture& world) {
+void check_fencing(gateway_fixture& world) {
     for (auto const* const each : {&world.first, &world.second}) {
         CHECK_FALSE(each->engine.overfilled);
-        for (auto const& of_number : each->engine.holders) {
-            INFO(of_number.first);
-            CHECK(of_number.second.size() == 1);
+        for (auto const& token_holders : each->engine.holders) {
+            INFO(token_holders.first);
+            CHECK(token_holders.second.size() == 1);
         }
     }
 }
 
-unsigned claims(gateway_fixture& world) {
+unsigned claim_count(gateway_fixture& world) {
     unsigned sum = 0;
     for (auto const& [topic, count] : world.metadata.appends) {
         sum += topic.starts_with("holding") ? count : 0;
@@ -87,23 +88,23 @@
     gateway_fixture world;
     world.add_node();
     endpoint_id const leaving("r1");
-    auto const copy = world.metadata.store();
-    append_filler_records(world, std::string(list), lost);
-    append_filler_records(world, std::string(declarations), lost);
-    settle(world, 2);
+    auto const snapshot = world.metadata.store();
+    append_filler_records(world, std::string(registry_topic), lost_records);
+    append_filler_records(world, std::string(declarations_topic), lost_records);
+    configure_and_wait(world, 2);
     world.disconnect_store(1);
-    world.metadata.come_back(copy);
+    world.metadata.come_back(snapshot);
 
     SUBCASE("both serve, and no two order by one number") {
         check_served(world, "a");
-        pass(world, bound);
+        run_for(world, bound);
         check_served(world, "b");
         CHECK(world.node_at(1).configuration_version() == 2);
-        check_holders(world);
+        check_fencing(world);
     }
     SUBCASE("each follows in time, once it reaches the store") {
         world.configure(9);
-        let_leave(world, world.first);
+        start_draining(world, world.first);
         CHECK(within(world, bound, [&] {
             return world.node_at(0).configuration_version() == 9 &&
                    !world.node_at(0).routes_to(leaving);
@@ -111,18 +112,19 @@
         CHECK(world.node_at(1).configuration_version() == 2);
         world.reconnect_store(1);
         CHECK(within(world, bound, [&] {
-            return follow(world, 9) && !world.node_at(1).routes_to(leaving);
+            return both_have_version(world, 9) &&
+                   !world.node_at(1).routes_to(leaving);
         }));
         check_served(world, "c");
-        check_holders(world);
+        check_fencing(world);
     }
     SUBCASE("a place of the era before makes nobody read again and again") {
-        pass(world, bound);
+        run_for(world, bound);
         unsigned const before =
-            world.metadata.readings[std::string(declarations)];
-        pass(world, seconds(1));
+            world.metadata.readings[std::string(declarations_topic)];
+        run_for(world, seconds(1));
         unsigned const after =
-            world.metadata.readings[std::string(declarations)];
+            world.metadata.readings[std::string(declarations_topic)];
         // A wait lasts for two seconds.
         CHECK(after - before <= 1);
     }
@@ -133,20 +135,20 @@
 TEST_CASE("a claim's answer is lost, and the store goes back") {
     gateway_fixture world;
     world.add_replicas(6, "deadly");
-    auto const copy = world.metadata.store();
-    unsigned const before = claims(world);
+    auto const snapshot = world.metadata.store();
+    unsigned const before = claim_count(world);
     world.metadata.loses_append_answers = true;
     world.start_node();
-    REQUIRE(world.loop.run_until([&] { return claims(world) > before; }));
-    world.metadata.come_back(copy);
+    REQUIRE(world.loop.run_until([&] { return claim_count(world) > before; }));
+    world.metadata.come_back(snapshot);
     world.metadata.loses_append_answers = false;
     REQUIRE(world.loop.run_until([&] { return world.node_at(1).ready(); }));
     SUBCASE("at once") {}
     SUBCASE("and some time later") {
-        pass(world, bound);
+        run_for(world, bound);
     }
     check_served(world, "a");
-    check_holders(world);
+    check_fencing(world);
 }
 
 // Guards against a reading of which one half is of the store before and the
@@ -158,45 +160,49 @@
         [](gateway_fixture& before) { before.metadata.page_items = 2; });
     REQUIRE(world.loop.run_until([&] { return world.node->ready(); }));
     endpoint_id const leaving("r1");
-    for (int each = 0; each < lost; ++each) {
+    for (int each = 0; each < lost_records; ++each) {
         world.metadata.store().put(
-            std::string(declarations), "version/m.b" + std::to_string(each),
+            std::string(declarations_topic),
+            "version/m.b" + std::to_string(each),
             R"({"model":"m","adapter":"b","version":2})");
     }
-    auto const with_pages = world.metadata.store();
+    auto const snapshot_with_pages = world.metadata.store();
     world.configure(2);
-    append_filler_records(world, std::string(list), lost);
+    append_filler_records(world, std::string(registry_topic), lost_records);
     REQUIRE(world.loop.run_until(
         [&] { return world.node->configuration_version() == 2; }));
-    world.metadata.page_made = [&](std::string const& of) {
-        if (armed && of == topic) {
+    world.metadata.page_made = [&](std::string const& written_topic) {
+        if (armed && written_topic == topic) {
             armed = false;
-            world.metadata.come_back(with_pages);
+            world.metadata.come_back(snapshot_with_pages);
         }
     };
     SUBCASE("of what is declared") {
-        topic = declarations;
+        topic = declarations_topic;
     }
     SUBCASE("of the list of replicas") {
-        topic = list;
+        topic = registry_topic;
     }
     armed = true;
-    world.metadata.come_back(with_pages);
-    bool lost_one = false;
+    world.metadata.come_back(snapshot_with_pages);
+    bool replica_dropped = false;
     REQUIRE(within(world, bound, [&] {
-        lost_one = lost_one || !world.node->routes_to(endpoint_id("r2"));
+        replica_dropped =
+            replica_dropped || !world.node->routes_to(endpoint_id("r2"));
         return !armed;
     }));
     world.configure(9);
-    let_leave(world, world.first);
-    append_filler_records(world, std::string(list), 2 * lost);
-    append_filler_records(world, std::string(declarations), 2 * lost);
+    start_draining(world, world.first);
+    append_filler_records(world, std::string(registry_topic), 2 * lost_records);
+    append_filler_records(
+        world, std::string(declarations_topic), 2 * lost_records);
     CHECK(within(world, bound, [&] {
-        lost_one = lost_one || !world.node->routes_to(endpoint_id("r2"));
+        replica_dropped =
+            replica_dropped || !world.node->routes_to(endpoint_id("r2"));
         return world.node->configuration_version() == 9 &&
                !world.node->routes_to(leaving);
     }));
-    CHECK_FALSE(lost_one);
+    CHECK_FALSE(replica_dropped);
 }
 
 // Guards against a node that has not yet read the first copy whole when the
@@ -204,9 +210,9 @@
 TEST_CASE("the store goes back twice in a row before two nodes") {
     gateway_fixture world;
     world.add_node();
-    auto const copy = world.metadata.store();
-    append_filler_records(world, std::string(declarations), lost);
-    settle(world, 2);
+    auto const snapshot = world.metadata.store();
+    append_filler_records(world, std::string(declarations_topic), lost_records);
+    configure_and_wait(world, 2);
     milliseconds between{0};
     SUBCASE("at once") {}
     SUBCASE("while one reads the first copy") {
@@ -215,17 +221,18 @@
     SUBCASE("when both have read the first copy") {
         between = milliseconds(1'500);
     }
-    world.metadata.come_back(copy);
-    pass(world, between);
+    world.metadata.come_back(snapshot);
+    run_for(world, between);
     world.configure(3);
-    append_filler_records(world, std::string(declarations), 1);
+    append_filler_records(world, std::string(declarations_topic), 1);
     check_served(world, "a");
-    world.metadata.come_back(copy);
+    world.metadata.come_back(snapshot);
     world.configure(9);
-    append_filler_records(world, std::string(declarations), 2 * lost);
-    CHECK(within(world, bound, [&] { return follow(world, 9); }));
+    append_filler_records(
+        world, std::string(declarations_topic), 2 * lost_records);
+    CHECK(within(world, bound, [&] { return both_have_version(world, 9); }));
     check_served(world, "b");
-    check_holders(world);
+    check_fencing(world);
 }
 
 } // namespace camphorpoint
--- a/test/gateway/store_rollback_test.cpp
+++ b/test/gateway/store_rollback_test.cpp
@@ -23,10 +23,10 @@
 constexpr seconds bound{2};
 
 /// A node that nobody holds back is ready after its first readings.
-constexpr milliseconds at_once{700};
+constexpr milliseconds ready_time{700};
 
 /// Waits until the node has followed a change that is made last.
-void settle(gateway_fixture& world) {
+void configure_and_wait(gateway_fixture& world) {
     std::uint64_t const version = world.node->configuration_version() + 1;
     world.configure(static_cast<unsigned>(version));
     REQUIRE(world.loop.run_until(
@@ -41,45 +41,45 @@
 // which the node reads on. Read in the code first, then shown here.
 TEST_CASE("the store comes back from an older copy") {
     gateway_fixture world;
-    constexpr int lost = 6;
+    constexpr int lost_records = 6;
 
     SUBCASE("what is declared then is in force in time") {
-        auto const copy = world.metadata.store();
-        append_filler_records(world, "keyed.op", lost);
-        settle(world);
-        world.metadata.come_back(copy);
+        auto const snapshot = world.metadata.store();
+        append_filler_records(world, "keyed.op", lost_records);
+        configure_and_wait(world);
+        world.metadata.come_back(snapshot);
         world.configure(9);
-        append_filler_records(world, "keyed.op", 2 * lost);
+        append_filler_records(world, "keyed.op", 2 * lost_records);
         CHECK(within(world, bound, [&] {
             return world.node->configuration_version() == 9;
         }));
     }
     SUBCASE("a replica that leaves then gets nothing new") {
         endpoint_id const id("r1");
-        auto const copy = world.metadata.store();
-        append_filler_records(world, "keyed.servers", lost);
+        auto const snapshot = world.metadata.store();
+        append_filler_records(world, "keyed.servers", lost_records);
         within(world, milliseconds(200), [] { return false; });
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         std::string entry =
             world.first.engine.entry("llm", world.first.address());
         entry.replace(entry.find("ready"), 5, "draining");
         world.metadata.store().put("keyed.servers", "r1", entry);
         SUBCASE("also where the new end is beyond the old place") {
-            append_filler_records(world, "keyed.servers", 2 * lost);
+            append_filler_records(world, "keyed.servers", 2 * lost_records);
         }
         SUBCASE("and where it is the same, so that nothing seems to come") {
-            append_filler_records(world, "keyed.servers", lost - 1);
+            append_filler_records(world, "keyed.servers", lost_records - 1);
         }
         CHECK(within(world, bound, [&] { return !world.node->routes_to(id); }));
     }
     SUBCASE("a replica whose entry is not in the copy stays in use") {
         testing::served_replica late(world.loop, "p2", "", 0);
         endpoint_id const id("p2");
-        auto const copy = world.metadata.store();
+        auto const snapshot = world.metadata.store();
         world.list(late, "app");
         REQUIRE(
             world.loop.run_until([&] { return world.node->routes_to(id); }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         CHECK_FALSE(within(world, milliseconds(1'200), [&] {
             return !world.node->routes_to(id);
         }));
@@ -90,20 +90,20 @@
     }
     SUBCASE("a replica that was gone stays gone") {
         endpoint_id const id("r1");
-        auto const copy = world.metadata.store();
+        auto const snapshot = world.metadata.store();
         world.unlist(world.first);
         REQUIRE(
             world.loop.run_until([&] { return !world.node->routes_to(id); }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         CHECK_FALSE(within(
             world, seconds(3), [&] { return world.node->routes_to(id); }));
     }
     SUBCASE("a configuration that was in force stays so") {
-        auto const copy = world.metadata.store();
+        auto const snapshot = world.metadata.store();
         world.configure(5);
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 5; }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         CHECK_FALSE(within(world, milliseconds(1'500), [&] {
             return world.node->configuration_version() != 5;
         }));
@@ -114,10 +114,10 @@
     }
     SUBCASE("twice in a row, and requests are served all the while") {
         for (int round = 0; round < 2; ++round) {
-            auto const copy = world.metadata.store();
-            append_filler_records(world, "keyed.op", lost);
-            settle(world);
-            world.metadata.come_back(copy);
+            auto const snapshot = world.metadata.store();
+            append_filler_records(world, "keyed.op", lost_records);
+            configure_and_wait(world);
+            world.metadata.come_back(snapshot);
             for (int each = 0; each < 4; ++each) {
                 std::string const id =
                     std::to_string(round) + "." + std::to_string(each);
@@ -129,18 +129,19 @@
         CHECK_FALSE(world.second.engine.overfilled);
     }
     SUBCASE("without a word of it, as a store that names no era") {
-        gateway_fixture silent(
+        gateway_fixture no_epoch_fixture(
             [](gateway_fixture& before) { before.metadata.epoch = 0; });
-        REQUIRE(silent.loop.run_until([&] { return silent.node->ready(); }));
-        auto const copy = silent.metadata.store();
-        append_filler_records(silent, "keyed.op", lost);
-        settle(silent);
-        silent.metadata.come_back(copy);
+        REQUIRE(no_epoch_fixture.loop.run_until(
+            [&] { return no_epoch_fixture.node->ready(); }));
+        auto const snapshot = no_epoch_fixture.metadata.store();
+        append_filler_records(no_epoch_fixture, "keyed.op", lost_records);
+        configure_and_wait(no_epoch_fixture);
+        no_epoch_fixture.metadata.come_back(snapshot);
         // The node's wait ends, as its place is not there.
-        within(silent, milliseconds(500), [] { return false; });
-        silent.configure(9);
-        CHECK(within(silent, bound, [&] {
-            return silent.node->configuration_version() == 9;
+        within(no_epoch_fixture, milliseconds(500), [] { return false; });
+        no_epoch_fixture.configure(9);
+        CHECK(within(no_epoch_fixture, bound, [&] {
+            return no_epoch_fixture.node->configuration_version() == 9;
         }));
     }
 }
@@ -150,22 +151,22 @@
 // and had no place for others for a second.
 TEST_CASE("a holder that claims anew knows its replicas' places as before") {
     gateway_fixture world;
-    constexpr int places = 6;
-    auto const ask_all = [&](std::string const& row) {
+    constexpr int replica_slots = 6;
+    auto const ask_all = [&](std::string const& prefix) {
         int served = 0;
-        for (int each = 0; each < places; ++each) {
-            std::string const id = row + std::to_string(each);
+        for (int each = 0; each < replica_slots; ++each) {
+            std::string const id = prefix + std::to_string(each);
             auto const got = world.ask("/gen/a", "m/a" + id, id);
             served += got.response.status == 200 ? 1 : 0;
         }
         return served;
     };
-    REQUIRE(ask_all("a") == places);
-    auto const number = [&] {
+    REQUIRE(ask_all("a") == replica_slots);
+    auto const newest_token = [&] {
         auto const& holders = world.first.engine.holders;
         return holders.empty() ? 0 : holders.rbegin()->first;
     };
-    auto const before = number();
+    auto const before = newest_token();
     SUBCASE("in one era") {
         within(world, milliseconds(1'000), [] { return false; });
     }
@@ -173,8 +174,8 @@
         world.metadata.come_back(world.metadata.store());
         within(world, milliseconds(1'000), [] { return false; });
     }
-    CHECK(ask_all("b") == places);
-    CHECK(number() >= before);
+    CHECK(ask_all("b") == replica_slots);
+    CHECK(newest_token() >= before);
 }
 
 // A node begins after the store has gone back, and before the operator has
@@ -187,13 +188,13 @@
         R"("type":"safe","timeout_ms":3000,"target_latency_ms":800,)"
         R"("priority":0,"service":"app","attempts":2},)";
     std::string const version = R"({"model":"m","adapter":"a1","version":3})";
-    auto const copy = world.metadata.store();
+    auto const snapshot = world.metadata.store();
 
     SUBCASE("than a configuration that was in force") {
         world.configure(5, lost_route);
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 5; }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         world.start_node();
         CHECK_FALSE(
             within(world, bound, [&] { return world.node_at(1).ready(); }));
@@ -212,12 +213,13 @@
         };
         world.metadata.store().put("keyed.op", "version/m.a1", version);
         REQUIRE(world.loop.run_until([&] { return knows_version(0); }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         world.start_node();
         CHECK_FALSE(
             within(world, bound, [&] { return world.node_at(1).ready(); }));
-        auto const early = world.send_to_node(1, "/gen/a", "m/a1", "q2", "x");
-        CHECK(early.response.status == 503);
+        auto const before_rewrite =
+            world.send_to_node(1, "/gen/a", "m/a1", "q2", "x");
+        CHECK(before_rewrite.response.status == 503);
         world.metadata.store().put("keyed.op", "version/m.a1", version);
         CHECK(within(world, bound, [&] { return world.node_at(1).ready(); }));
         CHECK(knows_version(1));
@@ -227,7 +229,8 @@
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 2; }));
         world.start_node();
-        CHECK(within(world, at_once, [&] { return world.node_at(1).ready(); }));
+        CHECK(within(
+            world, ready_time, [&] { return world.node_at(1).ready(); }));
     }
 }
 
@@ -237,18 +240,18 @@
     gateway_fixture world;
     constexpr unsigned replicas = 6;
     world.add_replicas(replicas, "deadly");
-    auto const copy = world.metadata.store();
+    auto const snapshot = world.metadata.store();
     for (int each = 0; each < 4; ++each) {
         std::string const id = std::to_string(each);
         world.send_to_node(0, "/gen/a", "m", id, "deadly");
     }
-    auto const kept = [&] {
+    auto const quarantine_stored = [&] {
         return !world.metadata.store().newest("keyed.quarantine").empty();
     };
-    REQUIRE(world.loop.run_until(kept));
-    world.metadata.come_back(copy);
-    REQUIRE_FALSE(kept());
-    CHECK(within(world, bound, kept));
+    REQUIRE(world.loop.run_until(quarantine_stored));
+    world.metadata.come_back(snapshot);
+    REQUIRE_FALSE(quarantine_stored());
+    CHECK(within(world, bound, quarantine_stored));
 }
 
 } // namespace camphorpoint
