--- a/src/Core/store_position.hpp
+++ b/src/Core/store_position.hpp
@@ -4,15 +4,15 @@
 
 namespace camphorpoint {
 
-/// How often the platform's store has come back from an older copy; 0 also for
-/// a store that does not say.
+/// Number of times that the platform's store was rolled back to an older
+/// snapshot; 0 also for a store that does not report it.
 enum class store_epoch : std::uint32_t {};
 
-/// A place in the records that the store keeps. Guards against places of two
-/// eras that are compared by which is further: what stands at a place is
-/// another record after the store has gone back, and a reader that goes on from
-/// its old place misses what was written before it. There is no `<`: only
-/// `is_ahead` tells, which puts a later era first.
+/// Position in a log of the store. After a rollback the store writes other
+/// records at offsets that it has used before, so a reader that continues from
+/// its old offset misses the records written below that offset. Offsets of
+/// different epochs can't be compared; therefore there is no `<`, and
+/// `is_ahead` orders by epoch first.
 struct store_position {
     store_epoch epoch{};
     std::uint64_t offset = 0;
@@ -28,14 +28,15 @@
     }
 };
 
-/// @returns true when whoever stands at `left` knows what `right` does not
+/// @returns true when a reader at `left` may know records that a reader at
+///          `right` does not
 constexpr bool
 is_ahead(store_position const& left, store_position const& right) noexcept {
     return left.epoch > right.epoch ||
            (left.epoch == right.epoch && left.offset > right.offset);
 }
 
-/// @returns the further one
+/// @returns the position that is ahead
 constexpr store_position
 max_position(store_position const& left, store_position const& right) noexcept {
     return is_ahead(right, left) ? right : left;
--- a/src/Gateway/declaration_follower.cpp
+++ b/src/Gateway/declaration_follower.cpp
@@ -18,20 +18,23 @@
 
 namespace {
 
-/// How long one wait lasts. A connection that has gone silent without a reset
-/// shows after this and the silence allowed; a configuration must be in force
-/// within two seconds or more of its writing.
+/// Minimum duration of one long poll. A connection that has died without a
+/// reset is noticed after this time plus the store timeout; a configuration
+/// must be in force within two seconds or more of its writing.
 constexpr milliseconds min_long_poll{2'000};
-/// With many nodes each waits longer, so that one of them reads again about
-/// every 200 ms: it tells the others when there is news that they don't know.
+/// With many nodes each long poll is longer, so that in the cluster a poll
+/// starts about every 200 ms. A node that reads new declarations informs the
+/// others.
 constexpr milliseconds long_poll_per_node{200};
 constexpr milliseconds max_long_poll{12'000};
-/// A node whose wait has brought nothing asks by itself so long after others
-/// have said that there is news: usually the news is on its way.
+/// Time that a node allows its long poll to deliver declarations that other
+/// nodes have reported, before it polls again. Usually the answer is already
+/// under way.
 constexpr milliseconds pending_update_grace{250};
 
-/// For so long after the word of a new version requests may still begin on the
-/// old one: the platform allows five seconds, a load and its order take one.
+/// Requests may still start on the old version of an adapter for this long
+/// after a new one was declared. The platform allows five seconds; a load with
+/// its command takes one.
 constexpr duration old_version_grace = milliseconds(2'800);
 
 declaration_poll_settings poll_settings_of(gateway_settings const& settings) {
@@ -86,9 +89,9 @@
     schedule_long_poll_check();
 }
 
-// Guards against a reading that was asked of the store while it was away: it
-// is silent for as long as its bound allows, up to seconds after the return,
-// and a node that has begun meanwhile refuses every request until then.
+// Guards against a poll that was sent during the store's outage: it stays
+// unanswered until its timeout, up to seconds after the recovery, and a node
+// that has started meanwhile rejects every request until then.
 void declaration_follower::on_store_recovered() {
     schedule_.store_recovered();
     bool const unanswered =
@@ -109,11 +112,11 @@
     }
 }
 
-// Guards against a wait whose connection has gone silent. Only a wait that
-// began before the word is ended, and none whose answer has begun to come: on a
-// slow way it may come for seconds, and a second reading beside it would take
-// half of the way from it (two at a time were seen to hold a way full for 17 s
-// without either ending).
+// Guards against a long poll on a connection that has died. Only a long poll
+// that began before the peer's message is cancelled, and none whose answer has
+// begun to arrive: on a slow link the answer may take seconds, and a second
+// poll beside it would take half of the bandwidth. Two polls at a time were
+// seen to saturate a link for 17 s without either completing.
 asio::awaitable<void> declaration_follower::cancel_stalled_long_poll() {
     auto const alive = running_;
     instant const since = boot_clock::now();
@@ -202,12 +205,13 @@
 
 void declaration_follower::apply_batch(
     platform::keyed_batch const& batch, declaration_poll const& request) {
-    // When a version that was read whole was named is not known, as by a node
-    // that has just started: it may bind everywhere else by now.
+    // A full poll does not show when a version was declared, for example on a
+    // node that has just started: other nodes may already require it, so there
+    // is no grace period.
     duration const grace = request.full ? duration::zero() : old_version_grace;
     bool configured = false;
-    // The newest first: of several configurations only the last that can be
-    // read counts, and reading a large one takes a node a tenth of a second.
+    // Records are applied newest first: of several configurations only the last
+    // readable one counts, and parsing a large one takes a tenth of a second.
     for (auto each = batch.records.rbegin(); each != batch.records.rend();
          ++each) {
         if (!each->value) {
@@ -236,7 +240,8 @@
                 .with("findings", problems.report()));
         return false;
     }
-    // Reads may be seconds old: versions only rise within one run.
+    // A poll may return a configuration that is seconds old. Versions only
+    // increase while this process runs.
     if (state_->configured &&
         declared->version <= state_->configuration.version) {
         return true;
--- a/src/Gateway/declaration_follower.hpp
+++ b/src/Gateway/declaration_follower.hpp
@@ -15,28 +15,33 @@
 
 namespace camphorpoint {
 
-/// Follows what the operator declares, from the store into this node's beliefs.
-/// `declaration_poll_schedule` decides which reading comes next; this carries
-/// it out.
+/// Keeps the configuration and the adapter versions up to date with the
+/// operator's declarations in the store. `declaration_poll_schedule` decides
+/// what to poll and when; this class carries it out.
 class declaration_follower {
 public:
-    /// @param beliefs where what is read goes; must outlive the follower
-    /// @param store   the store's client; must outlive the follower
-    /// @param watch   told whether the store answers; must outlive the follower
+    /// @param state updated from the declarations; must outlive the follower
+    /// @param store client of the store; must outlive the follower
+    /// @param monitor informed of the store's answers and failures; must
+    ///        outlive the follower
     /// @param changed called when routes or versions have changed
     declaration_follower(
         gateway_state& state, platform::store_client& store,
         store_monitor& monitor, std::function<void()> changed);
 
-    /// Begins to follow.
+    /// Starts to poll the declarations.
     void start();
-    /// Ends at the next answer.
+    /// Stops after the poll in progress.
     void stop();
-    /// Another node has read so far, and knows so much.
+    /// Handles another node's position in the declarations.
+    /// @param total sum of the versions that the other node knows
     void handle_peer_progress(store_position position, std::uint64_t total);
-    /// The store has come back from an older copy: everything is read anew.
+    /// Requires a full poll because the store was restored from an older
+    /// snapshot.
+    /// @param read_at when this node should poll
     void on_store_rollback(store_epoch epoch, instant read_at);
-    /// The store answers again: a wait from before may never end.
+    /// Cancels a poll from before the store's outage, which may never be
+    /// answered.
     void on_store_recovered();
 
 private:
@@ -45,7 +50,7 @@
     boost::asio::awaitable<platform::store_result<platform::keyed_batch>>
     fetch_batch(declaration_poll const& request);
     boost::asio::awaitable<void> cancel_stalled_long_poll();
-    /// @returns false when it was ended early, as another reading is due
+    /// @returns false when the wait was cancelled because another poll is due
     boost::asio::awaitable<bool> wait_for(std::chrono::milliseconds time);
     std::chrono::milliseconds long_poll_time() const;
     void schedule_long_poll_check();
@@ -61,12 +66,12 @@
     declaration_poll_schedule schedule_;
     platform::store_reading reading_;
     boost::asio::steady_timer delay_timer_;
-    /// Set while a reading, and while a wait, goes on.
+    /// Set while a poll, or a long poll, is in progress.
     bool poll_in_progress_ = false;
     bool long_polling_ = false;
     instant poll_started_at_;
     bool check_scheduled_ = false;
-    // Shared with the coroutines, which end after it has turned false.
+    // Shared with the coroutines, which end after it has become false.
     std::shared_ptr<bool> running_ = std::make_shared<bool>(true);
 };
 
--- a/src/Gateway/peer_datagram.cpp
+++ b/src/Gateway/peer_datagram.cpp
@@ -38,7 +38,8 @@
         archive(message);
         archive.require_end();
     } catch (std::exception const&) {
-        // Bytes of another program or another format: as good as lost.
+        // Bytes of another program or another format are ignored like a lost
+        // datagram.
         return std::nullopt;
     }
     if (message.format != peer_datagram::current_format) {
--- a/src/Gateway/peer_datagram.hpp
+++ b/src/Gateway/peer_datagram.hpp
@@ -16,17 +16,19 @@
 
 namespace camphorpoint {
 
-/// Somebody's requests wait for an adapter at a replica.
+/// A node's requests wait for an adapter at a replica, or a load of it is
+/// prefetched.
 struct peer_load_request {
     std::uint64_t replica = 0;
     std::string adapter;
     std::uint32_t version = 0;
-    /// For whom, as a number of `load_priority`.
+    /// A value of `load_priority`.
     std::uint8_t priority = 0;
-    /// It is the first that is said of a request to this replica: it can be
-    /// turned away.
+    /// Set for the first load request that the sender makes for a waiting
+    /// request at this replica. Only such a request can be rejected; repeats
+    /// keep their place.
     bool first_request = false;
-    /// The request may wait for so long.
+    /// How long the request may wait for the load.
     std::uint32_t wait_budget_ms = 0;
 
     template <class Archive>
@@ -36,12 +38,13 @@
     }
 };
 
-/// The sender's requests use an adapter at a replica.
+/// How many of the sender's requests use an adapter at a replica.
 struct peer_adapter_usage {
     std::uint64_t replica = 0;
     std::string adapter;
     std::uint32_t running = 0;
-    /// Of prompts that it has sent there since its last word.
+    /// Prompt tokens of the requests sent there since the sender's last
+    /// message.
     std::uint32_t prompt_tokens = 0;
 
     template <class Archive>
@@ -50,8 +53,8 @@
     }
 };
 
-/// The sender orders for a replica, which now holds an adapter, or is about to
-/// lose it.
+/// Sent by the controller of a replica: an adapter has become resident there,
+/// or is about to be unloaded.
 struct peer_residency {
     std::uint64_t replica = 0;
     std::string adapter;
@@ -64,7 +67,7 @@
     }
 };
 
-/// The sender orders for a partition, by this fencing number.
+/// The sender holds the lease of a partition under this fencing number.
 struct peer_claim {
     std::uint32_t partition = 0;
     std::uint64_t token = 0;
@@ -75,7 +78,7 @@
     }
 };
 
-/// The sender has met silence at a replica.
+/// The sender got no answer from a replica.
 struct peer_suspicion {
     std::uint64_t replica = 0;
     std::uint32_t milliseconds = 0;
@@ -86,12 +89,12 @@
     }
 };
 
-/// The sender orders for a replica at which an adapter would be ready too late
-/// for the request that wants it.
+/// Sent by the controller of a replica: an adapter would be ready there too
+/// late for the request that waits for it.
 struct peer_load_rejection {
     std::uint64_t replica = 0;
     std::string adapter;
-    /// How long it would take.
+    /// Expected time until the adapter would be ready.
     std::uint32_t expected_wait_ms = 0;
 
     template <class Archive>
@@ -100,12 +103,13 @@
     }
 };
 
-/// The sender has a request for an adapter that a replica may run, and asks
-/// whoever orders for it how full it is.
+/// Asks the controller of a replica for the replica's usage, because the sender
+/// has a request for an adapter that may run there.
 struct peer_replica_usage_query {
     std::uint64_t replica = 0;
     std::string adapter;
-    /// Replicas that are asked for; one of them gets the request.
+    /// Number of replicas that the sender asks about; one of them gets the
+    /// request.
     std::uint8_t queried_replicas = 1;
 
     template <class Archive>
@@ -114,13 +118,13 @@
     }
 };
 
-/// All nodes' requests at a replica that the sender orders for.
+/// Usage of a replica by the requests of all nodes, sent by its controller.
 struct peer_replica_usage {
     std::uint64_t replica = 0;
     std::uint16_t running = 0;
     std::uint16_t backlog_tokens = 0;
-    /// Adapters that could be loaded there at once, less those that wait for
-    /// it; negative when more wait.
+    /// How many more adapters could be loaded there now, less the pending load
+    /// requests; negative when more are pending.
     std::int16_t free_slots = 0;
 
     template <class Archive>
@@ -129,14 +133,15 @@
     }
 };
 
-/// A replica's entry in the list, or its end. Adapters are left out: whoever
-/// orders for the replica tells of them, and sooner.
+/// A replica's entry in the registry, or its removal. Adapters are left out:
+/// the replica's controller reports them itself, and sooner.
 struct peer_registry_entry {
     std::string id;
-    /// Where the entry stands in the list's records.
+    /// Offset of the entry in the registry's log.
     std::uint64_t position = 0;
     bool listed = false;
-    /// Milliseconds since 1970; 0 when it does not say.
+    /// Start of the replica process in milliseconds since 1970; 0 when the
+    /// entry has no start time.
     std::int64_t started_at_ms = 0;
     std::uint64_t heartbeat = 0;
     std::string service;
@@ -145,7 +150,7 @@
     std::string domain;
     std::uint32_t slots = 0;
     bool leaving = false;
-    /// Milliseconds; 0 when it did not say.
+    /// Time until the replica shuts down; 0 when the entry names none.
     std::uint32_t remaining_ms = 0;
     std::vector<std::string> models;
 
@@ -157,8 +162,8 @@
     }
 };
 
-/// The sender has read the list from one place to another of one era, and this
-/// is what has changed in it.
+/// Changes of the registry that the sender has polled between two positions of
+/// one store epoch.
 struct peer_registry_update {
     store_position from;
     store_position to;
@@ -170,7 +175,7 @@
     }
 };
 
-/// A replica ended while it ran a content for the sender.
+/// A replica crashed during an attempt of a request that the sender made.
 struct peer_crash {
     std::uint64_t fingerprint = 0;
     std::uint64_t replica = 0;
@@ -181,7 +186,7 @@
     }
 };
 
-/// A content is not run, or is run again.
+/// A request fingerprint is quarantined or released.
 struct peer_quarantine {
     std::uint64_t fingerprint = 0;
     std::uint32_t revision = 0;
@@ -193,7 +198,7 @@
     }
 };
 
-/// What is said of a run at its content's gate.
+/// Kind of a message between an attempt and its request's gate.
 enum class gate_message_kind : std::uint8_t {
     admission_request,
     admitted,
@@ -202,7 +207,8 @@
     ended
 };
 
-/// A run of a content asks, is answered, or has shown something.
+/// An attempt asks the gate of its request for admission, the gate answers, or
+/// the attempt reports its outcome.
 struct peer_gate_message {
     std::uint64_t fingerprint = 0;
     std::uint64_t attempt = 0;
@@ -214,18 +220,19 @@
     }
 };
 
-/// One message between nodes. Datagrams may be lost: whatever one says is said
-/// again, or is read from the list of replicas a little later.
+/// One message between nodes. Datagrams may be lost: all of their content is
+/// sent again, or is read from the registry a little later.
 struct peer_datagram {
-    /// Tells two formats apart.
+    /// Version of the wire format; other versions are ignored.
     std::uint32_t format = current_format;
-    /// The sender's peer address, by which its group knows it.
+    /// Peer address of the sender, by which the members of its group know it.
     std::string from;
-    /// Set when it says no more than that the sender is there.
+    /// Set in status messages, which are sent even when there is nothing else
+    /// to report.
     bool alive = false;
     std::vector<peer_replica_usage> replica_usages;
     std::vector<peer_replica_usage_query> usage_queries;
-    /// Set when `replica_usages` answer these `usage_queries`.
+    /// Set when `replica_usages` answers these `usage_queries`.
     bool answers_queries = false;
     std::vector<peer_load_request> load_requests;
     std::vector<peer_adapter_usage> adapter_usages;
@@ -234,21 +241,22 @@
     std::vector<peer_suspicion> suspicions;
     std::vector<peer_load_rejection> load_rejections;
     std::vector<peer_crash> crashes;
-    /// Contents that have ended well after an end that the sender told.
+    /// Fingerprints of which an attempt has completed without a crash, after a
+    /// crash that the sender had reported.
     std::vector<std::uint64_t> completions;
     std::vector<peer_quarantine> quarantines;
     std::vector<peer_gate_message> gate_messages;
-    /// One at most.
+    /// At most one.
     std::vector<peer_registry_update> registry_updates;
-    /// How far the sender has read what the operator declares; 0 when it says
-    /// nothing of it.
+    /// The sender's position in the operator's declarations; 0 when not
+    /// reported.
     store_position declared_position;
-    /// How much of it the sender knows: the sum of all versions.
+    /// How many declarations the sender knows: the sum of all versions.
     std::uint64_t declared_total = 0;
-    /// Set while the sender has begun and waits to hear how much others know:
-    /// it is told at once.
+    /// Set while the sender is starting and waits for the positions of others:
+    /// receivers answer at once.
     bool queries_declared = false;
-    /// The sender knows which contents were held before it began.
+    /// The sender knows the quarantines that were in force before it started.
     bool knows_quarantines = false;
 
     static constexpr std::uint32_t current_format = 8;
@@ -262,7 +270,7 @@
             registry_updates, declared_position, declared_total,
             queries_declared, knows_quarantines);
     }
-    /// @returns true when there is nothing to say
+    /// @returns true when there is nothing to send
     bool empty() const noexcept {
         return !alive && replica_usages.empty() && usage_queries.empty() &&
                load_requests.empty() && adapter_usages.empty() &&
@@ -273,11 +281,11 @@
     }
 };
 
-/// Entries of one datagram; with names of some twenty bytes they stay below
-/// the longest datagram.
+/// Most entries of one list in a datagram. With names of about twenty bytes
+/// they stay below the maximum size of a datagram.
 inline constexpr std::size_t max_entries_per_datagram = 24;
 
-/// Takes the entries for one datagram out of those that are to be told.
+/// Removes and returns the entries for one datagram.
 template <class Entry>
 std::vector<Entry> drain_batch(std::vector<Entry>& from) {
     std::size_t const count = std::min(from.size(), max_entries_per_datagram);
@@ -287,11 +295,11 @@
     return taken;
 }
 
-/// @returns what a message says of a time; 0 for one that has passed
+/// @returns a duration in whole milliseconds; 0 when it is negative
 std::uint32_t clamped_milliseconds(duration time);
-/// @returns the message's bytes
+/// @returns the bytes of a message
 std::string encode(peer_datagram const& message);
-/// @returns the message; nothing when the bytes are none of this format
+/// @returns the message; nothing when the bytes are not in the current format
 std::optional<peer_datagram> decode_peer_datagram(std::string_view bytes);
 
 } // namespace camphorpoint
--- a/src/Gateway/peer_messenger.cpp
+++ b/src/Gateway/peer_messenger.cpp
@@ -17,36 +17,41 @@
 
 namespace {
 
-/// How often the counts of replicas are told to all. A replica takes in some
-/// requests in that time; more often costs each node a datagram to each other
-/// one.
+/// Interval of the usage broadcasts. A replica receives only a few requests in
+/// that time; a shorter interval would cost each node more datagrams to every
+/// other node.
 constexpr milliseconds broadcast_interval{100};
-/// With more nodes than this each tells less often, so that what one node
-/// receives in a second stays about the same.
+/// With more nodes than this each node broadcasts less often, so that the rate
+/// at which one node receives datagrams stays about the same.
 constexpr unsigned nodes_at_full_rate = 10;
-/// Running requests are told again so often, as a datagram may be lost.
+/// Reports of running requests are repeated every so many ticks, because a
+/// datagram may be lost.
 constexpr unsigned ticks_per_repeat = 2;
-/// Changes of the list in one datagram; an entry has 100 to 180 bytes.
+/// Registry changes in one datagram; an entry has 100 to 180 bytes.
 constexpr std::size_t max_changes_per_datagram = 5;
-/// Wants of one adapter at one replica are not repeated sooner.
+/// Load requests for one adapter at one replica are not repeated sooner than
+/// this.
 constexpr duration min_load_request_interval = std::chrono::milliseconds(250);
-/// Word of a replica's load is fresh for this long: with all nodes together it
-/// takes in one or two requests meanwhile.
+/// Reported usage of a replica is used for this long: a replica receives one or
+/// two requests from all nodes together meanwhile.
 constexpr duration usage_max_age = std::chrono::milliseconds(40);
-/// A node tells its claims with its counts, a few times in this.
+/// Broadcasts of a lease holder contain its claims and arrive several times
+/// within this period; after it the lease holder is looked up again.
 constexpr duration lease_holder_lost_after = std::chrono::seconds(3);
-/// A node tells its counts every 100 ms, one of 90 every second: a holder that
-/// is silent for longer, and for two such pauses, is not there.
+/// A lease holder from which no message was received for this long, and for two
+/// broadcast intervals, gets no load requests. Nodes broadcast every 100 ms, in
+/// a cluster of 90 nodes about every second.
 constexpr duration lease_holder_suspected_after =
     std::chrono::milliseconds(1'500);
-/// A node that was not heard for so long is no longer counted as one.
+/// A node is no longer counted as a peer when no message was received from it
+/// for this long.
 constexpr duration peer_expiry = std::chrono::seconds(20);
 
-/// Counts of one datagram, twelve bytes each, and claims of as many.
+/// Usage entries in one datagram, twelve bytes each, and as many claims.
 constexpr std::size_t max_usages_per_datagram = 40;
 constexpr std::size_t max_claims_per_datagram = 40;
 
-/// How many pauses lie between two tellings of a node.
+/// @returns the number of ticks between two broadcasts of a node
 unsigned ticks_between_broadcasts(unsigned nodes) {
     return 1 + nodes / nodes_at_full_rate;
 }
@@ -124,9 +129,9 @@
     bool first_request, duration wait_budget) {
     instant const now = boot_clock::now();
     instant& last_sent = last_load_requests_[{at.record.id, adapter.id}];
-    // Guards against a holder that is swamped by the repeats of hundreds of
-    // requests for an adapter that has just become busy: a node's requests
-    // repeat with one voice.
+    // Guards against a lease holder that is flooded by the repeated load
+    // requests of hundreds of requests when an adapter has just become busy: a
+    // node repeats the load request once for all of its requests.
     if (!first_request && now < last_sent + min_load_request_interval) {
         return;
     }
@@ -146,10 +151,10 @@
         handle_load_request(request, state_->own_address);
         return;
     }
-    // Guards against requests that wait for a load that nobody orders: a node
-    // that was stopped or killed during the store's outage has no successor
-    // until the outage ends. They go to the next home instead, whose holder is
-    // there.
+    // Guards against requests that wait for a load that no node commands: a
+    // node that was stopped or killed during the store's outage has no
+    // successor until the outage ends. These requests go to the next preferred
+    // replica instead, whose lease holder is reachable.
     auto const last_received = state_->peers.find(holder->second);
     duration const two_broadcasts =
         2 * broadcast_interval * ticks_between_broadcasts(state_->nodes());
@@ -187,7 +192,8 @@
 }
 
 void peer_messenger::broadcast_registry_update(peer_registry_update update) {
-    // In pieces that follow one another: a lost one is a gap before the next.
+    // The datagrams cover consecutive ranges, so that the receiver notices a
+    // lost one as a gap before the next.
     std::vector<peer_registry_entry> all = std::move(update.changes);
     std::size_t done = 0;
     do {
@@ -319,7 +325,7 @@
         use.prompt_tokens, now);
     state_->replicas.update_usage(
         use.replica, current_usage(use.replica, now), now);
-    // What counts for the slot is whether any node has runs there.
+    // For the slot it only matters whether any node has running requests there.
     peer_adapter_usage of_all = use;
     of_all.running =
         request_tracker_.in_use(use.replica, adapter_id(use.adapter)) ? 1 : 0;
@@ -356,7 +362,8 @@
         query.replica, 1.0 / std::max<double>(1, query.queried_replicas), now);
     peer_datagram message;
     message.replica_usages.push_back(*total);
-    // Echoed: it names who waits for the answer.
+    // The query is echoed because it names the adapter whose waiting requests
+    // the answer wakes.
     message.usage_queries.push_back(query);
     message.answers_queries = true;
     send(from, std::move(message));
--- a/src/Gateway/peer_messenger.hpp
+++ b/src/Gateway/peer_messenger.hpp
@@ -21,105 +21,125 @@
 
 namespace camphorpoint {
 
-/// What nodes tell each other, by datagrams: wants of adapters to the node that
-/// orders for the replica, word of what was loaded or is about to go to all,
-/// and counts of running requests.
+/// Exchanges datagrams with the other nodes: load requests and adapter usage
+/// for the lease holder of a replica's partition; residency changes, partition
+/// claims, suspicions, quarantines and replica usage for all nodes.
 class peer_messenger {
 public:
-    /// Takes wants and uses that are this node's to heed.
+    /// Callbacks for received messages, and for this node's own ones when it is
+    /// itself the lease holder.
     struct message_handlers {
-        /// @returns nothing when it is taken, else how long it would take
+        /// Handles a request to load an adapter.
+        /// @returns nothing when the request is accepted, otherwise the
+        ///          expected time until the adapter would be ready
         std::function<std::optional<duration>(peer_load_request const& request)>
             on_load_request;
         std::function<void(peer_adapter_usage const& use)> on_usage;
-        /// @returns adapters that could be loaded at a replica that this node
-        ///          orders for, less those that wait
+        /// @returns how many more adapters could be loaded now at a replica of
+        ///          which this node is the controller, less the pending load
+        ///          requests
         std::function<int(std::uint64_t replica)> free_slots;
-        /// Another node has read on in the list of replicas.
+        /// Another node has polled new changes of the replica registry.
         std::function<void(peer_registry_update const& reading)>
             on_registry_update;
-        /// Another node has read so far in what the operator declares, and
-        /// knows so much of it.
+        /// Another node reports its position in the operator's declarations and
+        /// the sum of the versions that it knows.
         std::function<void(store_position position, std::uint64_t total)>
             on_peer_progress;
-        /// Another node has met this era of the store.
+        /// Another node reports a later store epoch.
         std::function<void(store_epoch epoch)> on_epoch;
     };
 
-    /// @param beliefs where word from others goes; must outlive this
+    /// @param state updated from received messages; must outlive this object
+    /// @param handlers called for messages that other components handle
     peer_messenger(gateway_state& state, message_handlers handlers);
 
-    /// Binds and begins to tell counts.
-    /// @returns the reason when the address can't be had, empty on success
+    /// Binds the peer address and starts the periodic broadcasts.
+    /// @returns the reason when the address can't be bound, empty on success
     std::string start();
-    /// Ends.
+    /// Stops the broadcasts and closes the peer address.
     void stop();
 
-    /// Asks whoever orders for the replica to load the adapter there.
-    /// @param kind     for whom
-    /// @param first_request the request has not asked at this replica before
-    /// @param patience how long the request may wait for it there
+    /// Asks the controller of a replica to load an adapter there.
+    /// @param priority whether a request waits for the load, or it is a
+    ///        prefetch
+    /// @param first_request true when the waiting request has not asked for a
+    ///        load at this replica before
+    /// @param wait_budget how long the request may wait for the load
     void request_load(
         replica const& at, adapter_ref const& adapter, load_priority priority,
         bool first_request, duration wait_budget);
-    /// Tells all nodes of changes at a replica that this node orders for.
+    /// Broadcasts residency changes at a replica of which this node is the
+    /// controller.
     void broadcast_residency(
         endpoint_id const& at, std::vector<peer_residency> residencies);
-    /// Tells all nodes that this one orders for a partition.
+    /// Broadcasts that this node holds the lease of a partition.
+    /// @param token fencing number of the claim
     void broadcast_claim(std::size_t partition, std::uint64_t token);
-    /// Tells all nodes that a replica is silent.
+    /// Broadcasts that a replica did not answer.
+    /// @param backoff how long other nodes should avoid it
     void broadcast_suspicion(replica const& at, duration backoff);
-    /// Counts that a replica ended while it ran a content, here and at the
-    /// nodes that count it.
-    /// @param replica another name for each start of it
-    /// @returns true when others count it, who may know of more ends
+    /// Counts a replica crash during an attempt of a request, here and at the
+    /// nodes that count the crashes of this fingerprint.
+    /// @param replica identifies the replica process: another value after each
+    ///        restart
+    /// @returns true when other nodes count too, so that they may know of more
+    ///          crashes
     bool report_crash(request_fingerprint fingerprint, std::uint64_t replica);
-    /// A run of a content ended well: it has not ended its replicas.
+    /// Reports that an attempt of a request completed without a crash of its
+    /// replica, which lifts a quarantine of its fingerprint.
     void report_completion(request_fingerprint fingerprint);
-    /// @returns true when runs of a content begin one at a time: a replica has
-    ///          ended under it, or this node has begun and may not know of that
+    /// @returns true when attempts of a request must be admitted one at a time:
+    ///          a replica has crashed under it, or this node started recently
+    ///          and may not know of such a crash
     bool requires_admission(request_fingerprint fingerprint, instant now) const;
-    /// A run asks to begin.
-    /// @param run number of the run, unique over all nodes
-    /// @returns false when another run of the content is under way somewhere
+    /// Asks the request gate to admit an attempt. The gate is kept by one node
+    /// for all.
+    /// @param attempt number of the attempt, unique over all nodes
+    /// @returns false when another attempt of the same request is in progress
+    ///          on some node, or the request is quarantined
     boost::asio::awaitable<bool>
     request_admission(request_fingerprint fingerprint, std::uint64_t attempt);
-    /// A run of a content has brought a part of its answer.
+    /// Reports to the gate that an attempt has delivered a part of its answer.
     void report_progress(request_fingerprint fingerprint);
-    /// A run that was let begin has ended and has shown nothing.
+    /// Reports to the gate that an admitted attempt has ended without any part
+    /// of an answer.
     void report_attempt_ended(
         request_fingerprint fingerprint, std::uint64_t attempt);
-    /// Tells all nodes whether a content is run.
+    /// Broadcasts that a request fingerprint is quarantined or released.
     void broadcast_quarantine(quarantine_update const& update);
-    /// Asks a few nodes how much they know of what the operator declares, while
-    /// this one has begun and has not heard it.
+    /// While this node is starting and its peers have not reported yet, asks a
+    /// few of them how many of the operator's declarations they know.
     void query_declared();
-    /// Tells all nodes what this one has read in the list.
+    /// Broadcasts the changes that this node has polled from the replica
+    /// registry.
     void broadcast_registry_update(peer_registry_update update);
-    /// Notes that a request uses an adapter, until `release`, and tells whoever
-    /// orders for the replica.
-    /// @param prompt_tokens that the replica has to read for it
+    /// Counts a request that uses an adapter, until `end_use`, and reports the
+    /// use to the controller of the replica.
+    /// @param prompt_tokens prompt tokens that the replica has to process for
+    ///        the request
     void begin_use(
         endpoint_id const& at, adapter_id const& adapter,
         unsigned prompt_tokens);
     void end_use(endpoint_id const& at, adapter_id const& adapter);
-    /// Asks whoever orders for these replicas how full they are, where the
-    /// last word of it is not fresh. Whoever waits for the adapter is woken by
-    /// the answers.
-    /// @returns those that were asked for
+    /// Asks the controllers of replicas for their usage, where the last
+    /// reported usage is out of date. Each answer wakes the requests that wait
+    /// for the adapter.
+    /// @returns the replicas whose controllers were asked
     std::vector<endpoint_id> query_replica_usage(
         std::vector<replica*> const& of, adapter_id const& adapter,
         instant now);
-    /// @returns true when nobody is known who orders for a replica, or that
-    ///          node has not been heard for a while
+    /// @returns true when the lease holder of a replica in use is unknown, or
+    ///          no message has been received from it for a while
     bool lacks_reachable_lease_holder(instant now) const;
-    /// A node orders for a partition, as the group's list says.
+    /// Records the lease holder of a partition, as listed by the store.
+    /// @param member peer address of the lease holder
     void set_lease_holder(std::size_t partition, std::string member);
 
 private:
     struct use_count {
         unsigned running = 0;
-        /// Not yet told.
+        /// Prompt tokens that have not been reported yet.
         unsigned prompt_tokens = 0;
     };
     struct use_key {
@@ -169,12 +189,12 @@
     void handle_gate_message(
         peer_gate_message const& message, std::string const& from, instant now);
 
-    /// An ask at a content's gate, until it is answered.
+    /// An admission request to another node's gate, until it is answered.
     struct pending_admission {
         boost::asio::steady_timer* timer = nullptr;
         std::optional<bool> admitted;
     };
-    /// An end that this node has seen, and until when it is told again.
+    /// A crash that this node has seen, and how long its report is repeated.
     struct reported_crash {
         peer_crash crash;
         instant repeat_until;
@@ -185,22 +205,24 @@
     probe_link link_;
     std::map<std::size_t, std::string> lease_holders_;
     std::map<use_key, use_count> uses_;
-    /// When this node said last that it waits for an adapter at a replica.
+    /// When this node last requested a load of an adapter at a replica.
     std::map<use_key, instant> last_load_requests_;
     running_request_tracker request_tracker_;
     std::deque<reported_crash> recent_crashes_;
-    /// Contents whose ends this node has told, and when it did last.
+    /// Fingerprints of which this node has reported a crash, with the time of
+    /// the last report.
     std::unordered_map<request_fingerprint, instant> reported_fingerprints_;
     request_gate gate_;
     std::unordered_map<std::uint64_t, pending_admission> pending_admissions_;
     bool running_ = false;
 };
 
-/// Nodes that count the ends under a content. One may be gone without the
-/// others' knowing, and another may have begun a moment ago.
+/// Number of nodes that count the crashes of a fingerprint. One of them may
+/// have stopped without the others knowing, and another may have started a
+/// moment ago.
 inline constexpr unsigned crash_counter_nodes = 3;
 
-/// @returns the partition of a replica
+/// @returns the partition that a replica belongs to
 std::size_t partition_of(endpoint_id const& replica);
 
 } // namespace camphorpoint
--- a/src/Gateway/peer_messenger_gate.cpp
+++ b/src/Gateway/peer_messenger_gate.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-/// The node that keeps a content's gate answers within a few milliseconds; an
-/// answer that is lost is asked for once more.
+/// The node that keeps a request's gate answers within a few milliseconds. When
+/// no answer arrives, the admission request is sent once more.
 constexpr std::chrono::milliseconds gate_answer_timeout{20};
 constexpr int max_gate_attempts = 2;
-/// One that was not heard for so long is not asked.
+/// A node from which no message was received for this long is not asked.
 constexpr duration gate_node_timeout = std::chrono::milliseconds(1'500);
 
 } // namespace
@@ -29,8 +29,8 @@
            state_->quarantine.suspected(fingerprint);
 }
 
-// The first of the nodes that count the content's ends, as they hear of these
-// before all others.
+// Chooses the first reachable node among those that count the crashes of the
+// fingerprint, because they learn of a crash before all others.
 std::string peer_messenger::gate_node_of(
     request_fingerprint fingerprint, instant now) const {
     for (std::uint64_t each = 0; each < crash_counter_nodes; ++each) {
@@ -84,7 +84,8 @@
             co_return *answer.mapped().admitted;
         }
     }
-    // Nobody keeps the gate: a request is not held up for that.
+    // No gate node answered: the attempt is admitted, so that a request is not
+    // delayed by an unreachable gate.
     co_return true;
 }
 
--- a/src/Gateway/peer_messenger_quarantine.cpp
+++ b/src/Gateway/peer_messenger_quarantine.cpp
@@ -11,17 +11,18 @@
 
 namespace {
 
-/// An end is told again for so long: its datagram may be lost, and who counts
-/// may change, of which a node learns within two seconds. It is counted once
-/// all the same.
+/// The report of a crash is repeated for this long: its datagram may be lost,
+/// and the counting nodes may change, of which a node learns within two
+/// seconds. A repeated crash is counted only once.
 constexpr duration crash_repeat_period = std::chrono::milliseconds(3'000);
-/// Ends told again at a time: of a replica that ends some fifty runs break.
+/// Most crashes whose reports are repeated at a time: one replica crash
+/// interrupts about fifty attempts.
 constexpr std::size_t max_repeated_crashes = 256;
-/// Contents whose ends this node remembers to have told, and for how long: as
-/// long as those who count them do.
+/// Most fingerprints of which this node remembers that it has reported a crash,
+/// and for how long: as long as the counting nodes keep them.
 constexpr std::size_t max_reported_fingerprints = 4'096;
 constexpr duration evidence_retention = std::chrono::minutes(10);
-/// Words of contents in one datagram, sixteen bytes each.
+/// Quarantines in one datagram, sixteen bytes each.
 constexpr std::size_t max_quarantines_per_datagram = 16;
 
 peer_quarantine to_wire(quarantine_update const& update) {
@@ -52,13 +53,14 @@
     return !others.empty();
 }
 
-// Guards against a content that many ask for in the same words and that is held
-// for ends that lie apart, though it has ended well in between: each node would
-// clear it of its own evidence only.
+// Guards against the quarantine of a common request because of crashes that lie
+// far apart, although attempts of it have completed in between: each node alone
+// would clear only the evidence that it has itself. Many callers may send the
+// same request.
 void peer_messenger::report_completion(request_fingerprint fingerprint) {
     lift_quarantine(fingerprint);
-    // Few contents have had an end, so that a run which ends well costs
-    // nothing.
+    // Few fingerprints have had a crash, so that most completed attempts cost
+    // no datagrams.
     if (reported_fingerprints_.erase(fingerprint) == 0) {
         return;
     }
@@ -109,8 +111,9 @@
     }
 }
 
-// Few nodes count a content, the same ones for all, so that an end costs the
-// same number of datagrams with any number of nodes.
+// Only a few nodes count the crashes of a fingerprint, and all nodes choose the
+// same ones, so that a crash costs the same number of datagrams with any number
+// of nodes.
 std::set<std::string>
 peer_messenger::crash_counters_of(std::uint64_t fingerprint) const {
     std::set<std::string> members;
@@ -153,7 +156,7 @@
     send_all(message);
 }
 
-// A node that has begun anew, or was cut off, hears them again from everybody.
+// Quarantines are repeated for nodes that have restarted or were disconnected.
 void peer_messenger::repeat_quarantines(instant now) {
     state_->quarantine.remove_expired(now);
     peer_datagram message;
--- a/src/Gateway/peer_messenger_receive.cpp
+++ b/src/Gateway/peer_messenger_receive.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Slots come free and loads end within some hundred milliseconds: a forecast
-/// that is older says little.
+/// Slots become free and loads complete within some hundred milliseconds, so
+/// that an older forecast is of little use.
 constexpr duration rejection_lifetime = std::chrono::milliseconds(400);
-/// How long it may take a replica that has no place for another request: its
-/// runs have to end first.
+/// Expected wait at a replica without capacity for another request: its running
+/// requests have to complete first.
 constexpr duration wait_for_capacity = std::chrono::milliseconds(1'000);
 
 bool is_demand(peer_load_request const& request) {
@@ -24,9 +24,10 @@
 
 bool peer_messenger::has_capacity_for(
     peer_load_request const& request, instant now) const {
-    // Guards against hundreds of requests for an adapter that has just become
-    // busy which all wait for one replica: those beyond its places are turned
-    // away at once and have it loaded elsewhere at the same time.
+    // Guards against hundreds of requests that all wait for one replica because
+    // their adapter has just become busy. Requests beyond the replica's
+    // capacity are rejected at once, so that the adapter is loaded at other
+    // replicas at the same time.
     replica const* const at = state_->replicas.find_by_hash(request.replica);
     if (at == nullptr || !request.first_request) {
         return true;
@@ -79,7 +80,8 @@
 void peer_messenger::handle(peer_datagram const& message) {
     instant const now = boot_clock::now();
     state_->peers[message.from] = now;
-    // First, so that places of it are met by who knows it.
+    // The epoch is handled first, so that the positions in this message are
+    // compared within the new epoch.
     if (message.declared_position.epoch > state_->epoch) {
         handlers_.on_epoch(message.declared_position.epoch);
     }
--- a/src/Gateway/registry_follower.cpp
+++ b/src/Gateway/registry_follower.cpp
@@ -19,17 +19,20 @@
 
 namespace {
 
-/// How long one reading waits for news. A connection that has gone silent
-/// without a reset shows after this and the silence allowed.
+/// Duration of one long poll. A connection that has died without a reset is
+/// noticed after this time plus the store timeout.
 constexpr milliseconds long_poll_time{2'000};
-/// After a failed call. Shorter would spend calls that all nodes share.
+/// Delay after a failed call. A shorter delay would use up calls to the store
+/// that all nodes share.
 constexpr milliseconds retry_delay{250};
-/// The list is read whole so often. Word of adapters comes from those who order
-/// for the replicas, so this mends only what was lost of it.
+/// Interval of full polls of the registry. Residency of adapters is reported by
+/// the replicas' controllers, so a full poll only repairs what was lost of
+/// these reports.
 constexpr duration full_poll_interval = std::chrono::seconds(20);
 constexpr auto topic = platform::store_topic::replicas;
 
-/// @returns what to tell of a replica; its end when there is none
+/// @returns the registry entry to send for a replica; a removal when there is
+///          no replica
 peer_registry_entry to_wire(endpoint_id const& id, replica const* at) {
     peer_registry_entry entry;
     entry.id = id.str();
@@ -57,7 +60,8 @@
     return entry;
 }
 
-/// @returns the entry that was told of, with the adapters that are known here
+/// @returns the record of a received entry, with the adapters that are known
+///          here
 replica_record
 from_wire(peer_registry_entry const& entry, fleet const& replicas) {
     replica_record record;
@@ -139,7 +143,7 @@
     }
     bool const seen = change == fleet_change::joined;
     if (seen) {
-        // Those that wait for any replica of a service.
+        // Wakes the requests that wait for any replica of a service.
         state_->waiters.notify(adapter_id());
         for (adapter_ref const& each : record.adapters) {
             state_->waiters.notify(each.id);
@@ -162,11 +166,12 @@
     }
     auto const parsed = platform::read_replica(record.key, *record.value);
     if (!parsed) {
-        // Whoever wrote it: what it names can't be used, as if it had ended.
+        // An unreadable entry is treated as a removal, because the replica that
+        // it names can't be used.
         state_->log_event(
             log_line(event_code::configuration_rejected, log_level::error)
                 .with("replica", record.key)
-                .with("findings", "no entry of a replica"));
+                .with("findings", "not a valid replica entry"));
         apply_removal(endpoint_id(record.key));
         return {false, true};
     }
@@ -203,8 +208,9 @@
 void registry_follower::apply_and_broadcast(
     store_position from, platform::keyed_batch const& batch) {
     peer_registry_update update;
-    // What others have told meanwhile is no news here any more, so this word
-    // must not cover it: whoever has missed theirs would take it for whole.
+    // Changes that peers have reported meanwhile are no longer changes here, so
+    // this message must not cover their range: a node that has missed the
+    // peers' messages would take its own view for complete.
     bool const peers_ahead = is_ahead(batch.next, schedule_.position());
     update.from =
         max_position(from, peers_ahead ? schedule_.position() : batch.next);
@@ -296,7 +302,8 @@
 void registry_follower::on_store_rollback(store_epoch epoch, instant read_at) {
     schedule_.enter_epoch(epoch, read_at);
     poll_timer_.cancel();
-    // It waits for what comes after an old place, for as long as two seconds.
+    // The long poll in progress waits at a position of the previous epoch, for
+    // up to two seconds.
     if (!reading_.begun()) {
         reading_.cancel();
     }
@@ -313,7 +320,8 @@
              state_->replicas.expire_missing(state_->store_stable(now), now)) {
             log_removal(id);
         }
-        // A node that takes the store for lost sees its return by itself only.
+        // A node that regards the store as unreachable only notices its
+        // recovery by its own polls.
         bool const lost = state_->store_unreachable_since != instant::max();
         if (now >= last_full_poll + full_poll_interval) {
             schedule_.require_full_poll();
--- a/src/Gateway/registry_follower.hpp
+++ b/src/Gateway/registry_follower.hpp
@@ -15,28 +15,30 @@
 
 namespace camphorpoint {
 
-/// Follows what the replicas say of themselves, from the store and from other
-/// nodes' readings of it, into this node's beliefs.
+/// Keeps this node's view of the replicas up to date, from the replica registry
+/// in the store and from other nodes' registry updates.
 class registry_follower {
 public:
-    /// @param beliefs where what is read goes; must outlive the follower
-    /// @param store   the store's client; must outlive the follower
-    /// @param watch   told whether the store answers; must outlive the follower
-    /// @param words   tells other nodes what was read; must outlive the
-    /// follower
+    /// @param state updated from the registry; must outlive the follower
+    /// @param store client of the store; must outlive the follower
+    /// @param monitor informed of the store's answers and failures; must
+    ///        outlive the follower
+    /// @param messenger broadcasts polled changes; must outlive the follower
     /// @param changed called when replicas have changed
     registry_follower(
         gateway_state& state, platform::store_client& store,
         store_monitor& monitor, peer_messenger& messenger,
         std::function<void()> changed);
 
-    /// Begins to follow.
+    /// Starts to poll the registry.
     void start();
-    /// Ends at the next answer.
+    /// Stops after the poll in progress.
     void stop();
-    /// Another node has read on in the list.
+    /// Applies registry changes that another node has polled.
     void handle_registry_update(peer_registry_update const& update);
-    /// The store has come back from an older copy: the list is read whole.
+    /// Requires a full poll because the store was restored from an older
+    /// snapshot.
+    /// @param read_at when this node should poll
     void on_store_rollback(store_epoch epoch, instant read_at);
 
 private:
@@ -49,11 +51,11 @@
         store_position from, platform::keyed_batch const& batch);
     bool apply_entry(replica_record const& record);
     boost::asio::awaitable<void> sleep_for(std::chrono::milliseconds time);
-    /// What a record of the list comes to.
+    /// The effect of a registry record.
     struct record_effect {
-        /// It is the entry of a replica.
+        /// The record is a valid entry of a replica.
         bool is_entry = false;
-        /// Other nodes are to be told.
+        /// The record changed this node's view and has to be broadcast.
         bool changed = false;
     };
     record_effect apply_record(platform::keyed_record const& record);
@@ -69,7 +71,7 @@
     registry_poll_schedule schedule_;
     platform::store_reading reading_;
     boost::asio::steady_timer poll_timer_;
-    // Shared with the coroutine, which ends after it has turned false.
+    // Shared with the coroutine, which ends after it has become false.
     std::shared_ptr<bool> running_ = std::make_shared<bool>(true);
 };
 
--- a/src/Gateway/replica_controller.cpp
+++ b/src/Gateway/replica_controller.cpp
@@ -22,15 +22,15 @@
 
 constexpr auto use_result = asio::as_tuple(asio::use_awaitable);
 
-/// A replica answers an order or a report within a few milliseconds; longer
-/// means that it, or the way to it, is down.
+/// A replica answers a command or a report request within a few milliseconds. A
+/// longer time means that the replica or the network path to it is down.
 constexpr milliseconds replica_timeout{700};
-/// A worker without the right to order asks again.
+/// Delay before a worker retries after a failed report or an unsent command.
 constexpr milliseconds retry_interval{100};
-/// An entry lapses three writings, of a second or a little more, after the
-/// last.
+/// Time until a registry entry expires after its last write: three write
+/// intervals of a second or a little more.
 constexpr duration registry_entry_lifetime = std::chrono::seconds(4);
-/// The span over which the loads of base models are counted.
+/// Period over which the loads of base models are counted for their rate limit.
 constexpr duration load_window = std::chrono::seconds(5);
 
 load_priority priority_of(peer_load_request const& request) {
@@ -120,8 +120,8 @@
 replica_controller::handle_load_request(peer_load_request const& request) {
     auto const controlled = find_controlled(request.replica);
     if (controlled == replicas_.end()) {
-        // Another may order for it by now. A node that is stopping can't give
-        // its replicas to another while the store is down.
+        // Another node may be the controller by now. A node that is stopping
+        // can't hand its replicas over while the store is down.
         if (*running_) {
             return std::nullopt;
         }
@@ -130,7 +130,7 @@
     adapter_ref const adapter{adapter_id(request.adapter), request.version};
     slot_tracker& tracker = controlled->second->tracker;
     if (tracker.ready(adapter)) {
-        // Whoever asks has missed the word of it.
+        // The requesting node has missed the residency message.
         publish_changes(controlled->first, tracker);
         std::vector<peer_residency> residencies{
             {0, request.adapter, request.version, true}};
@@ -143,7 +143,7 @@
     }
     instant const now = boot_clock::now();
     load_priority const priority = priority_of(request);
-    // Repeats keep their place.
+    // A repeated load request keeps its place in the queue.
     bool const may_reject =
         request.first_request || priority == load_priority::prefetch;
     auto const rejected_wait =
@@ -230,13 +230,15 @@
     }
     slot_tracker& tracker = controlled->tracker;
     if (*token != controlled->token) {
-        // The same holder under a new number: what it knows of the replica
-        // holds on, and a report shows what it may have missed.
+        // This node holds the lease under a new fencing number. Its state of
+        // the replica remains valid, and a report shows changes that it may
+        // have missed.
         controlled->token = *token;
         tracker.require_report();
     }
     if (at->record.started_at != controlled->started_at) {
-        // Asked by report, which is newer than the list: it may know already.
+        // The restart is checked by a report, which is newer than the registry:
+        // the tracker may know the new process already.
         controlled->started_at = at->record.started_at;
         tracker.require_report();
     }
@@ -304,7 +306,8 @@
     http_call call(state_->io.get_executor(), &state_->replica_connections);
     http_request request = platform::make_order(
         command, id, state_->settings.name.str(), controlled->token);
-    // Read again right before the act: the node may have been suspended.
+    // The token is read again right before the command is sent, because this
+    // process may have been suspended since the last check.
     instant const now = boot_clock::now();
     auto const token = state_->leases.token(partition_of(id), now);
     if (!token || *token != controlled->token) {
@@ -321,7 +324,8 @@
         answer = command_result::not_sent;
     }
     state_->metrics.count_command(to_string(answer));
-    // An order that is given again to see how far it is decides nothing.
+    // A command that is repeated to check its progress is not logged as a new
+    // decision.
     bool const status_check =
         controlled->tracker.command_pending(command.adapter.id) &&
         answer == command_result::accepted;
@@ -342,9 +346,10 @@
     }
 }
 
-// Guards against a replica that has ended and stands in the list until its
-// entry lapses, after the store's outage for seconds: adapters were asked for
-// there, and the replica that has its address now turned each order away.
+// Guards against a replica that has stopped but stays listed until its registry
+// entry expires, which takes seconds after an outage of the store. Load
+// requests were sent for it, and the replica that now has its address rejected
+// each command.
 void replica_controller::handle_replaced_replica(endpoint_id const& id) {
     instant const now = boot_clock::now();
     replica const* const at = state_->replicas.find(id);
@@ -353,7 +358,7 @@
     }
     state_->log_event(log_line(event_code::replica_gone, log_level::warning)
                           .with("replica", id.str())
-                          .with("why", "its address is another's"));
+                          .with("why", "another replica has its address"));
     messenger_->broadcast_suspicion(*at, registry_entry_lifetime);
     state_->replicas.mark_unlisted(id, false, now);
 }
@@ -371,8 +376,8 @@
 }
 
 void replica_controller::request_newer_versions(slot_tracker& tracker) {
-    // What is in use is left as it is, and the account sees to that: requests
-    // go to a replica that gets the new version in a slot of its own.
+    // The tracker keeps adapters that are in use: requests for the new version
+    // go to a replica that loads it into a separate slot.
     instant const now = boot_clock::now();
     for (adapter_ref const& each : state_->versions.all()) {
         bool const outdated =
@@ -385,8 +390,9 @@
 
 bool replica_controller::try_admit_model_load(
     service_definition const& service) {
-    // Loads of base models are rated over all replicas. Each holder takes a
-    // share as large as its part of the partitions.
+    // The rate limit of base model loads applies to all replicas together. Each
+    // lease holder uses a quota share in proportion to its number of
+    // partitions.
     instant const now = boot_clock::now();
     std::erase_if(model_load_times_, [&](instant const each) {
         return now >= each + load_window;
--- a/src/Gateway/replica_controller.hpp
+++ b/src/Gateway/replica_controller.hpp
@@ -16,35 +16,38 @@
 
 namespace camphorpoint {
 
-/// Orders loads at the replicas of the partitions that this node holds: one
-/// worker for each replica, and the renewal of the leases.
+/// Sends load and unload commands to the replicas of the partitions whose
+/// leases this node holds. Runs one worker per replica and renews the leases.
 class replica_controller {
 public:
-    /// @param beliefs must outlive this
-    /// @param store   must outlive this
+    /// @param state must outlive this object
+    /// @param store must outlive this object
     replica_controller(gateway_state& state, platform::store_client& store);
 
-    /// Where word to other nodes goes; set before start.
+    /// Sets the messenger to the other nodes; must be called before `start`.
     void set_messenger(peer_messenger& messenger) { messenger_ = &messenger; }
-    /// Begins to hold partitions.
+    /// Starts to acquire and renew leases.
     void start();
-    /// Gives all partitions up.
+    /// Releases all leases and stops the workers.
     void stop();
 
-    /// Somebody wants an adapter at a replica.
-    /// @returns nothing when it is taken, else how long it would take
+    /// Handles a request to load an adapter at a replica.
+    /// @returns nothing when the request is accepted, or this node is not the
+    ///          replica's controller any more; otherwise the expected time
+    ///          until the adapter would be ready
     std::optional<duration>
     handle_load_request(peer_load_request const& request);
-    /// Somebody uses an adapter at a replica.
+    /// Records that the requests of some node use an adapter at a replica.
     void handle_usage(peer_adapter_usage const& usage);
-    /// @returns adapters that could be loaded at a replica at once, less those
-    ///          that wait; 0 when this node does not order for it
+    /// @returns how many more adapters could be loaded at a replica now, less
+    ///          the pending load requests; 0 when this node is not its
+    ///          controller
     int free_slots(std::uint64_t replica) const;
-    /// Replicas or versions have changed.
+    /// Wakes the workers after replicas or versions have changed.
     void wake_workers();
 
 private:
-    /// A replica's account, and the worker that goes by it.
+    /// The slots of a replica, and the state of its worker.
     struct controlled_replica {
         controlled_replica(
             slot_limits limits, std::shared_ptr<load_limiter> limiter,
@@ -55,10 +58,11 @@
             , since(from) {}
         slot_tracker tracker;
         boost::asio::steady_timer wake;
-        /// Another one after a claim in a later era of the store.
+        /// Fencing number of the lease; changes when the partition is claimed
+        /// again after a store rollback.
         std::uint64_t token;
         instant since;
-        /// When the replica started, as the list said last.
+        /// Start time of the replica process as last listed in the registry.
         std::optional<incarnation> started_at;
         bool stopped = false;
     };
@@ -96,11 +100,11 @@
     std::map<endpoint_id, controlled_ptr> replicas_;
     std::map<std::uint64_t, endpoint_id> ids_by_hash_;
 
-    /// Wakes whoever renews and claims.
+    /// Wakes the coroutine that renews and claims.
     boost::asio::steady_timer claim_timer_;
     std::uint64_t holders_generation_ = 0;
     instant holders_read_at_;
-    // Shared with the coroutines, which end after it has turned false.
+    // Shared with the coroutines, which end after it has become false.
     std::shared_ptr<bool> running_ = std::make_shared<bool>(false);
     std::vector<instant> model_load_times_;
     std::shared_ptr<load_limiter> limiter_ = std::make_shared<load_limiter>();
--- a/src/Gateway/replica_controller_leases.cpp
+++ b/src/Gateway/replica_controller_leases.cpp
@@ -21,23 +21,26 @@
 constexpr auto use_result = asio::as_tuple(asio::use_awaitable);
 
 std::string const group_name = "holders";
-/// The store deals out partitions of topics; a topic has so many.
+/// The store assigns partitions of topics to members; each topic has this many.
 constexpr std::size_t partitions_per_topic = 12;
 constexpr std::size_t topic_count = partition_count / partitions_per_topic;
 
-/// Owners may change without a new generation reaching this node.
+/// The lease holders are read again this often, because they may change without
+/// a new generation reaching this node.
 constexpr duration holders_refresh_interval = std::chrono::seconds(30);
-/// At a change of members, which come in rows when nodes are stopped in turn.
-/// Without it nodes that begin together know of each other by halves, and each
-/// takes a larger share of the budget of second sends than is its.
+/// Interval after a change of members. Members change in rapid succession when
+/// nodes are restarted one after the other. Without this read, nodes that start
+/// together know only some of each other, and each takes more than its quota
+/// share of the resend budget.
 constexpr duration holders_changed_interval = std::chrono::seconds(2);
-/// While a holder is missing.
+/// Interval while the lease holder of a partition is unknown or unreachable.
 constexpr duration holders_missing_interval = std::chrono::seconds(1);
 std::string topic_name(std::size_t number) {
     return fmt::format("holding{}", number);
 }
 
-/// @returns the partition's number among all topics; nothing for others' topics
+/// @returns the partition's number over all topics; nothing for topics of other
+///          users
 std::optional<std::size_t>
 partition_number(std::string const& topic, unsigned part) {
     std::string const prefix = "holding";
@@ -63,7 +66,7 @@
     auto const left =
         co_await store_->leave(std::move(group), std::move(member));
     if (!left) {
-        // The lease lapses by itself; others wait for it.
+        // The lease expires by itself; until then other nodes wait for it.
         state_->log_event(log_line(event_code::partition_lost)
                               .with("why", to_string(left.error())));
     }
@@ -83,9 +86,10 @@
     }
 }
 
-// Guards against replicas that nobody orders for until the next renewal, though
-// their partition could be claimed, or has settled, long before: in the first
-// seconds of all nodes requests wait for these loads.
+// Guards against replicas that have no controller until the next renewal,
+// although their partition could be claimed, or its settling period has ended,
+// long before. In the first seconds after all nodes have started, requests wait
+// for these loads.
 asio::awaitable<void> replica_controller::run_renewals() {
     auto const alive = running_;
     instant renew_at;
@@ -112,8 +116,8 @@
     partition_leases& leases = state_->leases;
     std::string group = group_name;
     std::string member = state_->own_address;
-    // The lease counts from before the call: the store's own count begins when
-    // the call arrives, which is later.
+    // The lease is counted from before the call, because the store counts from
+    // the arrival of the call, which is later.
     instant const started = boot_clock::now();
     auto const grant = co_await store_->join(
         std::move(group), std::move(member), std::move(topics),
@@ -145,9 +149,10 @@
             messenger_->set_lease_holder(each, state_->own_address);
         }
     }
-    // Holders tell their claims to all nodes they know. The list is for those
-    // that they don't know yet: without it a want would go to a node that holds
-    // the replica no more, and nobody would load what is waited for.
+    // Lease holders broadcast their claims to all nodes that they know. This
+    // read is for nodes that they don't know yet: without it, a load request
+    // would go to a node that no longer holds the lease of the replica's
+    // partition, and the adapter would not be loaded.
     bool const changed = holders_generation_ != grant.value().generation;
     bool const missing = messenger_->lacks_reachable_lease_holder(now);
     duration const pause = missing   ? holders_missing_interval
@@ -183,8 +188,8 @@
 asio::awaitable<void>
 replica_controller::claim_partition(std::size_t partition) {
     auto const alive = running_;
-    // The place of a record in the log is had by one node only, and a later
-    // holder's is higher: it is the fencing number.
+    // The offset of a record in the log belongs to one node only, and that of a
+    // later lease holder is higher: it serves as the fencing number.
     std::string topic = topic_name(partition / partitions_per_topic);
     std::string record = state_->own_address;
     auto const offset = co_await store_->append(
--- a/src/Gateway/store_monitor.cpp
+++ b/src/Gateway/store_monitor.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// In a new era each node reads the store whole at a time of its own within
-/// this: not all at once, and soon enough for the two seconds in which a
-/// leaving or a configuration must be known.
+/// After a rollback each node reads the store in full at a random time within
+/// this period: the nodes don't all read at once, yet soon enough for the two
+/// seconds in which a draining replica or a new configuration must be known.
 constexpr std::chrono::milliseconds rollback_poll_spread{800};
 
 } // namespace
@@ -23,10 +23,10 @@
     , on_recovered_(std::move(on_recovered))
     , on_rollback_(std::move(on_rollback)) {}
 
-// Guards against a store that has come back from an older copy and is read on
-// from a place of before: what is written first in the new era stands below
-// that place and is never read. Every answer names the era, and so does word
-// between nodes.
+// Guards against reading on from an old offset after the store was restored
+// from an older snapshot: the first records of the new epoch are written below
+// that offset and would never be read. Every answer of the store contains the
+// epoch, and so do the messages between nodes.
 void store_monitor::observe_epoch(store_epoch epoch, std::string_view by) {
     bool const nothing_read = state_->epoch == store_epoch{} &&
                               !state_->configured &&
@@ -51,7 +51,8 @@
             .with("in_ms", read_at - now));
     state_->metrics.count_store_rollback();
     state_->epoch = epoch;
-    // Entries that are not in the copy are written again, as after an outage.
+    // Entries that are missing in the snapshot are written again by their
+    // replicas, as after an outage.
     state_->store_reachable_since = now;
     state_->leases.on_store_rollback(epoch);
     epoch_observed_at_ = now;
@@ -99,10 +100,11 @@
     bool const truncated =
         failure == platform::store_failure::no_answer && reading.begun();
     bool const unreachable = state_->store_unreachable_since != instant::max();
-    // Guards against a reading that is cut on a full way being taken for an
-    // outage of the store: entries that end in an outage are kept for a while,
-    // so a replica that has left would get requests. A store that has answered
-    // since the reading began, or has begun to answer it, is there.
+    // Guards against taking a poll that is cut off on a saturated link for an
+    // outage of the store. In an outage, entries that disappear are kept for a
+    // while, so a replica that has left would get requests. The store is
+    // reachable when it has answered since the poll began, or has begun to
+    // answer it.
     if (unreachable || truncated || last_answer_ >= began) {
         return;
     }
@@ -116,7 +118,7 @@
     gateway_state& state, platform::store_topic topic, std::string_view how,
     std::uint64_t from, instant began, platform::store_reading const& reading,
     platform::store_result<platform::keyed_batch> const& result) {
-    // A wait that has brought nothing is no news.
+    // A long poll without records is not logged.
     if (result && result.value().records.empty() &&
         result.value().unreadable == 0) {
         return;
--- a/src/Gateway/store_monitor.hpp
+++ b/src/Gateway/store_monitor.hpp
@@ -9,35 +9,37 @@
 
 namespace camphorpoint {
 
-/// Who has named an era: the store itself, or another node.
+/// Source of a reported store epoch, for the log: the store's own answer, or
+/// another node's message.
 inline constexpr std::string_view epoch_from_answer = "answer";
 inline constexpr std::string_view epoch_from_peer = "word";
 
-/// Whether the store can be reached, by the readings of this node, and whether
-/// it has come back from an older copy.
+/// Tracks whether this node's polls reach the store, and whether the store was
+/// rolled back to an older snapshot.
 class store_monitor {
 public:
-    /// @param beliefs   where the belief stands; must outlive the watch
-    /// @param on_recovered called when the store answers again
-    /// @param on_rollback called when the store has come back from an older
-    /// copy,
-    ///                  with the time at which this node is to read it whole
+    /// @param state holds the tracked state; must outlive the monitor
+    /// @param on_recovered called when the store answers again after an outage
+    /// @param on_rollback called when the store was rolled back, with the time
+    ///        at which this node should read it in full
     store_monitor(
         gateway_state& state, std::function<void()> on_recovered,
         std::function<void(store_epoch epoch, instant read_at)> on_rollback);
 
-    /// A reading has been answered.
+    /// Records that the store has answered.
     void note_answer();
-    /// An answer, or another node's word, has named the store's era.
-    /// @param by for the log: who has named it
+    /// Records the store epoch that an answer or another node's message
+    /// contains.
+    /// @param by source of the epoch, for the log
     void observe_epoch(store_epoch epoch, std::string_view by);
-    /// Records were read whole.
+    /// Records that a topic was read in full.
+    /// @param epoch store epoch in which it was read
     void note_snapshot(platform::store_topic topic, store_epoch epoch);
-    /// A reading has failed.
-    /// @param topic what was read
-    /// @param began when
-    /// @param seen  what came of it
-    /// @param why   how it failed
+    /// Records that a poll has failed.
+    /// @param topic what was polled
+    /// @param began when the poll began
+    /// @param reading progress of the poll
+    /// @param failure how it failed
     void note_failure(
         platform::store_topic topic, instant began,
         platform::store_reading const& reading,
@@ -47,18 +49,20 @@
     gateway_state* state_;
     std::function<void()> on_recovered_;
     std::function<void(store_epoch epoch, instant read_at)> on_rollback_;
-    /// When the present era was met, until all is read whole in it.
+    /// When the current epoch was first observed, until all topics have been
+    /// read in full in it.
     std::optional<instant> epoch_observed_at_;
     bool registry_complete_ = false;
     bool declarations_complete_ = false;
     instant last_answer_;
 };
 
-/// Writes a line on a reading that has brought records or has failed.
-/// @param how   which reading it was
-/// @param from  where it began
+/// Logs a poll that has returned records or has failed.
+/// @param how kind of the poll
+/// @param from offset at which it began
 /// @param began when it began
-/// @param seen  what came of it
+/// @param reading progress of the poll
+/// @param result records or the failure
 void log_store_read(
     gateway_state& state, platform::store_topic topic, std::string_view how,
     std::uint64_t from, instant began, platform::store_reading const& reading,
