--- a/test/gateway/command_times_test.cpp
+++ b/test/gateway/command_times_test.cpp
@@ -24,10 +24,11 @@
 
 } // namespace
 
-// A holder looks at its lease, connects to the replica and is suspended there
-// for seven seconds. Another holder has taken over and ordered; the first one
-// wakes and sends its order, so that two holders take turns at one replica.
-TEST_CASE("an order does not leave on a lease that has ended") {
+// Guards against a command that is sent on an expired lease: a lease holder
+// checks its lease, connects to the replica and is suspended for seven seconds.
+// Another node takes the lease over and sends commands; when the first one
+// resumes and sends its command, two nodes control one replica.
+TEST_CASE("a command is not sent on an expired lease") {
     loopback loop;
     http_pool pool;
     partition_leases leases{lease_times{}};
@@ -48,11 +49,11 @@
         return result.how;
     };
     instant const now = boot_clock::now();
-    SUBCASE("granted seven seconds ago: not a byte of it") {
+    SUBCASE("granted seven seconds ago: no byte is sent") {
         CHECK(send(now - seconds(7)) == call_result::not_sent);
         CHECK(seen->empty());
     }
-    SUBCASE("granted just now: it is sent") {
+    SUBCASE("granted just now: the command is sent") {
         CHECK(send(now) != call_result::not_sent);
         CHECK_FALSE(seen->empty());
     }
--- a/test/gateway/gateway_fixture.cpp
+++ b/test/gateway/gateway_fixture.cpp
@@ -146,7 +146,8 @@
     replica.engine.on_end = [this, &replica] {
         ++crashed_replicas;
         crash_times.push_back(boot_clock::now());
-        // Not from within the answer that it would take away.
+        // The server is closed later, because closing it here would destroy the
+        // answer that is being handled.
         asio::post(loop.io(), [&replica] { replica.server.close(); });
     };
 }
--- a/test/gateway/gateway_fixture.hpp
+++ b/test/gateway/gateway_fixture.hpp
@@ -17,7 +17,7 @@
 
 namespace camphorpoint::testing {
 
-/// A replica stand-in and the server that it answers on.
+/// A replica stand-in and its HTTP server.
 struct served_replica {
     served_replica(
         loopback& loop, std::string name, std::string model, unsigned slots);
@@ -28,8 +28,8 @@
     http_server server;
 };
 
-/// One gateway node before stand-ins of the platform: two replicas of a model
-/// with adapters, one of a plain service, the store.
+/// One gateway node with stand-ins of the platform: the store, two replicas of
+/// a model with adapters, and one replica of a plain service.
 class gateway_fixture {
 public:
     /// Starts the node and waits until it is ready.
@@ -41,54 +41,58 @@
     ~gateway_fixture();
 
     /// Sends one request and waits for its answer.
-    /// @param path  such as /gen/x; /gen/ streams and may be resumed, /once/
-    ///              streams and may not, /book/ runs once, /look/ may repeat
+    /// @param path such as /gen/x. Requests to /gen/ stream and may be resumed,
+    ///        to /once/ stream and may not be resumed, to /book/ run at most
+    ///        once, to /look/ may be repeated.
     /// @param model the model and adapter; empty for none
     fetch_result
     ask(std::string path, std::string model = "", std::string id = "q1");
-    /// Sends one request with a body of its own to one of the nodes.
+    /// Sends one request with the given body to one of the nodes and waits for
+    /// its answer.
     /// @param node 0 for the first
     fetch_result send_to_node(
         std::size_t node, std::string path, std::string model, std::string id,
         std::string body);
-    /// Asks one of the nodes for a stream of the service without adapters.
-    /// @param after the last event that the client has, 0 for none
-    /// @returns what came, also of an answer that was cut
+    /// Requests a stream of the service without adapters from one of the nodes.
+    /// @param after number of the last event that the caller has, 0 for none
+    /// @returns the received answer, also when it was cut off
     fetch_result
     stream_from_node(std::size_t node, std::string path, unsigned after);
-    /// Starts one node more and waits until it is ready.
+    /// Starts an additional node and waits until it is ready.
     void add_node();
-    /// Starts one node more, which need not be ready.
+    /// Starts an additional node without waiting until it is ready.
     void start_node();
     /// @returns one of the nodes
     /// @param which 0 for the first
     gateway& node_at(std::size_t which);
-    /// @returns when a node was started last
+    /// @returns when a node was last started
     /// @param which 0 for the first
     instant started(std::size_t which) const;
-    /// Ends the connections between one of the further nodes and the store;
-    /// calls are refused until the way is there again.
+    /// Closes the connections between one of the additional nodes and the
+    /// store; further calls are refused until `reconnect_store`.
     void disconnect_store(std::size_t which);
     void reconnect_store(std::size_t which);
-    /// Stops all nodes and starts as many anew, which know nothing.
+    /// Stops all nodes and starts as many new ones, which have no state.
     void restart_nodes();
-    /// Lists further replicas of the model. Each replica of it ends when it
-    /// runs a request with the body.
+    /// Lists additional replicas of the model. From then on each replica of the
+    /// model crashes when it runs a request with the given body.
     void add_replicas(unsigned count, std::string const& deadly_body);
-    /// Sends one request beside others; its answer is read and dropped.
+    /// Sends one request without waiting; its answer is read and dropped.
     void send_async(std::string path, std::string model, std::string id);
-    /// Sends one request to a node beside others.
-    /// @param ended gets the answer's status; must outlive the request
+    /// Sends one request to a node without waiting.
+    /// @param statuses receives the status of the answer; must outlive the
+    ///        request
     void send_to_node_async(
         std::size_t node, std::string path, std::string model, std::string id,
         std::string body, std::vector<int>& statuses);
-    /// @returns how often a request has run, over all replicas
+    /// @returns the number of attempts of a request over all replicas
     unsigned runs(std::string const& id) const;
-    /// Writes the configuration.
+    /// Writes the configuration to the store.
     void configure(unsigned version, std::string const& extra_route = "");
-    /// @returns routes to add to a configuration, with about so many bytes
+    /// @returns routes to add to a configuration, of about the given size in
+    ///          bytes
     static std::string routes_of(std::size_t bytes);
-    /// Lists a replica, or takes its entry out.
+    /// Lists a replica in the registry, or removes its entry.
     void list(served_replica const& replica, std::string const& service);
     void unlist(served_replica const& replica);
 
@@ -100,9 +104,9 @@
     gateway_settings settings;
     std::unique_ptr<gateway> node;
     std::vector<std::unique_ptr<served_replica>> more_replicas;
-    /// Replicas that a request has ended.
+    /// Number of replicas that a request has crashed.
     unsigned crashed_replicas = 0;
-    /// When each of them did.
+    /// Times of these crashes.
     std::vector<instant> crash_times;
 
 private:
@@ -110,7 +114,7 @@
         gateway_settings settings;
         std::unique_ptr<gateway> node;
         instant started;
-        /// Where it reaches the store.
+        /// The node's own server of the store, which can be closed.
         std::unique_ptr<http_server> store;
     };
     boost::asio::awaitable<fetch_result> send(
@@ -123,19 +127,19 @@
 
     instant started_;
     std::vector<additional_node> additional_nodes_;
-    /// Nodes that have stopped; their last waits still end on the loop.
+    /// Stopped nodes; their last pending operations still complete on the loop.
     std::vector<std::unique_ptr<gateway>> stopped_nodes_;
 
     http_server store_;
 };
 
-/// Writes so many records that say nothing new, so that the store's end passes
-/// the place that a node goes on from.
+/// Appends records without new information, so that the log of the topic grows
+/// beyond the position from which a node reads on.
 void append_filler_records(
     gateway_fixture& world, std::string const& topic, int count);
 
-/// Runs the loop until the condition holds, for so long at the most.
-/// @returns true when it has held
+/// Runs the loop until the condition holds, at most for the given time.
+/// @returns true when the condition has held
 bool within(
     gateway_fixture& world, std::chrono::milliseconds time,
     std::function<bool()> const& holds);
--- a/test/gateway/request_gate_nodes_test.cpp
+++ b/test/gateway/request_gate_nodes_test.cpp
@@ -17,10 +17,11 @@
 
 constexpr std::size_t nodes = 3;
 constexpr std::size_t requests_per_node = 5;
-/// Replicas that a content may end before it is held.
+/// Crashes after which a request is quarantined.
 constexpr unsigned max_crashes = 3;
 
 /// Sends a body to all nodes at once, several times each.
+/// @returns the statuses of the answers
 std::vector<int>
 send_to_all_nodes(gateway_fixture& world, std::string const& body) {
     std::vector<int> statuses;
@@ -38,22 +39,22 @@
 
 } // namespace
 
-// Guards against requests of one content that go out side by side just after
-// all nodes have begun anew: they wait together for an adapter, and five nodes
-// sent sixteen of them before the third end was told.
-TEST_CASE("nodes that know nothing try a content once at a time") {
+// Guards against attempts of one poison request that start side by side just
+// after all nodes have restarted: the requests wait together for an adapter,
+// and five nodes started sixteen of them before the third crash was reported.
+TEST_CASE("restarted nodes admit one attempt of a request at a time") {
     gateway_fixture world;
     world.add_node();
     world.add_node();
     world.add_replicas(14, "deadly");
-    // Until each knows who keeps whose gate.
+    // Waits until each node knows which node keeps which gate.
     within(world, milliseconds(2'500), [] { return false; });
 
-    SUBCASE("one that ends its replicas") {
+    SUBCASE("a request that crashes its replicas") {
         send_to_all_nodes(world, "deadly");
         CHECK(world.crashed_replicas <= max_crashes);
     }
-    SUBCASE("one that does not is served to all") {
+    SUBCASE("a harmless request is served to all callers") {
         auto const statuses = send_to_all_nodes(world, "sound");
         CHECK(std::ranges::count(statuses, 200) == statuses.size());
     }
--- a/test/gateway/scripted_replica.cpp
+++ b/test/gateway/scripted_replica.cpp
@@ -88,7 +88,7 @@
 
 scripted_replica::~scripted_replica() {
     acceptor_.close();
-    // What waits for a connection refers to this object.
+    // The pending accept refers to this object.
     loop_->io().poll();
 }
 
@@ -165,7 +165,8 @@
         co_await write(socket, std::move(end));
     }
     if (cut && attempt.cut == disconnect_kind::reset) {
-        // A reset throws away what the other side has not read yet.
+        // A reset discards data that the peer has not read yet, so the peer
+        // gets time to read it.
         asio::steady_timer timer(loop_->io(), delay_before_reset);
         co_await timer.async_wait(use_result);
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/test/gateway/scripted_replica.hpp
+++ b/test/gateway/scripted_replica.hpp
@@ -16,58 +16,59 @@
 
 namespace camphorpoint::testing {
 
-/// How a body's end is told on the wire.
+/// How the end of a body is marked on the wire.
 enum class body_framing : std::uint8_t {
     chunked,
-    /// No length: the body ends with its connection.
+    /// No length is sent: the body ends when the connection is closed.
     connection
 };
 
-/// How the connection of a run ends that is cut.
+/// How the connection of a truncated attempt ends.
 enum class disconnect_kind : std::uint8_t {
-    /// As by a process that is killed while the kernel has nothing to read.
+    /// Closed, as when a process is killed while the kernel has no unread data.
     closed,
     reset
 };
 
-/// What one run of a stream does.
+/// The behaviour of one attempt of a stream.
 struct scripted_attempt {
     static constexpr std::size_t all = std::numeric_limits<std::size_t>::max();
 
-    /// Bytes of the body that it sends; a run of fewer than it has is cut.
+    /// Number of body bytes that the attempt sends; the answer is truncated
+    /// when this is less than the size of the body.
     std::size_t bytes = all;
-    /// Bytes that it sends at a time.
+    /// Number of bytes that it sends at a time.
     std::size_t piece = all;
     body_framing framing = body_framing::chunked;
     disconnect_kind cut = disconnect_kind::reset;
-    /// Events that it leaves out.
+    /// Numbers of the events that it omits.
     std::set<unsigned> skipped;
-    /// Events that bear no number.
+    /// Numbers of the events that it sends without an id.
     std::set<unsigned> unnumbered;
-    /// Whether its answer bears the replica's signature.
+    /// Whether its answer has the replica's signature.
     bool is_signed = true;
-    /// Another status, with a plain body, instead of a stream.
+    /// Any other status is sent with a plain body instead of a stream.
     int status = 200;
 };
 
-/// Replicas that run streams byte by byte as a script says, whatever the
-/// request. All share one address.
+/// Replicas that send streams byte by byte as scripted, for any request. All of
+/// them share one address.
 class scripted_replica {
 public:
-    /// @param events of a whole stream
+    /// @param events number of events of a complete stream
     scripted_replica(loopback& loop, unsigned events);
     ~scripted_replica();
     scripted_replica(scripted_replica const&) = delete;
     scripted_replica& operator=(scripted_replica const&) = delete;
 
-    /// @returns its entry in the list of replicas
+    /// @returns the entry in the replica registry
     std::string entry(std::string const& service) const;
-    /// @returns an event of a run, as the run makes it
+    /// @returns an event as an attempt with this number sends it
     static std::string event(std::size_t attempt, unsigned number);
 
-    /// What the next runs do; those beyond are whole.
+    /// Behaviour of the next attempts; later attempts send complete streams.
     std::deque<scripted_attempt> script;
-    /// Last-Event-Id of each run so far, 0 for none.
+    /// Last-Event-Id of each attempt so far, 0 for none.
     std::vector<unsigned> last_event_ids;
 
 private:
--- a/test/gateway/store_recovery_test.cpp
+++ b/test/gateway/store_recovery_test.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// Readings of declarations that fail wait longer each time: by then for more
-/// than three seconds.
+/// The delay between failed polls of the declarations increases: after this
+/// outage it exceeds three seconds.
 constexpr milliseconds outage{3'500};
-/// A node asks a store that is away again every second or so.
+/// A node polls an unreachable store again about every second.
 constexpr milliseconds retry_time{1'500};
 
 void run_for(gateway_fixture& world, milliseconds time) {
@@ -28,9 +28,11 @@
 
 } // namespace
 
-// Guards against nodes that refuse every request for seconds after the store's
-// return, since each still waits for an answer that it asked for in the outage.
-TEST_CASE("a node that begins in the store's outage serves soon after it") {
+// Guards against nodes that reject every request for seconds after the store's
+// recovery, because each still waits for the answer to a poll that it sent
+// during the outage.
+TEST_CASE(
+    "a node that starts during an outage of the store serves soon after it") {
     gateway_fixture world;
     world.metadata.silent = true;
     world.start_node();
@@ -42,9 +44,11 @@
         world.send_to_node(1, "/look/b", "", "q", "x").response.status == 200);
 }
 
-// Guards against refusals while replicas are there, whose entries lapsed in the
-// store's outage and are written again within two seconds.
-TEST_CASE("a request waits for replicas that write their entries again") {
+// Guards against rejected requests although replicas are running: their
+// registry entries expired in the store's outage and are written again within
+// two seconds.
+TEST_CASE(
+    "a request waits for replicas to write their registry entries again") {
     gateway_fixture world;
     world.metadata.silent = true;
     world.start_node();
@@ -53,7 +57,7 @@
     world.unlist(world.plain);
     run_for(world, milliseconds(900));
     world.metadata.silent = false;
-    // By then it has its configuration.
+    // By then the node has its configuration.
     run_for(world, retry_time);
     boost::asio::steady_timer timer(world.loop.io(), milliseconds(300));
     timer.async_wait([&](boost::system::error_code) {
@@ -71,9 +75,9 @@
     CHECK(got.response.status == 200);
 }
 
-// Guards against loads that are ordered at a replica which has ended, as long
-// as its entry stands: the replica that has its address turns them away.
-TEST_CASE("a replica whose address is another's gets no loads") {
+// Guards against load commands for a replica that has stopped but is still
+// listed: the replica that now has its address rejects them.
+TEST_CASE("a replica whose address another replica has gets no loads") {
     gateway_fixture world;
     served_replica replaced(world.loop, "gone", "m", 3);
     world.metadata.store().put(
--- a/test/gateway/store_rollback_nodes_test.cpp
+++ b/test/gateway/store_rollback_nodes_test.cpp
@@ -17,12 +17,13 @@
 
 namespace {
 
-/// The platform gives two seconds from the store's return on for whatever is
-/// declared, and for a replica that leaves.
+/// The platform allows two seconds from the store's recovery until a new
+/// declaration, or a replica that drains, takes effect.
 constexpr seconds bound{2};
-/// Records that are lost.
+/// Number of records that the rollback loses.
 constexpr int lost_records = 6;
-/// Two rows of requests find places for their adapters without a wait for one.
+/// With this many adapters, two series of requests find free slots without
+/// waiting.
 constexpr std::size_t adapters = 3;
 constexpr std::string_view declarations_topic = "keyed.op";
 constexpr std::string_view registry_topic = "keyed.servers";
@@ -36,21 +37,22 @@
            world.node_at(1).configuration_version() == version;
 }
 
-/// Writes a configuration and waits until both nodes have it.
+/// Writes a configuration and waits until both nodes have applied it.
 void configure_and_wait(gateway_fixture& world, unsigned version) {
     world.configure(version);
     REQUIRE(world.loop.run_until(
         [&] { return both_have_version(world, version); }));
 }
 
-/// Writes that a replica leaves.
+/// Writes a registry entry that says that a replica drains.
 void start_draining(gateway_fixture& world, testing::served_replica& replica) {
     std::string entry = replica.engine.entry("llm", replica.address());
     entry.replace(entry.find("ready"), 5, "draining");
     world.metadata.store().put(std::string(registry_topic), replica.id, entry);
 }
 
-/// Sends requests for adapters that nobody holds yet, by turns to both nodes.
+/// Sends requests for adapters that are not resident yet, alternately to both
+/// nodes.
 void check_served(gateway_fixture& world, std::string const& prefix) {
     for (std::size_t each = 0; each < adapters; ++each) {
         std::string const id = prefix + std::to_string(each);
@@ -60,7 +62,8 @@
     }
 }
 
-/// Two holders that order by one number would both be believed.
+/// Checks that no fencing number was used by two lease holders, as replicas
+/// would accept commands of both.
 void check_fencing(gateway_fixture& world) {
     for (auto const* const each : {&world.first, &world.second}) {
         CHECK_FALSE(each->engine.overfilled);
@@ -81,10 +84,10 @@
 
 } // namespace
 
-// Guards against word between nodes of two eras: a node that is cut off from
-// the store hears of an era whose records it can't read, and the others hear
-// places and claims of the era before.
-TEST_CASE("nodes of two eras talk to each other") {
+// Guards against messages between nodes of two store epochs: a node that is
+// disconnected from the store learns of an epoch whose records it can't read,
+// and the others receive positions and claims of the previous epoch.
+TEST_CASE("nodes of two store epochs exchange messages") {
     gateway_fixture world;
     world.add_node();
     endpoint_id const leaving("r1");
@@ -95,14 +98,14 @@
     world.disconnect_store(1);
     world.metadata.come_back(snapshot);
 
-    SUBCASE("both serve, and no two order by one number") {
+    SUBCASE("both serve, and no fencing number is used twice") {
         check_served(world, "a");
         run_for(world, bound);
         check_served(world, "b");
         CHECK(world.node_at(1).configuration_version() == 2);
         check_fencing(world);
     }
-    SUBCASE("each follows in time, once it reaches the store") {
+    SUBCASE("each applies changes in time, once it reaches the store") {
         world.configure(9);
         start_draining(world, world.first);
         CHECK(within(world, bound, [&] {
@@ -118,21 +121,22 @@
         check_served(world, "c");
         check_fencing(world);
     }
-    SUBCASE("a place of the era before makes nobody read again and again") {
+    SUBCASE("a position of the previous epoch causes no repeated polls") {
         run_for(world, bound);
         unsigned const before =
             world.metadata.readings[std::string(declarations_topic)];
         run_for(world, seconds(1));
         unsigned const after =
             world.metadata.readings[std::string(declarations_topic)];
-        // A wait lasts for two seconds.
+        // A long poll lasts for two seconds.
         CHECK(after - before <= 1);
     }
 }
 
-// Guards against a claim that the store has taken and forgotten, of which its
-// holder has heard nothing: its place is given out again to another holder.
-TEST_CASE("a claim's answer is lost, and the store goes back") {
+// Guards against a claim that the store has accepted and then lost, without an
+// answer to the claiming node: its offset is assigned again to another lease
+// holder.
+TEST_CASE("the answer to a claim is lost, and the store is rolled back") {
     gateway_fixture world;
     world.add_replicas(6, "deadly");
     auto const snapshot = world.metadata.store();
@@ -144,16 +148,16 @@
     world.metadata.loses_append_answers = false;
     REQUIRE(world.loop.run_until([&] { return world.node_at(1).ready(); }));
     SUBCASE("at once") {}
-    SUBCASE("and some time later") {
+    SUBCASE("some time later") {
         run_for(world, bound);
     }
     check_served(world, "a");
     check_fencing(world);
 }
 
-// Guards against a reading of which one half is of the store before and the
-// other of its copy: what stands between them would be missed.
-TEST_CASE("the store goes back between two pages of a reading") {
+// Guards against a poll whose first pages are from before the rollback and the
+// others from after it: records between them would be missed.
+TEST_CASE("the store is rolled back between two pages of a poll") {
     bool armed = false;
     std::string topic;
     gateway_fixture world(
@@ -177,10 +181,10 @@
             world.metadata.come_back(snapshot_with_pages);
         }
     };
-    SUBCASE("of what is declared") {
+    SUBCASE("of the declarations") {
         topic = declarations_topic;
     }
-    SUBCASE("of the list of replicas") {
+    SUBCASE("of the replica registry") {
         topic = registry_topic;
     }
     armed = true;
@@ -205,9 +209,9 @@
     CHECK_FALSE(replica_dropped);
 }
 
-// Guards against a node that has not yet read the first copy whole when the
-// next one comes, while the other one has.
-TEST_CASE("the store goes back twice in a row before two nodes") {
+// Guards against a second rollback while one node has not yet read the first
+// snapshot in full, and the other one has.
+TEST_CASE("the store is rolled back twice in succession with two nodes") {
     gateway_fixture world;
     world.add_node();
     auto const snapshot = world.metadata.store();
@@ -215,10 +219,10 @@
     configure_and_wait(world, 2);
     milliseconds between{0};
     SUBCASE("at once") {}
-    SUBCASE("while one reads the first copy") {
+    SUBCASE("while one node reads the first snapshot") {
         between = milliseconds(300);
     }
-    SUBCASE("when both have read the first copy") {
+    SUBCASE("when both nodes have read the first snapshot") {
         between = milliseconds(1'500);
     }
     world.metadata.come_back(snapshot);
--- a/test/gateway/store_rollback_test.cpp
+++ b/test/gateway/store_rollback_test.cpp
@@ -18,14 +18,15 @@
 
 namespace {
 
-/// The platform gives two seconds from the store's return on for whatever is
-/// declared, and for a replica that leaves.
+/// The platform allows two seconds from the store's recovery until a new
+/// declaration, or a replica that drains, takes effect.
 constexpr seconds bound{2};
 
-/// A node that nobody holds back is ready after its first readings.
+/// A starting node without peers that know more is ready after its first polls.
 constexpr milliseconds ready_time{700};
 
-/// Waits until the node has followed a change that is made last.
+/// Writes a configuration and waits until the node has applied it, and with it
+/// all earlier records.
 void configure_and_wait(gateway_fixture& world) {
     std::uint64_t const version = world.node->configuration_version() + 1;
     world.configure(static_cast<unsigned>(version));
@@ -35,15 +36,16 @@
 
 } // namespace
 
-// The store is away for a moment and comes back from a copy of seconds ago;
-// what was written since is gone, and its places are given out again. A route
-// that is declared then is answered 404: its record stands below the place from
-// which the node reads on. Read in the code first, then shown here.
-TEST_CASE("the store comes back from an older copy") {
+// Guards against records that are never read after a store rollback: the store
+// is unreachable for a moment and comes back from a snapshot that is seconds
+// old. Records written since are gone, and their offsets are assigned again. A
+// request to a route that is declared then got 404, because the record stood
+// below the offset from which the node read on.
+TEST_CASE("the store is rolled back to an older snapshot") {
     gateway_fixture world;
     constexpr int lost_records = 6;
 
-    SUBCASE("what is declared then is in force in time") {
+    SUBCASE("a later declaration is in force in time") {
         auto const snapshot = world.metadata.store();
         append_filler_records(world, "keyed.op", lost_records);
         configure_and_wait(world);
@@ -54,7 +56,7 @@
             return world.node->configuration_version() == 9;
         }));
     }
-    SUBCASE("a replica that leaves then gets nothing new") {
+    SUBCASE("a replica that drains after it gets no new requests") {
         endpoint_id const id("r1");
         auto const snapshot = world.metadata.store();
         append_filler_records(world, "keyed.servers", lost_records);
@@ -64,15 +66,16 @@
             world.first.engine.entry("llm", world.first.address());
         entry.replace(entry.find("ready"), 5, "draining");
         world.metadata.store().put("keyed.servers", "r1", entry);
-        SUBCASE("also where the new end is beyond the old place") {
+        SUBCASE("with the new end beyond the old position") {
             append_filler_records(world, "keyed.servers", 2 * lost_records);
         }
-        SUBCASE("and where it is the same, so that nothing seems to come") {
+        SUBCASE(
+            "with the new end at the old position, so that nothing seems new") {
             append_filler_records(world, "keyed.servers", lost_records - 1);
         }
         CHECK(within(world, bound, [&] { return !world.node->routes_to(id); }));
     }
-    SUBCASE("a replica whose entry is not in the copy stays in use") {
+    SUBCASE("a replica whose entry is not in the snapshot stays in use") {
         testing::served_replica late(world.loop, "p2", "", 0);
         endpoint_id const id("p2");
         auto const snapshot = world.metadata.store();
@@ -88,7 +91,7 @@
             return !world.node->routes_to(id);
         }));
     }
-    SUBCASE("a replica that was gone stays gone") {
+    SUBCASE("a replica that was removed stays removed") {
         endpoint_id const id("r1");
         auto const snapshot = world.metadata.store();
         world.unlist(world.first);
@@ -98,7 +101,7 @@
         CHECK_FALSE(within(
             world, seconds(3), [&] { return world.node->routes_to(id); }));
     }
-    SUBCASE("a configuration that was in force stays so") {
+    SUBCASE("a configuration that was in force stays in force") {
         auto const snapshot = world.metadata.store();
         world.configure(5);
         REQUIRE(world.loop.run_until(
@@ -112,7 +115,7 @@
             return world.node->configuration_version() == 6;
         }));
     }
-    SUBCASE("twice in a row, and requests are served all the while") {
+    SUBCASE("twice in succession, while requests are served") {
         for (int round = 0; round < 2; ++round) {
             auto const snapshot = world.metadata.store();
             append_filler_records(world, "keyed.op", lost_records);
@@ -128,7 +131,7 @@
         CHECK_FALSE(world.first.engine.overfilled);
         CHECK_FALSE(world.second.engine.overfilled);
     }
-    SUBCASE("without a word of it, as a store that names no era") {
+    SUBCASE("by a store that does not report its epoch") {
         gateway_fixture no_epoch_fixture(
             [](gateway_fixture& before) { before.metadata.epoch = 0; });
         REQUIRE(no_epoch_fixture.loop.run_until(
@@ -137,7 +140,7 @@
         append_filler_records(no_epoch_fixture, "keyed.op", lost_records);
         configure_and_wait(no_epoch_fixture);
         no_epoch_fixture.metadata.come_back(snapshot);
-        // The node's wait ends, as its place is not there.
+        // The node's long poll ends, because its position no longer exists.
         within(no_epoch_fixture, milliseconds(500), [] { return false; });
         no_epoch_fixture.configure(9);
         CHECK(within(no_epoch_fixture, bound, [&] {
@@ -146,10 +149,12 @@
     }
 }
 
-// Guards against refusals that an outage alone would not bring: a holder that
-// claims anew in a new era took all adapters at its replicas for used just now,
-// and had no place for others for a second.
-TEST_CASE("a holder that claims anew knows its replicas' places as before") {
+// Guards against rejections that an outage alone would not cause: a lease
+// holder that claimed its partitions again after a rollback regarded all
+// adapters at its replicas as just used, and had no capacity for others for a
+// second.
+TEST_CASE(
+    "a lease holder that claims again keeps the capacity of its replicas") {
     gateway_fixture world;
     constexpr int replica_slots = 6;
     auto const ask_all = [&](std::string const& prefix) {
@@ -167,10 +172,10 @@
         return holders.empty() ? 0 : holders.rbegin()->first;
     };
     auto const before = newest_token();
-    SUBCASE("in one era") {
+    SUBCASE("in the same epoch") {
         within(world, milliseconds(1'000), [] { return false; });
     }
-    SUBCASE("in the next one") {
+    SUBCASE("in the next epoch") {
         world.metadata.come_back(world.metadata.store());
         within(world, milliseconds(1'000), [] { return false; });
     }
@@ -178,10 +183,11 @@
     CHECK(newest_token() >= before);
 }
 
-// A node begins after the store has gone back, and before the operator has
-// written again what was lost. It took the copy for the newest: callers got 404
-// on a route that had been in force, and runs on a version that was replaced.
-TEST_CASE("a node that begins after the store went back serves nothing older") {
+// Guards against a node that starts after a store rollback, before the operator
+// has written the lost declarations again. It took the snapshot for the newest
+// state: callers got 404 on a route that had been in force, and attempts ran on
+// an adapter version that had been replaced.
+TEST_CASE("a node that starts after a rollback serves no older state") {
     gateway_fixture world;
     std::string const lost_route =
         R"({"name":"lost","hostname":"h","path_prefix":"/lost/",)"
@@ -190,7 +196,7 @@
     std::string const version = R"({"model":"m","adapter":"a1","version":3})";
     auto const snapshot = world.metadata.store();
 
-    SUBCASE("than a configuration that was in force") {
+    SUBCASE("than the configuration that was in force") {
         world.configure(5, lost_route);
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 5; }));
@@ -207,7 +213,7 @@
             world.send_to_node(1, "/lost/a", "", "q3", "").response.status ==
             200);
     }
-    SUBCASE("than a version of an adapter") {
+    SUBCASE("than the version of an adapter") {
         auto const knows_version = [&](std::size_t which) {
             return world.node_at(which).newest_version(adapter_id("m/a1")) == 3;
         };
@@ -224,7 +230,7 @@
         CHECK(within(world, bound, [&] { return world.node_at(1).ready(); }));
         CHECK(knows_version(1));
     }
-    SUBCASE("and one where nobody knows more is ready at once") {
+    SUBCASE("a node whose peers know no more is ready at once") {
         world.configure(2);
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 2; }));
@@ -234,9 +240,10 @@
     }
 }
 
-// All nodes know that a content ends replicas; the store has lost it with its
-// newest records. When all begin anew nobody would know.
-TEST_CASE("a content that is not run is kept again after the store went back") {
+// Guards against a quarantine that is lost with the store's newest records: all
+// nodes still know it, but when all of them restart, none would. It must be
+// stored again.
+TEST_CASE("a quarantine is stored again after a store rollback") {
     gateway_fixture world;
     constexpr unsigned replicas = 6;
     world.add_replicas(replicas, "deadly");
--- a/test/store_epochs_property_test.cpp
+++ b/test/store_epochs_property_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// What can happen to the store, and to nodes that rest on its memory.
+/// Actions on the store, and on nodes that depend on its log.
 enum class action : std::uint8_t {
     write,
     roll_back,
@@ -31,11 +31,12 @@
 
 struct step {
     action what = action::write;
-    /// Picks the node, the word, or how far the store goes back.
+    /// Selects the node, the message, or the number of records that a rollback
+    /// loses.
     std::size_t which = 0;
 };
 
-/// @returns any row of steps
+/// @returns any sequence of steps
 rc::Gen<std::vector<step>> any_steps() {
     constexpr std::size_t most_which = 12;
     auto const one = rc::gen::apply(
@@ -47,8 +48,7 @@
     return rc::gen::container<std::vector<step>>(one);
 }
 
-/// Records that are all different, in a store that may come back from an older
-/// copy.
+/// A store of distinct records that may be rolled back to an older snapshot.
 struct rollback_store {
     store_epoch epoch{1};
     std::vector<int> records;
@@ -62,7 +62,7 @@
     store_position end() const { return {epoch, records.size()}; }
 };
 
-/// A node that reads the records, and hears of others' readings.
+/// A node that polls the records, and receives what other nodes have polled.
 struct reading_node {
     registry_poll_schedule schedule{milliseconds(1'000)};
     std::vector<int> known;
@@ -87,11 +87,12 @@
 
 } // namespace
 
-// The store goes back again and again, words between nodes are lost and late,
-// and nodes of several eras talk to each other. What a node knows is what the
-// store holds up to the place that the node stands at, in that era.
-TEST_CASE("what a node knows of the list is what stands there") {
-    rc::check("whatever happens", [] {
+// Guards against a node whose records differ from the store's: the store is
+// rolled back repeatedly, messages between nodes are lost or late, and nodes of
+// several epochs exchange messages. A node must know exactly the records that
+// the store holds up to the node's position in that epoch.
+TEST_CASE("a node knows exactly the records up to its position") {
+    rc::check("for any sequence of steps", [] {
         constexpr std::size_t nodes = 3;
         rollback_store store;
         std::vector<reading_node> readers(nodes);
@@ -172,8 +173,10 @@
 
 namespace {
 
-/// Holders that claim a partition again and again in a log that loses its
+/// Lease holders that claim a partition repeatedly in a log that loses its
 /// newest records.
+/// @param reports_epoch whether the store reports its epoch
+/// @param messages_lost whether messages between the nodes may be lost
 void claim_with_rollbacks(bool reports_epoch, bool messages_lost) {
     constexpr std::size_t partition = 4;
     constexpr std::size_t nodes = 3;
@@ -211,14 +214,15 @@
 
 } // namespace
 
-// A claim's place is lost with the store's newest records and given out again,
-// to another holder. Replicas refuse lower numbers only, so both would be
-// believed and order at one replica.
-TEST_CASE("no two holders have one fencing number") {
-    SUBCASE("whatever word is lost, where the store names its era") {
+// Guards against two lease holders with one fencing number: the offset of a
+// claim is lost with the store's newest records and assigned again to another
+// lease holder. Replicas reject lower numbers only, so both could send commands
+// to one replica.
+TEST_CASE("no two lease holders have the same fencing number") {
+    SUBCASE("even if messages are lost, when the store reports its epoch") {
         rc::check("", [] { claim_with_rollbacks(true, true); });
     }
-    SUBCASE("where it does not, as long as holders hear each other") {
+    SUBCASE("without a reported epoch, if no message is lost") {
         rc::check("", [] { claim_with_rollbacks(false, false); });
     }
 }
