--- a/src/Gateway/peer_messenger.cpp
+++ b/src/Gateway/peer_messenger.cpp
@@ -199,17 +199,17 @@
     do {
         std::size_t const end =
             std::min(all.size(), done + max_changes_per_datagram);
-        peer_registry_update piece;
+        peer_registry_update part;
         store_epoch const epoch = update.to.epoch;
-        piece.from =
+        part.from =
             done == 0 ? update.from : store_position{epoch, all[done].position};
-        piece.to = end == all.size() ? update.to
-                                     : store_position{epoch, all[end].position};
-        piece.changes.assign(
+        part.to = end == all.size() ? update.to
+                                    : store_position{epoch, all[end].position};
+        part.changes.assign(
             all.begin() + static_cast<std::ptrdiff_t>(done),
             all.begin() + static_cast<std::ptrdiff_t>(end));
         peer_datagram message;
-        message.registry_updates.push_back(std::move(piece));
+        message.registry_updates.push_back(std::move(part));
         send_all(message);
         done = end;
     } while (done < all.size());
@@ -302,7 +302,7 @@
 
 std::optional<peer_replica_usage>
 peer_messenger::usage_message(std::uint64_t replica, instant now) const {
-    constexpr double most = std::numeric_limits<std::uint16_t>::max();
+    constexpr double max_tokens = std::numeric_limits<std::uint16_t>::max();
     camphorpoint::replica const* const at =
         state_->replicas.find_by_hash(replica);
     if (at == nullptr || !is_lease_holder(at->record.id)) {
@@ -314,7 +314,7 @@
     load.free_slots = static_cast<std::int16_t>(total.free_slots);
     load.running = static_cast<std::uint16_t>(total.running);
     load.backlog_tokens =
-        static_cast<std::uint16_t>(std::min(total.backlog_tokens, most));
+        static_cast<std::uint16_t>(std::min(total.backlog_tokens, max_tokens));
     return load;
 }
 
--- a/src/Gateway/registry_follower.cpp
+++ b/src/Gateway/registry_follower.cpp
@@ -83,9 +83,9 @@
     }
     replica const* const known = replicas.find(record.id);
     if (known != nullptr && known->record.started_at == record.started_at) {
-        for (auto const& [id, held] : known->adapters) {
-            if (!held.unloading) {
-                record.adapters.push_back({id, held.version});
+        for (auto const& [id, adapter] : known->adapters) {
+            if (!adapter.unloading) {
+                record.adapters.push_back({id, adapter.version});
             }
         }
     }
@@ -128,8 +128,8 @@
 
 void registry_follower::apply_removal(endpoint_id const& id) {
     instant const now = boot_clock::now();
-    bool const keep = !state_->store_stable(now);
-    if (state_->replicas.mark_unlisted(id, keep, now) ==
+    bool const keep_until_stable = !state_->store_stable(now);
+    if (state_->replicas.mark_unlisted(id, keep_until_stable, now) ==
         fleet_change::removed) {
         log_removal(id);
     }
@@ -141,8 +141,8 @@
     if (change == fleet_change::none) {
         return false;
     }
-    bool const seen = change == fleet_change::joined;
-    if (seen) {
+    bool const joined = change == fleet_change::joined;
+    if (joined) {
         // Wakes the requests that wait for any replica of a service.
         state_->waiters.notify(adapter_id());
         for (adapter_ref const& each : record.adapters) {
@@ -150,7 +150,8 @@
         }
     }
     state_->log_event(
-        log_line(seen ? event_code::replica_seen : event_code::replica_leaving)
+        log_line(
+            joined ? event_code::replica_seen : event_code::replica_leaving)
             .with("replica", record.id.str())
             .with("service", record.service.str())
             .with("domain", record.domain.str()));
@@ -236,9 +237,9 @@
         }
     }
     instant const now = boot_clock::now();
-    bool const keep = !state_->store_stable(now);
-    for (endpoint_id const& id :
-         state_->replicas.mark_unlisted_except(listed, keep, now)) {
+    bool const keep_until_stable = !state_->store_stable(now);
+    for (endpoint_id const& id : state_->replicas.mark_unlisted_except(
+             listed, keep_until_stable, now)) {
         log_removal(id);
     }
 }
@@ -322,12 +323,14 @@
         }
         // A node that regards the store as unreachable only notices its
         // recovery by its own polls.
-        bool const lost = state_->store_unreachable_since != instant::max();
+        bool const store_unreachable =
+            state_->store_unreachable_since != instant::max();
         if (now >= last_full_poll + full_poll_interval) {
             schedule_.require_full_poll();
             last_full_poll = now;
         }
-        if (lost || now >= schedule_.next_poll_time(random_sample)) {
+        if (store_unreachable ||
+            now >= schedule_.next_poll_time(random_sample)) {
             co_await poll();
             random_sample = part(state_->random);
             continue;
