--- a/src/Gateway/peer_messenger_quarantine.cpp
+++ b/src/Gateway/peer_messenger_quarantine.cpp
@@ -53,10 +53,9 @@
     return !others.empty();
 }
 
-// Guards against the quarantine of a common request because of crashes that lie
-// far apart, although attempts of it have completed in between: each node alone
-// would clear only the evidence that it has itself. Many callers may send the
-// same request.
+// Guards against the quarantine of a request that many callers send alike,
+// because of crashes that lie far apart, although attempts of it have completed
+// in between: without the report each node would clear only its own evidence.
 void peer_messenger::report_completion(request_fingerprint fingerprint) {
     lift_quarantine(fingerprint);
     // Few fingerprints have had a crash, so that most completed attempts cost
--- a/test/gateway/store_recovery_test.cpp
+++ b/test/gateway/store_recovery_test.cpp
@@ -77,7 +77,7 @@
 
 // Guards against load commands for a replica that has stopped but is still
 // listed: the replica that now has its address rejects them.
-TEST_CASE("a replica whose address another replica has gets no loads") {
+TEST_CASE("a replica gets no loads when another replica has its address") {
     gateway_fixture world;
     served_replica replaced(world.loop, "gone", "m", 3);
     world.metadata.store().put(
--- a/test/gateway/store_rollback_test.cpp
+++ b/test/gateway/store_rollback_test.cpp
@@ -45,7 +45,7 @@
     gateway_fixture world;
     constexpr int lost_records = 6;
 
-    SUBCASE("a later declaration is in force in time") {
+    SUBCASE("a declaration after the rollback is in force in time") {
         auto const snapshot = world.metadata.store();
         append_filler_records(world, "keyed.op", lost_records);
         configure_and_wait(world);
@@ -56,7 +56,7 @@
             return world.node->configuration_version() == 9;
         }));
     }
-    SUBCASE("a replica that drains after it gets no new requests") {
+    SUBCASE("a replica that drains after the rollback gets no new requests") {
         endpoint_id const id("r1");
         auto const snapshot = world.metadata.store();
         append_filler_records(world, "keyed.servers", lost_records);
