--- a/src/Gateway/peer_messenger.hpp
+++ b/src/Gateway/peer_messenger.hpp
@@ -21,103 +21,125 @@
 
 namespace camphorpoint {
 
-/// What nodes tell each other, by datagrams: wants of adapters to the node that
-/// orders for the replica, word of what was loaded or is about to go to all,
-/// and counts of running requests.
+/// Exchanges datagrams with the other nodes: load requests and adapter usage
+/// for the lease holder of a replica's partition; residency changes, partition
+/// claims, suspicions, quarantines and replica usage for all nodes.
 class peer_messenger {
 public:
-    /// Takes wants and uses that are this node's to heed.
-    struct receiver {
-        /// @returns nothing when it is taken, else how long it would take
-        std::function<std::optional<duration>(peer_load_request const& want)>
-            want;
-        std::function<void(peer_adapter_usage const& use)> use;
-        /// @returns adapters that could be loaded at a replica that this node
-        ///          orders for, less those that wait
+    /// Callbacks for received messages, and for this node's own ones when it is
+    /// itself the lease holder.
+    struct message_handlers {
+        /// Handles a request to load an adapter.
+        /// @returns nothing when the request is accepted, otherwise the
+        ///          expected time until the adapter would be ready
+        std::function<std::optional<duration>(peer_load_request const& request)>
+            on_load_request;
+        std::function<void(peer_adapter_usage const& use)> on_usage;
+        /// @returns how many more adapters could be loaded now at a replica of
+        ///          which this node is the controller, less the pending load
+        ///          requests
         std::function<int(std::uint64_t replica)> free_slots;
-        /// Another node has read on in the list of replicas.
-        std::function<void(peer_registry_update const& reading)> reading;
-        /// Another node has read so far in what the operator declares, and
-        /// knows so much of it.
-        std::function<void(store_position place, std::uint64_t total)>
-            declarations;
-        /// Another node has met this era of the store.
-        std::function<void(store_epoch epoch)> epoch;
+        /// Another node has polled new changes of the replica registry.
+        std::function<void(peer_registry_update const& reading)>
+            on_registry_update;
+        /// Another node reports its position in the operator's declarations and
+        /// the sum of the versions that it knows.
+        std::function<void(store_position position, std::uint64_t total)>
+            on_peer_progress;
+        /// Another node reports a later store epoch.
+        std::function<void(store_epoch epoch)> on_epoch;
     };
 
-    /// @param beliefs where word from others goes; must outlive this
-    peer_messenger(gateway_state& state, receiver to);
+    /// @param state updated from received messages; must outlive this object
+    /// @param handlers called for messages that other components handle
+    peer_messenger(gateway_state& state, message_handlers handlers);
 
-    /// Binds and begins to tell counts.
-    /// @returns the reason when the address can't be had, empty on success
+    /// Binds the peer address and starts the periodic broadcasts.
+    /// @returns the reason when the address can't be bound, empty on success
     std::string start();
-    /// Ends.
+    /// Stops the broadcasts and closes the peer address.
     void stop();
 
-    /// Asks whoever orders for the replica to load the adapter there.
-    /// @param kind     for whom
-    /// @param first_request the request has not asked at this replica before
-    /// @param patience how long the request may wait for it there
+    /// Asks the controller of a replica to load an adapter there.
+    /// @param priority whether a request waits for the load, or it is a
+    ///        prefetch
+    /// @param first_request true when the waiting request has not asked for a
+    ///        load at this replica before
+    /// @param wait_budget how long the request may wait for the load
     void request_load(
-        replica const& at, adapter_ref const& adapter, load_priority kind,
-        bool first_request, duration patience);
-    /// Tells all nodes of changes at a replica that this node orders for.
+        replica const& at, adapter_ref const& adapter, load_priority priority,
+        bool first_request, duration wait_budget);
+    /// Broadcasts residency changes at a replica of which this node is the
+    /// controller.
     void broadcast_residency(
-        endpoint_id const& at, std::vector<peer_residency> words);
-    /// Tells all nodes that this one orders for a partition.
+        endpoint_id const& at, std::vector<peer_residency> residencies);
+    /// Broadcasts that this node holds the lease of a partition.
+    /// @param token fencing number of the claim
     void broadcast_claim(std::size_t partition, std::uint64_t token);
-    /// Tells all nodes that a replica is silent.
-    void broadcast_suspicion(replica const& at, duration rest);
-    /// Counts that a replica ended while it ran a content, here and at the
-    /// nodes that count it.
-    /// @param replica another name for each start of it
-    /// @returns true when others count it, who may know of more ends
-    bool report_crash(request_fingerprint content, std::uint64_t replica);
-    /// A run of a content ended well: it has not ended its replicas.
-    void report_completion(request_fingerprint content);
-    /// @returns true when runs of a content begin one at a time: a replica has
-    ///          ended under it, or this node has begun and may not know of that
-    bool requires_admission(request_fingerprint content, instant now) const;
-    /// A run asks to begin.
-    /// @param run number of the run, unique over all nodes
-    /// @returns false when another run of the content is under way somewhere
+    /// Broadcasts that a replica did not answer.
+    /// @param backoff how long other nodes should avoid it
+    void broadcast_suspicion(replica const& at, duration backoff);
+    /// Counts a replica crash during an attempt of a request, here and at the
+    /// nodes that count the crashes of this fingerprint.
+    /// @param replica identifies the replica process: another value after each
+    ///        restart
+    /// @returns true when other nodes count too, so that they may know of more
+    ///          crashes
+    bool report_crash(request_fingerprint fingerprint, std::uint64_t replica);
+    /// Reports that an attempt of a request completed without a crash of its
+    /// replica, which lifts a quarantine of its fingerprint.
+    void report_completion(request_fingerprint fingerprint);
+    /// @returns true when attempts of a request must be admitted one at a time:
+    ///          a replica has crashed under it, or this node started recently
+    ///          and may not know of such a crash
+    bool requires_admission(request_fingerprint fingerprint, instant now) const;
+    /// Asks the request gate to admit an attempt. The gate is kept by one node
+    /// for all.
+    /// @param attempt number of the attempt, unique over all nodes
+    /// @returns false when another attempt of the same request is in progress
+    ///          on some node, or the request is quarantined
     boost::asio::awaitable<bool>
-    request_admission(request_fingerprint content, std::uint64_t run);
-    /// A run of a content has brought a part of its answer.
-    void report_progress(request_fingerprint content);
-    /// A run that was let begin has ended and has shown nothing.
-    void report_attempt_ended(request_fingerprint content, std::uint64_t run);
-    /// Tells all nodes whether a content is run.
-    void broadcast_quarantine(quarantine_update const& word);
-    /// Asks a few nodes how much they know of what the operator declares, while
-    /// this one has begun and has not heard it.
+    request_admission(request_fingerprint fingerprint, std::uint64_t attempt);
+    /// Reports to the gate that an attempt has delivered a part of its answer.
+    void report_progress(request_fingerprint fingerprint);
+    /// Reports to the gate that an admitted attempt has ended without any part
+    /// of an answer.
+    void report_attempt_ended(
+        request_fingerprint fingerprint, std::uint64_t attempt);
+    /// Broadcasts that a request fingerprint is quarantined or released.
+    void broadcast_quarantine(quarantine_update const& update);
+    /// While this node is starting and its peers have not reported yet, asks a
+    /// few of them how many of the operator's declarations they know.
     void query_declared();
-    /// Tells all nodes what this one has read in the list.
-    void broadcast_registry_update(peer_registry_update reading);
-    /// Notes that a request uses an adapter, until `release`, and tells whoever
-    /// orders for the replica.
-    /// @param prompt_tokens that the replica has to read for it
+    /// Broadcasts the changes that this node has polled from the replica
+    /// registry.
+    void broadcast_registry_update(peer_registry_update update);
+    /// Counts a request that uses an adapter, until `end_use`, and reports the
+    /// use to the controller of the replica.
+    /// @param prompt_tokens prompt tokens that the replica has to process for
+    ///        the request
     void begin_use(
         endpoint_id const& at, adapter_id const& adapter,
         unsigned prompt_tokens);
     void end_use(endpoint_id const& at, adapter_id const& adapter);
-    /// Asks whoever orders for these replicas how full they are, where the
-    /// last word of it is not fresh. Whoever waits for the adapter is woken by
-    /// the answers.
-    /// @returns those that were asked for
+    /// Asks the controllers of replicas for their usage, where the last
+    /// reported usage is out of date. Each answer wakes the requests that wait
+    /// for the adapter.
+    /// @returns the replicas whose controllers were asked
     std::vector<endpoint_id> query_replica_usage(
         std::vector<replica*> const& of, adapter_id const& adapter,
         instant now);
-    /// @returns true when nobody is known who orders for a replica, or that
-    ///          node has not been heard for a while
+    /// @returns true when the lease holder of a replica in use is unknown, or
+    ///          no message has been received from it for a while
     bool lacks_reachable_lease_holder(instant now) const;
-    /// A node orders for a partition, as the group's list says.
+    /// Records the lease holder of a partition, as listed by the store.
+    /// @param member peer address of the lease holder
     void set_lease_holder(std::size_t partition, std::string member);
 
 private:
     struct use_count {
         unsigned running = 0;
-        /// Not yet told.
+        /// Prompt tokens that have not been reported yet.
         unsigned prompt_tokens = 0;
     };
     struct use_key {
@@ -126,76 +148,81 @@
         friend auto operator<=>(use_key const&, use_key const&) = default;
     };
 
-    boost::asio::awaitable<void> tell_counts();
+    boost::asio::awaitable<void> run_broadcasts();
     void receive(std::string const& bytes);
-    void take(peer_datagram const& message);
+    void handle(peer_datagram const& message);
     void send(std::string const& peer, peer_datagram message);
     void send_all(peer_datagram const& message);
     void send_use(use_key const& key, use_count& count);
     void repeat_uses();
-    void take_use(
+    void handle_usage(
         peer_adapter_usage const& use, std::string const& from, instant now);
-    void take_ask(
-        peer_replica_usage_query const& ask, std::string const& from,
+    void handle_usage_query(
+        peer_replica_usage_query const& query, std::string const& from,
         instant now);
-    replica_usage counted(std::uint64_t replica, instant now) const;
+    replica_usage current_usage(std::uint64_t replica, instant now) const;
     std::optional<peer_replica_usage>
-    total_of(std::uint64_t replica, instant now) const;
-    void tell_totals(instant now);
-    bool orders_for(endpoint_id const& at) const;
-    void forget_peers(instant now);
-    peer_datagram declared() const;
-    void take_denial(peer_load_rejection const& denial, instant now);
-    bool has_place_for(peer_load_request const& want, instant now) const;
-    void take_want(peer_load_request const& want, std::string const& from);
-    void count_end(peer_crash const& end, instant now);
-    void clear(request_fingerprint content);
-    void forget_told_contents(instant now);
-    std::set<std::string> counters_of(std::uint64_t content) const;
-    void repeat_ends(instant now);
+    usage_message(std::uint64_t replica, instant now) const;
+    void broadcast_status(instant now);
+    bool is_lease_holder(endpoint_id const& at) const;
+    void expire_peers(instant now);
+    peer_datagram status_message() const;
+    void
+    handle_load_rejection(peer_load_rejection const& rejection, instant now);
+    bool has_capacity_for(peer_load_request const& request, instant now) const;
+    void handle_load_request(
+        peer_load_request const& request, std::string const& from);
+    void count_crash(peer_crash const& crash, instant now);
+    void lift_quarantine(request_fingerprint fingerprint);
+    void expire_reported_fingerprints(instant now);
+    std::set<std::string> crash_counters_of(std::uint64_t fingerprint) const;
+    void repeat_crashes(instant now);
     void repeat_quarantines(instant now);
-    void take_quarantine(
-        peer_quarantine const& told, std::string const& from, instant now);
-
-    std::string gate_of(request_fingerprint content, instant now) const;
-    bool
-    begins_here(request_fingerprint content, std::uint64_t run, instant now);
-    void send_gate(std::string const& to, peer_gate_message word);
-    void take_gate(
-        peer_gate_message const& word, std::string const& from, instant now);
-
-    /// An ask at a content's gate, until it is answered.
-    struct gate_question {
+    void handle_quarantine(
+        peer_quarantine const& message, std::string const& from, instant now);
+
+    std::string
+    gate_node_of(request_fingerprint fingerprint, instant now) const;
+    bool admit_locally(
+        request_fingerprint fingerprint, std::uint64_t attempt, instant now);
+    void send_gate_message(std::string const& to, peer_gate_message message);
+    void handle_gate_message(
+        peer_gate_message const& message, std::string const& from, instant now);
+
+    /// An admission request to another node's gate, until it is answered.
+    struct pending_admission {
         boost::asio::steady_timer* timer = nullptr;
-        std::optional<bool> begins;
+        std::optional<bool> admitted;
     };
-    /// An end that this node has seen, and until when it is told again.
-    struct told_end {
-        peer_crash end;
-        instant until;
+    /// A crash that this node has seen, and how long its report is repeated.
+    struct reported_crash {
+        peer_crash crash;
+        instant repeat_until;
     };
 
     gateway_state* state_;
-    receiver to_;
+    message_handlers handlers_;
     probe_link link_;
-    std::map<std::size_t, std::string> owners_;
+    std::map<std::size_t, std::string> lease_holders_;
     std::map<use_key, use_count> uses_;
-    /// When this node said last that it waits for an adapter at a replica.
-    std::map<use_key, instant> wanted_;
-    running_request_tracker ledger_;
-    std::deque<told_end> ends_;
-    /// Contents whose ends this node has told, and when it did last.
-    std::unordered_map<request_fingerprint, instant> told_contents_;
+    /// When this node last requested a load of an adapter at a replica.
+    std::map<use_key, instant> last_load_requests_;
+    running_request_tracker request_tracker_;
+    std::deque<reported_crash> recent_crashes_;
+    /// Fingerprints of which this node has reported a crash, with the time of
+    /// the last report.
+    std::unordered_map<request_fingerprint, instant> reported_fingerprints_;
     request_gate gate_;
-    std::unordered_map<std::uint64_t, gate_question> gate_questions_;
+    std::unordered_map<std::uint64_t, pending_admission> pending_admissions_;
     bool running_ = false;
 };
 
-/// Nodes that count the ends under a content. One may be gone without the
-/// others' knowing, and another may have begun a moment ago.
+/// Number of nodes that count the crashes of a fingerprint. One of them may
+/// have stopped without the others knowing, and another may have started a
+/// moment ago.
 inline constexpr unsigned crash_counter_nodes = 3;
 
-/// @returns the partition of a replica
+/// @returns the partition that a replica belongs to
 std::size_t partition_of(endpoint_id const& replica);
 
 } // namespace camphorpoint
--- a/src/Gateway/registry_follower.hpp
+++ b/src/Gateway/registry_follower.hpp
@@ -15,60 +15,63 @@
 
 namespace camphorpoint {
 
-/// Follows what the replicas say of themselves, from the store and from other
-/// nodes' readings of it, into this node's beliefs.
+/// Keeps this node's view of the replicas up to date, from the replica registry
+/// in the store and from other nodes' registry updates.
 class registry_follower {
 public:
-    /// @param beliefs where what is read goes; must outlive the follower
-    /// @param store   the store's client; must outlive the follower
-    /// @param watch   told whether the store answers; must outlive the follower
-    /// @param words   tells other nodes what was read; must outlive the
-    /// follower
+    /// @param state updated from the registry; must outlive the follower
+    /// @param store client of the store; must outlive the follower
+    /// @param monitor informed of the store's answers and failures; must
+    ///        outlive the follower
+    /// @param messenger broadcasts polled changes; must outlive the follower
     /// @param changed called when replicas have changed
     registry_follower(
         gateway_state& state, platform::store_client& store,
-        store_monitor& watch, peer_messenger& words,
+        store_monitor& monitor, peer_messenger& messenger,
         std::function<void()> changed);
 
-    /// Begins to follow.
+    /// Starts to poll the registry.
     void start();
-    /// Ends at the next answer.
+    /// Stops after the poll in progress.
     void stop();
-    /// Another node has read on in the list.
-    void handle_registry_update(peer_registry_update const& reading);
-    /// The store has come back from an older copy: the list is read whole.
+    /// Applies registry changes that another node has polled.
+    void handle_registry_update(peer_registry_update const& update);
+    /// Requires a full poll because the store was restored from an older
+    /// snapshot.
+    /// @param read_at when this node should poll
     void on_store_rollback(store_epoch epoch, instant read_at);
 
 private:
     boost::asio::awaitable<void> follow();
     boost::asio::awaitable<platform::store_result<platform::keyed_batch>>
-    ask(bool whole, store_position from);
-    boost::asio::awaitable<void> read();
-    boost::asio::awaitable<bool> step();
-    void tell(store_position from, platform::keyed_batch const& batch);
-    bool apply(replica_record const& record);
-    boost::asio::awaitable<void> pause(std::chrono::milliseconds time);
-    /// What a record of the list comes to.
-    struct taken {
-        /// It is the entry of a replica.
-        bool entry = false;
-        /// Other nodes are to be told.
-        bool news = false;
+    fetch_batch(bool full, store_position from);
+    boost::asio::awaitable<void> poll();
+    boost::asio::awaitable<bool> try_poll();
+    void apply_and_broadcast(
+        store_position from, platform::keyed_batch const& batch);
+    bool apply_entry(replica_record const& record);
+    boost::asio::awaitable<void> sleep_for(std::chrono::milliseconds time);
+    /// The effect of a registry record.
+    struct record_effect {
+        /// The record is a valid entry of a replica.
+        bool is_entry = false;
+        /// The record changed this node's view and has to be broadcast.
+        bool changed = false;
     };
-    taken take_replica(platform::keyed_record const& record);
-    void take_end(endpoint_id const& id);
-    void take_whole(platform::keyed_batch const& batch);
-    void note_gone(endpoint_id const& id);
+    record_effect apply_record(platform::keyed_record const& record);
+    void apply_removal(endpoint_id const& id);
+    void apply_snapshot(platform::keyed_batch const& batch);
+    void log_removal(endpoint_id const& id);
 
     gateway_state* state_;
     platform::store_client* store_;
     store_monitor* monitor_;
     peer_messenger* messenger_;
-    std::function<void()> changed_;
-    registry_poll_schedule turns_;
+    std::function<void()> on_change_;
+    registry_poll_schedule schedule_;
     platform::store_reading reading_;
-    boost::asio::steady_timer list_timer_;
-    // Shared with the coroutine, which ends after it has turned false.
+    boost::asio::steady_timer poll_timer_;
+    // Shared with the coroutine, which ends after it has become false.
     std::shared_ptr<bool> running_ = std::make_shared<bool>(true);
 };
 
--- a/src/Gateway/replica_controller_leases.cpp
+++ b/src/Gateway/replica_controller_leases.cpp
@@ -21,27 +21,30 @@
 constexpr auto use_result = asio::as_tuple(asio::use_awaitable);
 
 std::string const group_name = "holders";
-/// The store deals out partitions of topics; a topic has so many.
-constexpr std::size_t parts_of_topic = 12;
-constexpr std::size_t topic_count = partition_count / parts_of_topic;
-
-/// Owners may change without a new generation reaching this node.
-constexpr duration owners_again = std::chrono::seconds(30);
-/// At a change of members, which come in rows when nodes are stopped in turn.
-/// Without it nodes that begin together know of each other by halves, and each
-/// takes a larger share of the budget of second sends than is its.
-constexpr duration owners_changed = std::chrono::seconds(2);
-/// While a holder is missing.
-constexpr duration owners_missing = std::chrono::seconds(1);
+/// The store assigns partitions of topics to members; each topic has this many.
+constexpr std::size_t partitions_per_topic = 12;
+constexpr std::size_t topic_count = partition_count / partitions_per_topic;
+
+/// The lease holders are read again this often, because they may change without
+/// a new generation reaching this node.
+constexpr duration holders_refresh_interval = std::chrono::seconds(30);
+/// Interval after a change of members. Members change in rapid succession when
+/// nodes are restarted one after the other. Without this read, nodes that start
+/// together know only some of each other, and each takes more than its quota
+/// share of the resend budget.
+constexpr duration holders_changed_interval = std::chrono::seconds(2);
+/// Interval while the lease holder of a partition is unknown or unreachable.
+constexpr duration holders_missing_interval = std::chrono::seconds(1);
 std::string topic_name(std::size_t number) {
     return fmt::format("holding{}", number);
 }
 
-/// @returns the partition's number among all topics; nothing for others' topics
+/// @returns the partition's number over all topics; nothing for topics of other
+///          users
 std::optional<std::size_t>
 partition_number(std::string const& topic, unsigned part) {
     std::string const prefix = "holding";
-    if (!topic.starts_with(prefix) || part >= parts_of_topic) {
+    if (!topic.starts_with(prefix) || part >= partitions_per_topic) {
         return std::nullopt;
     }
     std::size_t number = 0;
@@ -51,25 +54,25 @@
     if (error != std::errc() || stop != end || number >= topic_count) {
         return std::nullopt;
     }
-    return number * parts_of_topic + part;
+    return number * partitions_per_topic + part;
 }
 
 } // namespace
 
-asio::awaitable<void> replica_controller::leave() {
+asio::awaitable<void> replica_controller::leave_group() {
     auto const alive = running_;
     std::string member = state_->own_address;
     std::string group = group_name;
     auto const left =
         co_await store_->leave(std::move(group), std::move(member));
     if (!left) {
-        // The lease lapses by itself; others wait for it.
+        // The lease expires by itself; until then other nodes wait for it.
         state_->log_event(log_line(event_code::partition_lost)
                               .with("why", to_string(left.error())));
     }
 }
 
-asio::awaitable<void> replica_controller::claim_used() {
+asio::awaitable<void> replica_controller::claim_used_partitions() {
     auto const alive = running_;
     for (std::size_t const each : state_->leases.partitions_without_token()) {
         bool const used =
@@ -78,15 +81,16 @@
                        limits_of(other.second);
             });
         if (used && *alive) {
-            co_await claim(each);
+            co_await claim_partition(each);
         }
     }
 }
 
-// Guards against replicas that nobody orders for until the next renewal, though
-// their partition could be claimed, or has settled, long before: in the first
-// seconds of all nodes requests wait for these loads.
-asio::awaitable<void> replica_controller::renew() {
+// Guards against replicas that have no controller until the next renewal,
+// although their partition could be claimed, or its settling period has ended,
+// long before. In the first seconds after all nodes have started, requests wait
+// for these loads.
+asio::awaitable<void> replica_controller::run_renewals() {
     auto const alive = running_;
     instant renew_at;
     while (*alive) {
@@ -94,7 +98,7 @@
             co_await renew_once();
             renew_at = boot_clock::now() + state_->settings.leases.renewal;
         }
-        co_await claim_used();
+        co_await claim_used_partitions();
         spawn_workers();
         instant const settled =
             state_->leases.next_settling_end(boot_clock::now());
@@ -112,8 +116,8 @@
     partition_leases& leases = state_->leases;
     std::string group = group_name;
     std::string member = state_->own_address;
-    // The lease counts from before the call: the store's own count begins when
-    // the call arrives, which is later.
+    // The lease is counted from before the call, because the store counts from
+    // the arrival of the call, which is later.
     instant const started = boot_clock::now();
     auto const grant = co_await store_->join(
         std::move(group), std::move(member), std::move(topics),
@@ -145,30 +149,31 @@
             messenger_->set_lease_holder(each, state_->own_address);
         }
     }
-    // Holders tell their claims to all nodes they know. The list is for those
-    // that they don't know yet: without it a want would go to a node that holds
-    // the replica no more, and nobody would load what is waited for.
-    bool const changed = owners_generation_ != grant.value().generation;
+    // Lease holders broadcast their claims to all nodes that they know. This
+    // read is for nodes that they don't know yet: without it, a load request
+    // would go to a node that no longer holds the lease of the replica's
+    // partition, and the adapter would not be loaded.
+    bool const changed = holders_generation_ != grant.value().generation;
     bool const missing = messenger_->lacks_reachable_lease_holder(now);
-    duration const pause = missing   ? owners_missing
-                           : changed ? owners_changed
-                                     : owners_again;
-    if (now >= owners_read_ + pause) {
-        co_await read_owners();
-        owners_generation_ = grant.value().generation;
+    duration const pause = missing   ? holders_missing_interval
+                           : changed ? holders_changed_interval
+                                     : holders_refresh_interval;
+    if (now >= holders_read_at_ + pause) {
+        co_await read_lease_holders();
+        holders_generation_ = grant.value().generation;
     }
 }
 
-asio::awaitable<void> replica_controller::read_owners() {
+asio::awaitable<void> replica_controller::read_lease_holders() {
     auto const alive = running_;
     std::string group = group_name;
-    auto const owners = co_await store_->owners(std::move(group));
-    owners_read_ = boot_clock::now();
-    if (!owners) {
+    auto const holders = co_await store_->owners(std::move(group));
+    holders_read_at_ = boot_clock::now();
+    if (!holders) {
         co_return;
     }
     std::set<std::string> others;
-    for (platform::part_owner const& each : owners.value()) {
+    for (platform::part_owner const& each : holders.value()) {
         auto const number = partition_number(each.topic, each.part);
         if (number && !each.member.empty()) {
             messenger_->set_lease_holder(*number, each.member);
@@ -180,14 +185,16 @@
     messenger_->query_declared();
 }
 
-asio::awaitable<void> replica_controller::claim(std::size_t partition) {
+asio::awaitable<void>
+replica_controller::claim_partition(std::size_t partition) {
     auto const alive = running_;
-    // The place of a record in the log is had by one node only, and a later
-    // holder's is higher: it is the fencing number.
-    std::string topic = topic_name(partition / parts_of_topic);
+    // The offset of a record in the log belongs to one node only, and that of a
+    // later lease holder is higher: it serves as the fencing number.
+    std::string topic = topic_name(partition / partitions_per_topic);
     std::string record = state_->own_address;
     auto const offset = co_await store_->append(
-        std::move(topic), static_cast<unsigned>(partition % parts_of_topic),
+        std::move(topic),
+        static_cast<unsigned>(partition % partitions_per_topic),
         std::move(record));
     if (!offset) {
         co_return;
--- a/test/gateway/store_rollback_test.cpp
+++ b/test/gateway/store_rollback_test.cpp
@@ -18,15 +18,16 @@
 
 namespace {
 
-/// The platform gives two seconds from the store's return on for whatever is
-/// declared, and for a replica that leaves.
+/// The platform allows two seconds from the store's recovery until a new
+/// declaration, or a replica that drains, takes effect.
 constexpr seconds bound{2};
 
-/// A node that nobody holds back is ready after its first readings.
-constexpr milliseconds at_once{700};
+/// A starting node without peers that know more is ready after its first polls.
+constexpr milliseconds ready_time{700};
 
-/// Waits until the node has followed a change that is made last.
-void settle(gateway_fixture& world) {
+/// Writes a configuration and waits until the node has applied it, and with it
+/// all earlier records.
+void configure_and_wait(gateway_fixture& world) {
     std::uint64_t const version = world.node->configuration_version() + 1;
     world.configure(static_cast<unsigned>(version));
     REQUIRE(world.loop.run_until(
@@ -35,51 +36,53 @@
 
 } // namespace
 
-// The store is away for a moment and comes back from a copy of seconds ago;
-// what was written since is gone, and its places are given out again. A route
-// that is declared then is answered 404: its record stands below the place from
-// which the node reads on. Read in the code first, then shown here.
-TEST_CASE("the store comes back from an older copy") {
+// Guards against records that are never read after a store rollback: the store
+// is unreachable for a moment and comes back from a snapshot that is seconds
+// old. Records written since are gone, and their offsets are assigned again. A
+// request to a route that is declared then got 404, because the record stood
+// below the offset from which the node read on.
+TEST_CASE("the store is rolled back to an older snapshot") {
     gateway_fixture world;
-    constexpr int lost = 6;
+    constexpr int lost_records = 6;
 
-    SUBCASE("what is declared then is in force in time") {
-        auto const copy = world.metadata.store();
-        append_filler_records(world, "keyed.op", lost);
-        settle(world);
-        world.metadata.come_back(copy);
+    SUBCASE("a declaration after the rollback is in force in time") {
+        auto const snapshot = world.metadata.store();
+        append_filler_records(world, "keyed.op", lost_records);
+        configure_and_wait(world);
+        world.metadata.come_back(snapshot);
         world.configure(9);
-        append_filler_records(world, "keyed.op", 2 * lost);
+        append_filler_records(world, "keyed.op", 2 * lost_records);
         CHECK(within(world, bound, [&] {
             return world.node->configuration_version() == 9;
         }));
     }
-    SUBCASE("a replica that leaves then gets nothing new") {
+    SUBCASE("a replica that drains after the rollback gets no new requests") {
         endpoint_id const id("r1");
-        auto const copy = world.metadata.store();
-        append_filler_records(world, "keyed.servers", lost);
+        auto const snapshot = world.metadata.store();
+        append_filler_records(world, "keyed.servers", lost_records);
         within(world, milliseconds(200), [] { return false; });
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         std::string entry =
             world.first.engine.entry("llm", world.first.address());
         entry.replace(entry.find("ready"), 5, "draining");
         world.metadata.store().put("keyed.servers", "r1", entry);
-        SUBCASE("also where the new end is beyond the old place") {
-            append_filler_records(world, "keyed.servers", 2 * lost);
+        SUBCASE("with the new end beyond the old position") {
+            append_filler_records(world, "keyed.servers", 2 * lost_records);
         }
-        SUBCASE("and where it is the same, so that nothing seems to come") {
-            append_filler_records(world, "keyed.servers", lost - 1);
+        SUBCASE(
+            "with the new end at the old position, so that nothing seems new") {
+            append_filler_records(world, "keyed.servers", lost_records - 1);
         }
         CHECK(within(world, bound, [&] { return !world.node->routes_to(id); }));
     }
-    SUBCASE("a replica whose entry is not in the copy stays in use") {
+    SUBCASE("a replica whose entry is not in the snapshot stays in use") {
         testing::served_replica late(world.loop, "p2", "", 0);
         endpoint_id const id("p2");
-        auto const copy = world.metadata.store();
+        auto const snapshot = world.metadata.store();
         world.list(late, "app");
         REQUIRE(
             world.loop.run_until([&] { return world.node->routes_to(id); }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         CHECK_FALSE(within(world, milliseconds(1'200), [&] {
             return !world.node->routes_to(id);
         }));
@@ -88,22 +91,22 @@
             return !world.node->routes_to(id);
         }));
     }
-    SUBCASE("a replica that was gone stays gone") {
+    SUBCASE("a replica that was removed stays removed") {
         endpoint_id const id("r1");
-        auto const copy = world.metadata.store();
+        auto const snapshot = world.metadata.store();
         world.unlist(world.first);
         REQUIRE(
             world.loop.run_until([&] { return !world.node->routes_to(id); }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         CHECK_FALSE(within(
             world, seconds(3), [&] { return world.node->routes_to(id); }));
     }
-    SUBCASE("a configuration that was in force stays so") {
-        auto const copy = world.metadata.store();
+    SUBCASE("a configuration that was in force stays in force") {
+        auto const snapshot = world.metadata.store();
         world.configure(5);
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 5; }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         CHECK_FALSE(within(world, milliseconds(1'500), [&] {
             return world.node->configuration_version() != 5;
         }));
@@ -112,12 +115,12 @@
             return world.node->configuration_version() == 6;
         }));
     }
-    SUBCASE("twice in a row, and requests are served all the while") {
+    SUBCASE("twice in succession, while requests are served") {
         for (int round = 0; round < 2; ++round) {
-            auto const copy = world.metadata.store();
-            append_filler_records(world, "keyed.op", lost);
-            settle(world);
-            world.metadata.come_back(copy);
+            auto const snapshot = world.metadata.store();
+            append_filler_records(world, "keyed.op", lost_records);
+            configure_and_wait(world);
+            world.metadata.come_back(snapshot);
             for (int each = 0; each < 4; ++each) {
                 std::string const id =
                     std::to_string(round) + "." + std::to_string(each);
@@ -128,72 +131,76 @@
         CHECK_FALSE(world.first.engine.overfilled);
         CHECK_FALSE(world.second.engine.overfilled);
     }
-    SUBCASE("without a word of it, as a store that names no era") {
-        gateway_fixture silent(
+    SUBCASE("by a store that does not report its epoch") {
+        gateway_fixture no_epoch_fixture(
             [](gateway_fixture& before) { before.metadata.epoch = 0; });
-        REQUIRE(silent.loop.run_until([&] { return silent.node->ready(); }));
-        auto const copy = silent.metadata.store();
-        append_filler_records(silent, "keyed.op", lost);
-        settle(silent);
-        silent.metadata.come_back(copy);
-        // The node's wait ends, as its place is not there.
-        within(silent, milliseconds(500), [] { return false; });
-        silent.configure(9);
-        CHECK(within(silent, bound, [&] {
-            return silent.node->configuration_version() == 9;
+        REQUIRE(no_epoch_fixture.loop.run_until(
+            [&] { return no_epoch_fixture.node->ready(); }));
+        auto const snapshot = no_epoch_fixture.metadata.store();
+        append_filler_records(no_epoch_fixture, "keyed.op", lost_records);
+        configure_and_wait(no_epoch_fixture);
+        no_epoch_fixture.metadata.come_back(snapshot);
+        // The node's long poll ends, because its position no longer exists.
+        within(no_epoch_fixture, milliseconds(500), [] { return false; });
+        no_epoch_fixture.configure(9);
+        CHECK(within(no_epoch_fixture, bound, [&] {
+            return no_epoch_fixture.node->configuration_version() == 9;
         }));
     }
 }
 
-// Guards against refusals that an outage alone would not bring: a holder that
-// claims anew in a new era took all adapters at its replicas for used just now,
-// and had no place for others for a second.
-TEST_CASE("a holder that claims anew knows its replicas' places as before") {
+// Guards against rejections that an outage alone would not cause: a lease
+// holder that claimed its partitions again after a rollback regarded all
+// adapters at its replicas as just used, and had no capacity for others for a
+// second.
+TEST_CASE(
+    "a lease holder that claims again keeps the capacity of its replicas") {
     gateway_fixture world;
-    constexpr int places = 6;
-    auto const ask_all = [&](std::string const& row) {
+    constexpr int replica_slots = 6;
+    auto const ask_all = [&](std::string const& prefix) {
         int served = 0;
-        for (int each = 0; each < places; ++each) {
-            std::string const id = row + std::to_string(each);
+        for (int each = 0; each < replica_slots; ++each) {
+            std::string const id = prefix + std::to_string(each);
             auto const got = world.ask("/gen/a", "m/a" + id, id);
             served += got.response.status == 200 ? 1 : 0;
         }
         return served;
     };
-    REQUIRE(ask_all("a") == places);
-    auto const number = [&] {
+    REQUIRE(ask_all("a") == replica_slots);
+    auto const newest_token = [&] {
         auto const& holders = world.first.engine.holders;
         return holders.empty() ? 0 : holders.rbegin()->first;
     };
-    auto const before = number();
-    SUBCASE("in one era") {
+    auto const before = newest_token();
+    SUBCASE("in the same epoch") {
         within(world, milliseconds(1'000), [] { return false; });
     }
-    SUBCASE("in the next one") {
+    SUBCASE("in the next epoch") {
         world.metadata.come_back(world.metadata.store());
         within(world, milliseconds(1'000), [] { return false; });
     }
-    CHECK(ask_all("b") == places);
-    CHECK(number() >= before);
+    CHECK(ask_all("b") == replica_slots);
+    CHECK(newest_token() >= before);
 }
 
-// A node begins after the store has gone back, and before the operator has
-// written again what was lost. It took the copy for the newest: callers got 404
-// on a route that had been in force, and runs on a version that was replaced.
-TEST_CASE("a node that begins after the store went back serves nothing older") {
+// Guards against a node that starts after a store rollback, before the operator
+// has written the lost declarations again. It took the snapshot for the newest
+// state: callers got 404 on a route that had been in force, and attempts ran on
+// an adapter version that had been replaced.
+TEST_CASE("a node that starts after a rollback serves no older state") {
     gateway_fixture world;
     std::string const lost_route =
         R"({"name":"lost","hostname":"h","path_prefix":"/lost/",)"
         R"("type":"safe","timeout_ms":3000,"target_latency_ms":800,)"
         R"("priority":0,"service":"app","attempts":2},)";
     std::string const version = R"({"model":"m","adapter":"a1","version":3})";
-    auto const copy = world.metadata.store();
+    auto const snapshot = world.metadata.store();
 
-    SUBCASE("than a configuration that was in force") {
+    SUBCASE("than the configuration that was in force") {
         world.configure(5, lost_route);
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 5; }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         world.start_node();
         CHECK_FALSE(
             within(world, bound, [&] { return world.node_at(1).ready(); }));
@@ -206,49 +213,52 @@
             world.send_to_node(1, "/lost/a", "", "q3", "").response.status ==
             200);
     }
-    SUBCASE("than a version of an adapter") {
+    SUBCASE("than the version of an adapter") {
         auto const knows_version = [&](std::size_t which) {
             return world.node_at(which).newest_version(adapter_id("m/a1")) == 3;
         };
         world.metadata.store().put("keyed.op", "version/m.a1", version);
         REQUIRE(world.loop.run_until([&] { return knows_version(0); }));
-        world.metadata.come_back(copy);
+        world.metadata.come_back(snapshot);
         world.start_node();
         CHECK_FALSE(
             within(world, bound, [&] { return world.node_at(1).ready(); }));
-        auto const early = world.send_to_node(1, "/gen/a", "m/a1", "q2", "x");
-        CHECK(early.response.status == 503);
+        auto const before_rewrite =
+            world.send_to_node(1, "/gen/a", "m/a1", "q2", "x");
+        CHECK(before_rewrite.response.status == 503);
         world.metadata.store().put("keyed.op", "version/m.a1", version);
         CHECK(within(world, bound, [&] { return world.node_at(1).ready(); }));
         CHECK(knows_version(1));
     }
-    SUBCASE("and one where nobody knows more is ready at once") {
+    SUBCASE("a node whose peers know no more is ready at once") {
         world.configure(2);
         REQUIRE(world.loop.run_until(
             [&] { return world.node->configuration_version() == 2; }));
         world.start_node();
-        CHECK(within(world, at_once, [&] { return world.node_at(1).ready(); }));
+        CHECK(within(
+            world, ready_time, [&] { return world.node_at(1).ready(); }));
     }
 }
 
-// All nodes know that a content ends replicas; the store has lost it with its
-// newest records. When all begin anew nobody would know.
-TEST_CASE("a content that is not run is kept again after the store went back") {
+// Guards against a quarantine that is lost with the store's newest records: all
+// nodes still know it, but when all of them restart, none would. It must be
+// stored again.
+TEST_CASE("a quarantine is stored again after a store rollback") {
     gateway_fixture world;
     constexpr unsigned replicas = 6;
     world.add_replicas(replicas, "deadly");
-    auto const copy = world.metadata.store();
+    auto const snapshot = world.metadata.store();
     for (int each = 0; each < 4; ++each) {
         std::string const id = std::to_string(each);
         world.send_to_node(0, "/gen/a", "m", id, "deadly");
     }
-    auto const kept = [&] {
+    auto const quarantine_stored = [&] {
         return !world.metadata.store().newest("keyed.quarantine").empty();
     };
-    REQUIRE(world.loop.run_until(kept));
-    world.metadata.come_back(copy);
-    REQUIRE_FALSE(kept());
-    CHECK(within(world, bound, kept));
+    REQUIRE(world.loop.run_until(quarantine_stored));
+    world.metadata.come_back(snapshot);
+    REQUIRE_FALSE(quarantine_stored());
+    CHECK(within(world, bound, quarantine_stored));
 }
 
 } // namespace camphorpoint
