--- a/src/Gateway/gateway.cpp
+++ b/src/Gateway/gateway.cpp
@@ -19,12 +19,12 @@
 
 constexpr auto use_result = asio::as_tuple(asio::use_awaitable);
 /// Log lines wait no longer than this for their writing.
-constexpr milliseconds tick_time{100};
+constexpr milliseconds tick_interval{100};
 
 /// What is left of a stop's limit for closing and ending.
-constexpr milliseconds ending_time{400};
+constexpr milliseconds shutdown_reserve{400};
 
-http_limits first_limits() {
+http_limits default_limits() {
     http_limits limits;
     limits.body_bytes = 4U << 20U;
     limits.connections = 3'000;
@@ -32,7 +32,7 @@
 }
 
 http_limits limits_of(caller_limits const& declared) {
-    http_limits limits = first_limits();
+    http_limits limits = default_limits();
     limits.body_bytes = declared.body_bytes;
     limits.header_bytes = declared.header_bytes;
     limits.read_timeout =
@@ -41,7 +41,7 @@
     return limits;
 }
 
-start_result started(std::string problem, ip_address const& address) {
+start_result to_start_result(std::string problem, ip_address const& address) {
     if (problem.empty()) {
         return boost::outcome_v2::success();
     }
@@ -60,15 +60,15 @@
     , controller_(state_, store_)
     , messenger_(
           state_,
-          {[this](peer_load_request const& asked) {
-               return controller_.handle_load_request(asked);
+          {[this](peer_load_request const& request) {
+               return controller_.handle_load_request(request);
            },
-           [this](peer_adapter_usage const& told) {
-               controller_.handle_usage(told);
+           [this](peer_adapter_usage const& message) {
+               controller_.handle_usage(message);
            },
            [this](std::uint64_t at) { return controller_.free_slots(at); },
-           [this](peer_registry_update const& told) {
-               registry_follower_.handle_registry_update(told);
+           [this](peer_registry_update const& message) {
+               registry_follower_.handle_registry_update(message);
            },
            [this](store_position place, std::uint64_t total) {
                declarations_.handle_peer_progress(place, total);
@@ -83,19 +83,19 @@
               declarations_.on_store_rollback(epoch, read_at);
               quarantine_persistence_.on_store_rollback();
           })
-    , declarations_(state_, store_, monitor_, [this] { changed(); })
+    , declarations_(state_, store_, monitor_, [this] { on_update(); })
     , quarantine_persistence_(state_, store_, messenger_)
     , registry_follower_(
-          state_, store_, monitor_, messenger_, [this] { changed(); })
-    , callers_(
-          io.get_executor(), first_limits(),
+          state_, store_, monitor_, messenger_, [this] { on_update(); })
+    , caller_server_(
+          io.get_executor(), default_limits(),
           [this](http_exchange& exchange) { return answer(exchange); })
-    , readiness_(
+    , readiness_server_(
           io.get_executor(), http_limits(),
           [this](http_exchange& exchange) {
               return answer_readiness(exchange);
           })
-    , metrics_(
+    , metrics_server_(
           io.get_executor(), http_limits(),
           [this](http_exchange& exchange) { return answer_metrics(exchange); })
     , kernel_(services_) {
@@ -110,7 +110,7 @@
     gateway_settings const& settings = state_.settings;
     peers_service_ = {
         [this, &settings] {
-            return started(messenger_.start(), settings.peer_address);
+            return to_start_result(messenger_.start(), settings.peer_address);
         },
         [this] {
             messenger_.stop();
@@ -132,29 +132,30 @@
         }};
     readiness_service_ = {
         [this, &settings]() -> start_result {
-            std::string problem = metrics_.listen(settings.metrics_address);
+            std::string problem =
+                metrics_server_.listen(settings.metrics_address);
             if (!problem.empty()) {
-                return started(problem, settings.metrics_address);
+                return to_start_result(problem, settings.metrics_address);
             }
-            return started(
-                readiness_.listen(settings.readiness_address),
+            return to_start_result(
+                readiness_server_.listen(settings.readiness_address),
                 settings.readiness_address);
         },
         [this] {
-            readiness_.close();
-            metrics_.close();
+            readiness_server_.close();
+            metrics_server_.close();
         }};
     callers_service_ = {
         [this, &settings] {
             state_.log_event(log_line(event_code::gateway_started)
                                  .with("node", settings.name.str())
                                  .with("domain", settings.domain.str()));
-            return started(
-                callers_.listen(settings.caller_address),
+            return to_start_result(
+                caller_server_.listen(settings.caller_address),
                 settings.caller_address);
         },
         [this] {
-            callers_.close();
+            caller_server_.close();
         }};
     services_.add(service_name("peers"), {}, peers_service_);
     services_.add(
@@ -169,18 +170,18 @@
            !state_.replicas.all().empty();
 }
 
-void gateway::changed() {
+void gateway::on_update() {
     controller_.wake_workers();
     if (state_.configuration.version != limits_version_) {
         limits_version_ = state_.configuration.version;
-        callers_.set_limits(limits_of(state_.configuration.limits));
+        caller_server_.set_limits(limits_of(state_.configuration.limits));
     }
-    tell_ready();
+    log_if_ready();
 }
 
-void gateway::tell_ready() {
-    if (!told_ready_ && ready()) {
-        told_ready_ = true;
+void gateway::log_if_ready() {
+    if (!ready_logged_ && ready()) {
+        ready_logged_ = true;
         // Less than was told: what others know was not to be had in time.
         state_.log_event(log_line(event_code::gateway_ready)
                              .with("version", limits_version_)
@@ -192,9 +193,9 @@
 asio::awaitable<void> gateway::tick() {
     while (running_) {
         quarantine_persistence_.poll();
-        tell_ready();
+        log_if_ready();
         state_.log.flush(boot_clock::now());
-        asio::steady_timer timer(*io_, tick_time);
+        asio::steady_timer timer(*io_, tick_interval);
         co_await timer.async_wait(use_result);
     }
 }
@@ -214,22 +215,22 @@
     state_.log_event(log_line(event_code::gateway_stopping)
                          .with("running", state_.live_requests));
     controller_.stop();
-    callers_.announce_end();
+    caller_server_.announce_end();
     asio::co_spawn(
         *io_,
-        [this, stopped = std::move(stopped)] { return drain_all(stopped); },
+        [this, stopped = std::move(stopped)] { return await_drain(stopped); },
         asio::detached);
 }
 
-asio::awaitable<void> gateway::drain_all(std::function<void()> stopped) {
+asio::awaitable<void> gateway::await_drain(std::function<void()> stopped) {
     instant const began = boot_clock::now();
-    instant const limit = began + state_.settings.stop_limit - ending_time;
+    instant const limit = began + state_.settings.stop_limit - shutdown_reserve;
     asio::steady_timer timer(*io_, state_.settings.stop_accepts);
     co_await timer.async_wait(use_result);
     // Who comes now must see at once that nobody serves here: a request that
     // is read late in the stop would be cut off by its end.
-    callers_.stop_accepting();
-    callers_.finish_connections();
+    caller_server_.stop_accepting();
+    caller_server_.finish_connections();
     while (state_.live_requests > 0 && boot_clock::now() < limit) {
         timer.expires_after(milliseconds(50));
         co_await timer.async_wait(use_result);
--- a/src/Gateway/gateway.hpp
+++ b/src/Gateway/gateway.hpp
@@ -64,12 +64,12 @@
     boost::asio::awaitable<void> answer(http_exchange& exchange);
     boost::asio::awaitable<void> answer_readiness(http_exchange& exchange);
     boost::asio::awaitable<void> answer_metrics(http_exchange& exchange);
-    http_response metrics_answer();
-    boost::asio::awaitable<void> drain_all(std::function<void()> stopped);
+    http_response make_metrics_response();
+    boost::asio::awaitable<void> await_drain(std::function<void()> stopped);
     boost::asio::awaitable<void> tick();
     void add_services();
-    void changed();
-    void tell_ready();
+    void on_update();
+    void log_if_ready();
 
     boost::asio::io_context* io_;
     gateway_state state_;
@@ -80,9 +80,9 @@
     declaration_follower declarations_;
     quarantine_persistence quarantine_persistence_;
     registry_follower registry_follower_;
-    http_server callers_;
-    http_server readiness_;
-    http_server metrics_;
+    http_server caller_server_;
+    http_server readiness_server_;
+    http_server metrics_server_;
     port_service peers_service_;
     port_service store_service_;
     port_service readiness_service_;
@@ -90,9 +90,10 @@
     service_registry services_;
     kernel kernel_;
     // Shared with the coroutines that answer, which may outlive this object.
-    std::shared_ptr<std::size_t> answering_ = std::make_shared<std::size_t>(0);
+    std::shared_ptr<std::size_t> active_exchanges_ =
+        std::make_shared<std::size_t>(0);
     std::uint64_t limits_version_ = 0;
-    bool told_ready_ = false;
+    bool ready_logged_ = false;
     bool running_ = true;
 };
 
--- a/src/Gateway/gateway_answers.cpp
+++ b/src/Gateway/gateway_answers.cpp
@@ -15,15 +15,15 @@
 constexpr int status_unavailable = 503;
 
 /// Counts an exchange for as long as it is answered.
-class answering_guard {
+class active_exchange_guard {
 public:
-    explicit answering_guard(std::shared_ptr<std::size_t> count)
+    explicit active_exchange_guard(std::shared_ptr<std::size_t> count)
         : count_(std::move(count)) {
         ++*count_;
     }
-    ~answering_guard() { --*count_; }
-    answering_guard(answering_guard const&) = delete;
-    answering_guard& operator=(answering_guard const&) = delete;
+    ~active_exchange_guard() { --*count_; }
+    active_exchange_guard(active_exchange_guard const&) = delete;
+    active_exchange_guard& operator=(active_exchange_guard const&) = delete;
 
 private:
     std::shared_ptr<std::size_t> count_;
@@ -32,19 +32,19 @@
 } // namespace
 
 asio::awaitable<void> gateway::answer(http_exchange& exchange) {
-    answering_guard const counted(answering_);
+    active_exchange_guard const counted(active_exchanges_);
     request_handler flow(state_, messenger_, exchange);
     co_await flow.run();
 }
 
 asio::awaitable<void> gateway::answer_readiness(http_exchange& exchange) {
-    answering_guard const counted(answering_);
+    active_exchange_guard const counted(active_exchanges_);
     http_response answer;
     answer.status = ready() ? status_ok : status_unavailable;
     co_await exchange.respond(std::move(answer));
 }
 
-http_response gateway::metrics_answer() {
+http_response gateway::make_metrics_response() {
     state_.metrics.set_gauge("requests", state_.live_requests);
     state_.metrics.set_gauge(
         "waiting_for_loads", static_cast<double>(state_.waiters.size()));
@@ -66,8 +66,8 @@
 }
 
 asio::awaitable<void> gateway::answer_metrics(http_exchange& exchange) {
-    answering_guard const counted(answering_);
-    http_response answer = metrics_answer();
+    active_exchange_guard const counted(active_exchanges_);
+    http_response answer = make_metrics_response();
     co_await exchange.respond(std::move(answer));
 }
 
--- a/src/Gateway/gateway_settings.cpp
+++ b/src/Gateway/gateway_settings.cpp
@@ -10,10 +10,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds longest_time{600'000};
+constexpr milliseconds max_time{600'000};
 /// The list is read so often while a leaving replica goes on serving. With two
 /// a single reading that fails is one too many: a request came 63 ms late.
-constexpr int readings = 3;
+constexpr int polls = 3;
 
 void read_address(
     toml_section& from, std::string const& key, ip_address& into) {
@@ -25,12 +25,13 @@
 }
 
 double read_real(
-    toml_section& from, std::string const& key, double fallback, double most) {
+    toml_section& from, std::string const& key, double fallback,
+    double max_value) {
     std::string const text = from.text(key, std::to_string(fallback));
     char* end = nullptr;
     double const value = std::strtod(text.c_str(), &end);
-    bool const whole = end != text.c_str() && *end == '\0';
-    if (!whole || value < 0 || value > most) {
+    bool const fully_parsed = end != text.c_str() && *end == '\0';
+    if (!fully_parsed || value < 0 || value > max_value) {
         from.complain(key, "must be a number such as \"0.2\"");
         return fallback;
     }
@@ -45,45 +46,43 @@
     read_address(section, "peer_address", into.peer_address);
     read_address(section, "metrics_address", into.metrics_address);
     into.stop_limit = section.time(
-        "stop_limit", into.stop_limit, milliseconds(1'000), longest_time);
+        "stop_limit", into.stop_limit, milliseconds(1'000), max_time);
     into.stop_accepts = section.time(
-        "stop_accepts", into.stop_accepts, milliseconds(0), longest_time);
+        "stop_accepts", into.stop_accepts, milliseconds(0), max_time);
     section.refuse_unknown_keys();
 }
 
 void read_store(toml_section section, gateway_settings& into) {
     read_address(section, "address", into.store_address);
-    into.store_timeout = section.time(
-        "timeout", into.store_timeout, milliseconds(10), longest_time);
+    into.store_timeout =
+        section.time("timeout", into.store_timeout, milliseconds(10), max_time);
     into.registry_poll_interval =
         section.time(
-            "leaving_serves", readings * into.registry_poll_interval,
-            milliseconds(30), longest_time) /
-        readings;
+            "leaving_serves", polls * into.registry_poll_interval,
+            milliseconds(30), max_time) /
+        polls;
     section.refuse_unknown_keys();
 }
 
 void read_second_sends(toml_section section, resend_limits& into) {
-    constexpr double most_ratio = 10;
-    constexpr double most_slack = 1e6;
-    into.ratio = read_real(section, "ratio", into.ratio, most_ratio);
-    into.slack = read_real(section, "slack", into.slack, most_slack);
+    constexpr double max_ratio = 10;
+    constexpr double max_slack = 1e6;
+    into.ratio = read_real(section, "ratio", into.ratio, max_ratio);
+    into.slack = read_real(section, "slack", into.slack, max_slack);
     milliseconds const window =
-        section.time("window", into.window, milliseconds(1'000), longest_time);
+        section.time("window", into.window, milliseconds(1'000), max_time);
     into.window = std::chrono::duration_cast<std::chrono::seconds>(window);
     section.refuse_unknown_keys();
 }
 
 void read_leases(toml_section section, lease_times& into) {
-    into.lease =
-        section.time("lease", into.lease, milliseconds(200), longest_time);
+    into.lease = section.time("lease", into.lease, milliseconds(200), max_time);
     into.renewal =
-        section.time("renewal", into.renewal, milliseconds(50), longest_time);
+        section.time("renewal", into.renewal, milliseconds(50), max_time);
     into.settling =
-        section.time("settling", into.settling, milliseconds(0), longest_time);
+        section.time("settling", into.settling, milliseconds(0), max_time);
     into.outage_extension = section.time(
-        "outage_extension", into.outage_extension, milliseconds(0),
-        longest_time);
+        "outage_extension", into.outage_extension, milliseconds(0), max_time);
     into.replicas_check_fencing =
         section.boolean("fences_checked", into.replicas_check_fencing);
     if (into.lease < 2 * into.renewal) {
--- a/src/Gateway/gateway_state.cpp
+++ b/src/Gateway/gateway_state.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// A node that was heard within this counts as one that is there.
-constexpr duration peer_counts = std::chrono::seconds(4);
+constexpr duration peer_timeout = std::chrono::seconds(4);
 /// Entries of replicas that lapsed with the store's outage are back by then.
-constexpr duration store_settles = std::chrono::milliseconds(2'300);
+constexpr duration store_settling_time = std::chrono::milliseconds(2'300);
 /// Idle connections to a replica are few, as all nodes share its limit; they
 /// are kept for as long as it keeps them.
 constexpr http_pool_limits connection_limits{
@@ -20,9 +20,10 @@
 } // namespace
 
 gateway_state::gateway_state(
-    boost::asio::io_context& loop, gateway_settings given, int log_handle)
+    boost::asio::io_context& loop, gateway_settings initial_settings,
+    int log_handle)
     : io(loop)
-    , settings(std::move(given))
+    , settings(std::move(initial_settings))
     , own_address(fmt::format(
           "{}:{}", settings.peer_address.host, settings.peer_address.port))
     , log(log_handle)
@@ -35,10 +36,10 @@
 unsigned gateway_state::nodes() const {
     // Those that were heard lately; the others have stopped.
     instant const now = boot_clock::now();
-    auto const heard = std::ranges::count_if(peers, [&](auto const& each) {
-        return now < each.second + peer_counts;
+    auto const recent = std::ranges::count_if(peers, [&](auto const& each) {
+        return now < each.second + peer_timeout;
     });
-    return static_cast<unsigned>(heard) + 1;
+    return static_cast<unsigned>(recent) + 1;
 }
 
 // Guards against nodes that divide by whom they hear: with a domain cut off, or
@@ -55,7 +56,7 @@
 }
 
 instant gateway_state::store_stable_from() const {
-    return store_reachable_since + store_settles;
+    return store_reachable_since + store_settling_time;
 }
 
 bool gateway_state::registry_refilling(instant now) const {
--- a/src/Gateway/gateway_state.hpp
+++ b/src/Gateway/gateway_state.hpp
@@ -32,7 +32,8 @@
 /// it, so there are no locks.
 struct gateway_state {
     gateway_state(
-        boost::asio::io_context& loop, gateway_settings given, int log_handle);
+        boost::asio::io_context& loop, gateway_settings initial_settings,
+        int log_handle);
 
     /// @returns how much of what the operator declares is known: the sum of
     ///          all versions, which only rises
--- a/src/Gateway/quarantine_persistence.cpp
+++ b/src/Gateway/quarantine_persistence.cpp
@@ -17,13 +17,13 @@
 namespace {
 
 /// Whoever holds this partition keeps the contents.
-constexpr std::size_t keeper_partition = 0;
+constexpr std::size_t writer_partition = 0;
 /// Keys in the store: it keeps the newest record of each for good, so their
 /// number bounds what is kept. They fit into one page of an answer.
 constexpr std::uint64_t key_count = 256;
 /// After a failed call; doubles with each one in a row.
-constexpr milliseconds first_pause{250};
-constexpr unsigned most_doublings = 4;
+constexpr milliseconds initial_retry_delay{250};
+constexpr unsigned max_doublings = 4;
 constexpr auto topic = platform::store_topic::quarantine;
 
 std::string key_of(request_fingerprint content) {
@@ -33,50 +33,52 @@
 } // namespace
 
 quarantine_persistence::quarantine_persistence(
-    gateway_state& state, platform::store_client& store, peer_messenger& words)
+    gateway_state& state, platform::store_client& store,
+    peer_messenger& messenger)
     : state_(&state)
     , store_(&store)
-    , messenger_(&words) {}
+    , messenger_(&messenger) {}
 
 std::vector<quarantine_update>
-quarantine_persistence::unkept(instant now) const {
-    auto words = state_->quarantine.all_updates(now);
-    std::erase_if(words, [&](quarantine_update const& each) {
-        auto const found = kept_.find(each.fingerprint);
-        return found != kept_.end() && found->second >= each.revision;
+quarantine_persistence::unsaved(instant now) const {
+    auto updates = state_->quarantine.all_updates(now);
+    std::erase_if(updates, [&](quarantine_update const& each) {
+        auto const found = saved_.find(each.fingerprint);
+        return found != saved_.end() && found->second >= each.revision;
     });
-    return words;
+    return updates;
 }
 
 void quarantine_persistence::on_store_rollback() {
-    read_ = false;
-    kept_.clear();
+    loaded_ = false;
+    saved_.clear();
 }
 
 void quarantine_persistence::poll() {
     instant const now = boot_clock::now();
-    if (!state_->leases.holds(keeper_partition)) {
+    if (!state_->leases.holds(writer_partition)) {
         // Another node may write meanwhile.
         on_store_rollback();
         return;
     }
-    bool const nothing = read_ && unkept(now).empty();
-    if (!*running_ || working_ || nothing || now < not_before_) {
+    bool const up_to_date = loaded_ && unsaved(now).empty();
+    if (!*running_ || active_ || up_to_date || now < retry_at_) {
         return;
     }
-    working_ = true;
+    active_ = true;
     asio::co_spawn(
         state_->io, [this] { return work(); }, asio::detached);
 }
 
 asio::awaitable<void> quarantine_persistence::work() {
     auto const alive = running_;
-    bool done = read_ || co_await read();
-    auto const words = unkept(boot_clock::now());
-    for (std::size_t next = 0; done && *alive && next < words.size(); ++next) {
-        done = co_await write(words[next]);
+    bool done = loaded_ || co_await read();
+    auto const updates = unsaved(boot_clock::now());
+    for (std::size_t next = 0; done && *alive && next < updates.size();
+         ++next) {
+        done = co_await write(updates[next]);
     }
-    working_ = false;
+    active_ = false;
 }
 
 asio::awaitable<bool> quarantine_persistence::read() {
@@ -100,35 +102,35 @@
     if (epoch != state_->epoch) {
         co_return false;
     }
-    read_ = true;
+    loaded_ = true;
     if (absent) {
         co_return true;
     }
     wall_time const calendar = wall_now();
     for (platform::keyed_record const& each : batch.value().records) {
-        auto const word =
+        auto const update =
             platform::read_quarantine(each.value.value_or(""), calendar);
-        if (!word) {
+        if (!update) {
             continue;
         }
-        kept_[word->fingerprint] = word->revision;
-        if (state_->quarantine.apply(*word, now)) {
+        saved_[update->fingerprint] = update->revision;
+        if (state_->quarantine.apply(*update, now)) {
             state_->log_event(
                 log_line(event_code::content_held, log_level::warning)
-                    .with("content", to_string(word->fingerprint))
-                    .with("turn", word->revision)
+                    .with("content", to_string(update->fingerprint))
+                    .with("turn", update->revision)
                     .with("by", "store"));
-            messenger_->broadcast_quarantine(*word);
+            messenger_->broadcast_quarantine(*update);
         }
     }
     co_return true;
 }
 
-asio::awaitable<bool> quarantine_persistence::write(quarantine_update word) {
+asio::awaitable<bool> quarantine_persistence::write(quarantine_update update) {
     auto const alive = running_;
     store_epoch const epoch = state_->epoch;
-    std::string key = key_of(word.fingerprint);
-    std::string text = platform::write_quarantine(word, wall_now());
+    std::string key = key_of(update.fingerprint);
+    std::string text = platform::write_quarantine(update, wall_now());
     auto const written =
         co_await store_->put(topic, std::move(key), std::move(text));
     instant const now = boot_clock::now();
@@ -140,22 +142,22 @@
     if (epoch != state_->epoch) {
         co_return false;
     }
-    kept_[word.fingerprint] = word.revision;
+    saved_[update.fingerprint] = update.revision;
     state_->log_event(log_line(event_code::content_kept)
-                          .with("content", to_string(word.fingerprint))
-                          .with("turn", word.revision));
+                          .with("content", to_string(update.fingerprint))
+                          .with("turn", update.revision));
     co_return true;
 }
 
 void quarantine_persistence::note_failure(
     platform::store_failure why, instant now) {
-    milliseconds const pause =
-        first_pause * (1U << std::min(failures_, most_doublings));
+    milliseconds const retry_delay =
+        initial_retry_delay * (1U << std::min(failures_, max_doublings));
     ++failures_;
-    not_before_ = now + pause;
+    retry_at_ = now + retry_delay;
     state_->log_event(log_line(event_code::content_kept, log_level::warning)
                           .with("failed", to_string(why))
-                          .with("again_ms", pause));
+                          .with("again_ms", retry_delay));
 }
 
 } // namespace camphorpoint
--- a/src/Gateway/quarantine_persistence.hpp
+++ b/src/Gateway/quarantine_persistence.hpp
@@ -25,7 +25,7 @@
     /// @param words   tells the others what was kept; must outlive this
     quarantine_persistence(
         gateway_state& state, platform::store_client& store,
-        peer_messenger& words);
+        peer_messenger& messenger);
 
     /// Looks whether something is to be read or written; called again and
     /// again.
@@ -39,19 +39,19 @@
 private:
     boost::asio::awaitable<void> work();
     boost::asio::awaitable<bool> read();
-    boost::asio::awaitable<bool> write(quarantine_update word);
+    boost::asio::awaitable<bool> write(quarantine_update update);
     void note_failure(platform::store_failure why, instant now);
-    std::vector<quarantine_update> unkept(instant now) const;
+    std::vector<quarantine_update> unsaved(instant now) const;
 
     gateway_state* state_;
     platform::store_client* store_;
     peer_messenger* messenger_;
     /// Turns as they stand in the store.
-    std::map<request_fingerprint, std::uint32_t> kept_;
-    bool read_ = false;
-    bool working_ = false;
+    std::map<request_fingerprint, std::uint32_t> saved_;
+    bool loaded_ = false;
+    bool active_ = false;
     unsigned failures_ = 0;
-    instant not_before_;
+    instant retry_at_;
     std::shared_ptr<bool> running_ = std::make_shared<bool>(true);
 };
 
--- a/src/Gateway/request_handler.cpp
+++ b/src/Gateway/request_handler.cpp
@@ -16,37 +16,37 @@
 constexpr int status_unavailable = 503;
 /// A connection to a replica takes two milliseconds; longer means that it is
 /// gone or cut off.
-constexpr milliseconds connect_time{300};
+constexpr milliseconds connect_timeout{300};
 /// Attempts that a replica refused, or that never reached one, beside those
 /// that the route allows.
-constexpr unsigned most_tries = 4;
+constexpr unsigned max_attempts = 4;
 /// A replica may drop an idle connection without a sign. What must not run
 /// twice can't be sent again after that, so it goes over one that was used a
 /// short time ago.
-constexpr milliseconds safe_idle{1'000};
+constexpr milliseconds max_idle_if_not_idempotent{1'000};
 
 } // namespace
 
 request_handler::request_handler(
-    gateway_state& state, peer_messenger& words, http_exchange& exchange)
+    gateway_state& state, peer_messenger& messenger, http_exchange& exchange)
     : state_(&state)
-    , messenger_(&words)
+    , messenger_(&messenger)
     , exchange_(&exchange)
-    , arrived_(boot_clock::now())
-    , deadline_(arrived_)
+    , arrived_at_(boot_clock::now())
+    , deadline_(arrived_at_)
     , demand_(platform::read_demand(exchange.request()))
-    , leaving_(std::make_shared<leaving>()) {
+    , caller_(std::make_shared<caller_state>()) {
     ++state_->live_requests;
 }
 
 request_handler::~request_handler() {
     --state_->live_requests;
     // The caller's leaving may still call back.
-    leaving_->call = nullptr;
-    leaving_->waiters = nullptr;
+    caller_->call = nullptr;
+    caller_->waiters = nullptr;
 }
 
-bool request_handler::admit() {
+bool request_handler::resolve_route() {
     http_request const& request = exchange_->request();
     service_route const* const found = state_->routes.find(
         request.fields.get("Host"), path_of(request.target));
@@ -55,34 +55,34 @@
     }
     // Copied: the configuration may change while the request runs.
     route_ = *found;
-    ledger_ = attempt_tracker(route_->idempotent());
+    tracker_ = attempt_tracker(route_->idempotent());
     position_ = delivery_position(demand_.last_event, route_->resumable);
     milliseconds const patience =
         std::min(demand_.patience.value_or(route_->timeout), route_->timeout);
-    deadline_ = arrived_ + patience;
+    deadline_ = arrived_at_ + patience;
     need_.service = pick_service(*route_, hash_text(demand_.id.str()));
     need_.adapter = demand_.adapter;
     need_.model = demand_.model;
     need_.random_sample = state_->random();
-    content_ = fingerprint_request(
+    fingerprint_ = fingerprint_request(
         request.method, request.fields.get("Host"), request.target,
         request.body);
     if (!need_.adapter.empty()) {
-        state_->demand.add(need_.adapter, demand_.prompt_tokens, arrived_);
+        state_->demand.add(need_.adapter, demand_.prompt_tokens, arrived_at_);
     }
-    state_->resends.on_request(need_.service, arrived_);
+    state_->resends.on_request(need_.service, arrived_at_);
     return true;
 }
 
 asio::awaitable<void> request_handler::run() {
-    auto const caller = leaving_;
-    if (!state_->may_serve(arrived_)) {
+    auto const caller = caller_;
+    if (!state_->may_serve(arrived_at_)) {
         status_ = status_unavailable;
         co_await finish(
             state_->configured ? "declarations-behind" : "no-configuration");
         co_return;
     }
-    if (!admit()) {
+    if (!resolve_route()) {
         status_ = status_not_found;
         co_await finish("no-route");
         co_return;
@@ -91,10 +91,10 @@
                           .with("id", demand_.id.str())
                           .with("route", route_->name)
                           .with("service", need_.service.str())
-                          .with("content", to_string(content_))
+                          .with("content", to_string(fingerprint_))
                           .with("version", state_->configuration.version));
-    leaving_->waiters = &state_->waiters;
-    leaving_->adapter = need_.adapter;
+    caller_->waiters = &state_->waiters;
+    caller_->adapter = need_.adapter;
     exchange_->on_caller_gone([state = caller] {
         state->gone = true;
         if (state->call) {
@@ -104,62 +104,64 @@
             state->waiters->notify(state->adapter);
         }
     });
-    co_await answer_all();
+    co_await run_attempts();
 }
 
 // Guards against one request that ends replica after replica; see
 // request_quarantine. It is refused before it takes a place or a load.
-bool request_handler::refuse_held() {
-    held_for_ = state_->quarantine.quarantined_for(content_, boot_clock::now());
-    if (held_for_) {
+bool request_handler::refuse_quarantined() {
+    quarantined_for_ =
+        state_->quarantine.quarantined_for(fingerprint_, boot_clock::now());
+    if (quarantined_for_) {
         reason_ = "content-held";
     }
-    return held_for_.has_value();
+    return quarantined_for_.has_value();
 }
 
-asio::awaitable<void> request_handler::answer_all() {
-    auto const caller = leaving_;
+asio::awaitable<void> request_handler::run_attempts() {
+    auto const caller = caller_;
     while (!caller->gone) {
-        if (refuse_held()) {
+        if (refuse_quarantined()) {
             co_await finish(reason_);
             co_return;
         }
         replica* const at = co_await find_replica();
         // It may have been held while this request waited for its adapter.
-        if (at == nullptr || refuse_held() || !draw_second_send()) {
+        if (at == nullptr || refuse_quarantined() || !consume_resend_budget()) {
             co_await finish(reason_);
             co_return;
         }
         endpoint_id const id = at->record.id;
-        if (!co_await pass_gate(id)) {
+        if (!co_await enter_gate(id)) {
             continue;
         }
-        attempt_end const end = co_await attempt(*state_->replicas.find(id));
-        note_evidence(id, end);
-        note_attempt(id, end);
-        bool const others_count = note_content(id, end);
+        attempt_outcome const end =
+            co_await attempt(*state_->replicas.find(id));
+        record_health(id, end);
+        log_attempt(id, end);
+        bool const others_count = report_outcome(id, end);
         leave_gate(end);
-        if (end == attempt_end::finished) {
+        if (end == attempt_outcome::finished) {
             co_await finish("answered");
             co_return;
         }
         // One that has ended its answer unproven is sound.
-        if (end != attempt_end::unproven) {
+        if (end != attempt_outcome::unproven) {
             need_.tried_replicas.push_back(id);
         }
-        if (!may_go_on(end)) {
+        if (!may_retry(end)) {
             co_await finish(reason_);
             co_return;
         }
         if (others_count) {
-            co_await hear_counts();
+            co_await await_crash_reports();
         }
     }
     co_await finish("caller-gone");
 }
 
 platform::send_terms
-request_handler::terms_of(replica const& at, instant now) const {
+request_handler::make_send_terms(replica const& at, instant now) const {
     platform::send_terms terms;
     terms.replica = at.record.id;
     terms.remaining = std::chrono::duration_cast<milliseconds>(deadline_ - now);
@@ -179,34 +181,34 @@
     return terms;
 }
 
-call_times request_handler::times_of_send(instant now) const {
+call_times request_handler::send_times(instant now) const {
     call_times times;
     times.send_before = deadline_ - min_attempt_time;
     times.close_at = deadline_ + milliseconds(100);
     times.each_step =
         std::chrono::duration_cast<milliseconds>(deadline_ - now) +
         milliseconds(100);
-    times.connect = connect_time;
+    times.connect = connect_timeout;
     if (!route_->idempotent()) {
-        times.idle_at_most = safe_idle;
+        times.idle_at_most = max_idle_if_not_idempotent;
     }
     times.echoed = std::string(platform::id_field);
     times.successes_echo = true;
     return times;
 }
 
-asio::awaitable<request_handler::attempt_end>
+asio::awaitable<request_handler::attempt_outcome>
 request_handler::attempt(replica& at) {
     instant const now = boot_clock::now();
     endpoint_id const id = at.record.id;
     ip_address to = at.record.address;
     http_request request =
-        platform::make_send(exchange_->request(), terms_of(at, now));
+        platform::make_send(exchange_->request(), make_send_terms(at, now));
     auto const call = std::make_shared<http_call>(
         state_->io.get_executor(), &state_->replica_connections);
-    leaving_->call = call;
-    ledger_.begin();
-    ++tries_;
+    caller_->call = call;
+    tracker_.begin();
+    ++attempts_;
     state_->log_event(log_line(event_code::request_sent)
                           .with("id", demand_.id.str())
                           .with("replica", id.str())
@@ -214,63 +216,65 @@
                           .with("backlog", static_cast<int>(at.backlog(now)))
                           .with("load", static_cast<int>(100 * at.load()))
                           .with("prompt", demand_.prompt_tokens)
-                          .with("try", tries_)
-                          .with("waited_ms", now - arrived_));
+                          .with("try", attempts_)
+                          .with("waited_ms", now - arrived_at_));
     state_->replicas.request_started(id, demand_.prompt_tokens, now);
     messenger_->begin_use(id, need_.adapter, demand_.prompt_tokens);
-    trace_ = run_trace{position_.last().value_or(0)};
-    call_times times = times_of_send(now);
+    trace_ = attempt_trace{position_.last().value_or(0)};
+    call_times times = send_times(now);
     call_result const opened = co_await call->open(
         std::move(to), std::move(request), std::move(times));
-    attempt_end end = attempt_end::unreached;
+    attempt_outcome end = attempt_outcome::unreached;
     if (opened != call_result::not_sent) {
-        ledger_.on_sent();
-        end = attempt_end::silent;
+        tracker_.on_sent();
+        end = attempt_outcome::silent;
     }
     if (opened == call_result::answered) {
         end = co_await read_answer(id, call);
     }
-    if (end == attempt_end::silent && !call->timed_out()) {
-        end = attempt_end::broken;
+    if (end == attempt_outcome::silent && !call->timed_out()) {
+        end = attempt_outcome::broken;
     }
     trace_.broke_off = call->broke_off();
-    leaving_->call = nullptr;
+    caller_->call = nullptr;
     state_->replicas.request_finished(id);
     messenger_->end_use(id, need_.adapter);
     bool const late = boot_clock::now() >= deadline_;
-    if (late && end != attempt_end::finished && end != attempt_end::refused) {
-        end = attempt_end::late;
+    if (late && end != attempt_outcome::finished &&
+        end != attempt_outcome::refused) {
+        end = attempt_outcome::late;
     }
     co_return end;
 }
 
-bool request_handler::may_go_on(attempt_end end) {
+bool request_handler::may_retry(attempt_outcome end) {
     instant const now = boot_clock::now();
-    if (begun_ && !position_.may_resume()) {
+    if (response_started_ && !position_.may_resume()) {
         reason_ = "broken-off";
         return false;
     }
     switch (end) {
-    case attempt_end::finished:
+    case attempt_outcome::finished:
         return false;
-    case attempt_end::late:
+    case attempt_outcome::late:
         reason_ = "too-late";
         return false;
-    case attempt_end::unreached:
+    case attempt_outcome::unreached:
         reason_ = "unreachable";
-        return tries_ < most_tries;
-    case attempt_end::refused:
+        return attempts_ < max_attempts;
+    case attempt_outcome::refused:
         reason_ = "refused-by-replica";
-        if (tries_ >= most_tries || !ledger_.may_resend()) {
+        if (attempts_ >= max_attempts || !tracker_.may_resend()) {
             return false;
         }
         break;
-    case attempt_end::failed:
-    case attempt_end::silent:
-    case attempt_end::broken:
-    case attempt_end::unproven:
-        reason_ = end == attempt_end::failed ? "replica-failed" : "broken-off";
-        if (ledger_.sends() >= route_->attempts || !ledger_.may_resend()) {
+    case attempt_outcome::failed:
+    case attempt_outcome::silent:
+    case attempt_outcome::broken:
+    case attempt_outcome::unproven:
+        reason_ =
+            end == attempt_outcome::failed ? "replica-failed" : "broken-off";
+        if (tracker_.sends() >= route_->attempts || !tracker_.may_resend()) {
             return false;
         }
         break;
@@ -286,8 +290,8 @@
 
 // Drawn right before the send: a request that finds no replica sends nothing,
 // and an attempt that reached none leaves its draw to the next.
-bool request_handler::draw_second_send() {
-    if (second_sends_ >= ledger_.sends()) {
+bool request_handler::consume_resend_budget() {
+    if (resends_ >= tracker_.sends()) {
         return true;
     }
     instant const now = boot_clock::now();
@@ -296,7 +300,7 @@
         reason_ += "-no-budget";
         return false;
     }
-    ++second_sends_;
+    ++resends_;
     state_->metrics.count_resend(reason_);
     return true;
 }
--- a/src/Gateway/request_handler.hpp
+++ b/src/Gateway/request_handler.hpp
@@ -33,7 +33,8 @@
     /// @param words    for wants of adapters; must outlive the flow
     /// @param exchange the caller's request; must outlive the flow
     request_handler(
-        gateway_state& state, peer_messenger& words, http_exchange& exchange);
+        gateway_state& state, peer_messenger& messenger,
+        http_exchange& exchange);
     ~request_handler();
     request_handler(request_handler const&) = delete;
     request_handler& operator=(request_handler const&) = delete;
@@ -43,7 +44,7 @@
 
 private:
     /// How one attempt ended.
-    enum class attempt_end : std::uint8_t {
+    enum class attempt_outcome : std::uint8_t {
         /// The caller has its whole answer, or is gone.
         finished,
         /// The replica, or one at its address, has not run it.
@@ -64,7 +65,7 @@
     };
 
     /// What one run brought.
-    struct run_trace {
+    struct attempt_trace {
         /// The last event handed on when it began.
         std::uint64_t after = 0;
         /// Bytes behind its last whole event.
@@ -75,101 +76,101 @@
         bool broke_off = false;
     };
 
-    bool admit();
-    bool refuse_held();
+    bool resolve_route();
+    bool refuse_quarantined();
     /// @returns true when others count the content's ends and may say that it
     ///          is held
-    bool note_content(endpoint_id const& at, attempt_end end);
-    boost::asio::awaitable<void> hear_counts();
-    boost::asio::awaitable<bool> pass_gate(endpoint_id at);
-    void prove_content();
-    void leave_gate(attempt_end end);
-    boost::asio::awaitable<void> answer_all();
+    bool report_outcome(endpoint_id const& at, attempt_outcome end);
+    boost::asio::awaitable<void> await_crash_reports();
+    boost::asio::awaitable<bool> enter_gate(endpoint_id at);
+    void report_first_output();
+    void leave_gate(attempt_outcome end);
+    boost::asio::awaitable<void> run_attempts();
     boost::asio::awaitable<replica*> find_replica();
-    boost::asio::awaitable<void> freshen_loads();
-    std::optional<replica*> plain_replica(instant now);
-    bool awaits_entries(instant now) const;
-    std::optional<replica*> adapter_replica(instant now);
-    replica* home_for(instant now);
-    bool should_hold(replica const& at, instant now) const;
-    bool denied_already(instant now) const;
-    void want_copies(replica const& best, instant now);
-    void ask_for_copy(replica* home, bool urgent);
-    duration patience(instant now) const;
-    duration part_of_objective(double part) const;
-    boost::asio::awaitable<attempt_end> attempt(replica& at);
-    boost::asio::awaitable<attempt_end>
+    boost::asio::awaitable<void> refresh_utilization();
+    std::optional<replica*> select_plain_replica(instant now);
+    bool awaits_registry_entries(instant now) const;
+    std::optional<replica*> select_adapter_replica(instant now);
+    replica* select_preferred_replica(instant now);
+    bool should_delay(replica const& at, instant now) const;
+    bool load_already_rejected(instant now) const;
+    void request_additional_load(replica const& best, instant now);
+    void request_load_at(replica* home, bool urgent);
+    duration wait_budget(instant now) const;
+    duration objective_fraction(double part) const;
+    boost::asio::awaitable<attempt_outcome> attempt(replica& at);
+    boost::asio::awaitable<attempt_outcome>
     read_answer(endpoint_id at, std::shared_ptr<http_call> call);
-    boost::asio::awaitable<attempt_end>
-    pass_stream(std::shared_ptr<http_call> call);
+    boost::asio::awaitable<attempt_outcome>
+    forward_stream(std::shared_ptr<http_call> call);
     boost::asio::awaitable<bool>
-    hand_on(std::shared_ptr<http_call> call, joined_events events);
-    boost::asio::awaitable<attempt_end> end_run(
-        std::shared_ptr<http_call> call, attempt_stream const& run,
-        bool read_whole);
-    boost::asio::awaitable<attempt_end>
-    pass_whole(std::shared_ptr<http_call> call, int status);
-    boost::asio::awaitable<bool> forward(std::string_view piece);
+    forward_events(std::shared_ptr<http_call> call, joined_events events);
+    boost::asio::awaitable<attempt_outcome> finish_stream_attempt(
+        std::shared_ptr<http_call> call, attempt_stream const& stream,
+        bool read_to_end);
+    boost::asio::awaitable<attempt_outcome>
+    forward_buffered(std::shared_ptr<http_call> call, int status);
+    boost::asio::awaitable<bool> write_to_caller(std::string_view piece);
     http_response final_answer();
-    void note_end(std::string_view reason);
+    void log_completion(std::string_view reason);
     boost::asio::awaitable<void> finish(std::string_view why);
-    bool may_go_on(attempt_end end);
-    bool draw_second_send();
-    void note_evidence(endpoint_id const& at, attempt_end end);
-    void note_attempt(endpoint_id const& at, attempt_end end);
-    std::chrono::milliseconds come_back() const;
-    call_times times_of_send(instant now) const;
-    platform::send_terms terms_of(replica const& at, instant now) const;
+    bool may_retry(attempt_outcome end);
+    bool consume_resend_budget();
+    void record_health(endpoint_id const& at, attempt_outcome end);
+    void log_attempt(endpoint_id const& at, attempt_outcome end);
+    std::chrono::milliseconds retry_after() const;
+    call_times send_times(instant now) const;
+    platform::send_terms make_send_terms(replica const& at, instant now) const;
 
     gateway_state* state_;
     peer_messenger* messenger_;
     http_exchange* exchange_;
-    instant arrived_;
+    instant arrived_at_;
     instant deadline_;
     platform::caller_demand demand_;
     std::optional<service_route> route_;
     replica_requirements need_;
-    request_fingerprint content_{};
+    request_fingerprint fingerprint_{};
     /// Its number at the content's gate, while it was let begin and has shown
     /// nothing yet.
-    std::optional<std::uint64_t> gate_run_;
+    std::optional<std::uint64_t> gate_attempt_;
     /// For how long its content is not run.
-    std::optional<duration> held_for_;
+    std::optional<duration> quarantined_for_;
     /// The replica that was asked last to hold the adapter.
-    endpoint_id asked_;
+    endpoint_id load_target_;
     /// How many were asked since the search began, and when that was.
-    unsigned homes_asked_ = 0;
-    instant search_began_;
+    unsigned load_targets_ = 0;
+    instant search_started_at_;
     /// How long the adapter would take at the soonest, when no home can have it
     /// ready in time.
-    std::optional<duration> soonest_;
-    attempt_tracker ledger_{false};
+    std::optional<duration> earliest_ready_in_;
+    attempt_tracker tracker_{false};
     delivery_position position_;
-    run_trace trace_;
+    attempt_trace trace_;
     /// It waits for its replica to read other prompts.
-    bool holding_ = false;
-    bool begun_ = false;
+    bool delayed_ = false;
+    bool response_started_ = false;
     /// What the caller saw, for the log: when its first bytes left, and the
     /// longest pause between bytes since.
-    instant first_sent_;
-    instant last_sent_;
+    instant first_sent_at_;
+    instant last_sent_at_;
     duration longest_pause_{0};
-    bool ended_ = false;
-    unsigned tries_ = 0;
+    bool response_complete_ = false;
+    unsigned attempts_ = 0;
     /// Second sends that were drawn on the budget.
-    unsigned second_sends_ = 0;
-    std::optional<http_response> failure_;
+    unsigned resends_ = 0;
+    std::optional<http_response> failure_response_;
     std::string reason_ = "unanswered";
     int status_ = 0;
     /// Shared with the call-back that the caller's leaving triggers, which may
     /// outlive the flow.
-    struct leaving {
+    struct caller_state {
         bool gone = false;
         std::shared_ptr<http_call> call;
         waiter_list* waiters = nullptr;
         adapter_id adapter;
     };
-    std::shared_ptr<leaving> leaving_;
+    std::shared_ptr<caller_state> caller_;
 };
 
 } // namespace camphorpoint
--- a/src/Gateway/request_handler_completion.cpp
+++ b/src/Gateway/request_handler_completion.cpp
@@ -23,13 +23,13 @@
 constexpr int status_gateway_timeout = 504;
 
 /// Word of the nodes that count comes within this, or is lost.
-constexpr milliseconds word_of_counts{20};
+constexpr milliseconds crash_report_wait{20};
 
 /// While another run of the content is under way.
-constexpr milliseconds gate_pause{50};
+constexpr milliseconds gate_retry_delay{50};
 
 /// @returns a name that is another one after each start of the replica
-std::uint64_t start_name(endpoint_id const& id, fleet const& replicas) {
+std::uint64_t incarnation_hash(endpoint_id const& id, fleet const& replicas) {
     std::uint64_t const name = fleet::id_hash(id);
     replica const* const at = replicas.find(id);
     if (at == nullptr || !at->record.started_at) {
@@ -41,18 +41,19 @@
 
 } // namespace
 
-void request_handler::note_evidence(endpoint_id const& at, attempt_end end) {
+void request_handler::record_health(
+    endpoint_id const& at, attempt_outcome end) {
     replica* const target = state_->replicas.find(at);
-    if (target == nullptr || leaving_->gone) {
+    if (target == nullptr || caller_->gone) {
         return;
     }
     instant const now = boot_clock::now();
     health_signal evidence = health_signal::answered;
-    if (end == attempt_end::silent || end == attempt_end::unreached) {
+    if (end == attempt_outcome::silent || end == attempt_outcome::unreached) {
         evidence = health_signal::no_response;
-    } else if (end == attempt_end::broken) {
+    } else if (end == attempt_outcome::broken) {
         evidence = health_signal::truncated;
-    } else if (end == attempt_end::failed || end == attempt_end::late) {
+    } else if (end == attempt_outcome::failed || end == attempt_outcome::late) {
         evidence = health_signal::failed;
     }
     if (target->health.add_outcome(evidence, now)) {
@@ -67,71 +68,74 @@
 
 // Guards against a request that has ended its third replica and is sent on to
 // the next one while the nodes that count it are about to say so.
-asio::awaitable<void> request_handler::hear_counts() {
-    asio::steady_timer timer(state_->io, word_of_counts);
+asio::awaitable<void> request_handler::await_crash_reports() {
+    asio::steady_timer timer(state_->io, crash_report_wait);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
 // Guards against requests of one content that go out side by side while nobody
 // knows yet that it ends its replicas; see request_gate.
-asio::awaitable<bool> request_handler::pass_gate(endpoint_id at) {
-    auto const caller = leaving_;
-    if (!messenger_->requires_admission(content_, boot_clock::now())) {
+asio::awaitable<bool> request_handler::enter_gate(endpoint_id at) {
+    auto const caller = caller_;
+    if (!messenger_->requires_admission(fingerprint_, boot_clock::now())) {
         co_return true;
     }
-    std::uint64_t const run =
-        combine_hashes(hash_text(demand_.id.str()), tries_);
-    bool const begins = co_await messenger_->request_admission(content_, run);
+    std::uint64_t const attempt_id =
+        combine_hashes(hash_text(demand_.id.str()), attempts_);
+    bool const begins =
+        co_await messenger_->request_admission(fingerprint_, attempt_id);
     if (!begins) {
-        asio::steady_timer timer(state_->io, gate_pause);
+        asio::steady_timer timer(state_->io, gate_retry_delay);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         co_return false;
     }
-    gate_run_ = run;
+    gate_attempt_ = attempt_id;
     replica const* const still = state_->replicas.find(at);
     bool const usable = still != nullptr && still->accepts_requests() &&
-                        !caller->gone && !refuse_held();
+                        !caller->gone && !refuse_quarantined();
     if (!usable) {
-        leave_gate(attempt_end::unreached);
+        leave_gate(attempt_outcome::unreached);
     }
     co_return usable;
 }
 
-void request_handler::prove_content() {
-    if (gate_run_) {
-        gate_run_.reset();
-        messenger_->report_progress(content_);
+void request_handler::report_first_output() {
+    if (gate_attempt_) {
+        gate_attempt_.reset();
+        messenger_->report_progress(fingerprint_);
     }
 }
 
-void request_handler::leave_gate(attempt_end end) {
-    bool const answered = end == attempt_end::failed ||
-                          (end == attempt_end::finished && !leaving_->gone);
+void request_handler::leave_gate(attempt_outcome end) {
+    bool const answered = end == attempt_outcome::failed ||
+                          (end == attempt_outcome::finished && !caller_->gone);
     if (answered) {
-        prove_content();
-    } else if (gate_run_) {
-        messenger_->report_attempt_ended(content_, *gate_run_);
-        gate_run_.reset();
+        report_first_output();
+    } else if (gate_attempt_) {
+        messenger_->report_attempt_ended(fingerprint_, *gate_attempt_);
+        gate_attempt_.reset();
     }
 }
 
-bool request_handler::note_content(endpoint_id const& at, attempt_end end) {
+bool request_handler::report_outcome(
+    endpoint_id const& at, attempt_outcome end) {
     // A caller that has left breaks its own run off. A replica that answers
     // what is no good goes on.
-    if (end == attempt_end::broken && trace_.broke_off && !leaving_->gone) {
+    if (end == attempt_outcome::broken && trace_.broke_off && !caller_->gone) {
         return messenger_->report_crash(
-            content_, start_name(at, state_->replicas));
+            fingerprint_, incarnation_hash(at, state_->replicas));
     }
     constexpr int first_redirect = 300;
-    bool const whole = ended_ && ledger_.phase() == attempt_phase::completed &&
+    bool const whole = response_complete_ &&
+                       tracker_.phase() == attempt_phase::completed &&
                        status_ < first_redirect;
     if (whole) {
-        messenger_->report_completion(content_);
+        messenger_->report_completion(fingerprint_);
     }
     return false;
 }
 
-void request_handler::note_attempt(endpoint_id const& at, attempt_end end) {
+void request_handler::log_attempt(endpoint_id const& at, attempt_outcome end) {
     constexpr std::string_view names[] = {"finished", "refused", "unreached",
                                           "failed",   "silent",  "broken",
                                           "unproven", "late"};
@@ -139,21 +143,21 @@
                           .with("id", demand_.id.str())
                           .with("replica", at.str())
                           .with("end", names[static_cast<std::size_t>(end)])
-                          .with("may_run", static_cast<int>(ledger_.may_run()))
+                          .with("may_run", static_cast<int>(tracker_.may_run()))
                           .with("after", trace_.after)
                           .with("events", position_.last().value_or(0))
                           .with("body", trace_.body)
                           .with("half_bytes", trace_.half_bytes));
 }
 
-milliseconds request_handler::come_back() const {
+milliseconds request_handler::retry_after() const {
     // Long enough for a load, short enough that one more try fits.
     constexpr milliseconds one_load{400};
-    if (held_for_) {
-        return std::chrono::ceil<milliseconds>(*held_for_);
+    if (quarantined_for_) {
+        return std::chrono::ceil<milliseconds>(*quarantined_for_);
     }
     auto const forecast = std::chrono::duration_cast<milliseconds>(
-        soonest_.value_or(duration::zero()));
+        earliest_ready_in_.value_or(duration::zero()));
     return std::max(one_load, forecast);
 }
 
@@ -162,21 +166,22 @@
     if (status_ == status_not_found) {
         return platform::own_answer(status_, request, std::nullopt);
     }
-    if (failure_) {
-        return std::move(*failure_);
+    if (failure_response_) {
+        return std::move(*failure_response_);
     }
-    if (!ledger_.may_run()) {
-        return platform::own_answer(status_unavailable, request, come_back());
+    if (!tracker_.may_run()) {
+        return platform::own_answer(status_unavailable, request, retry_after());
     }
     bool const late = boot_clock::now() >= deadline_;
     int const status = late ? status_gateway_timeout : status_bad_gateway;
     return platform::own_answer(status, request, std::nullopt);
 }
 
-void request_handler::note_end(std::string_view reason) {
-    state_->metrics.count_request(leaving_->gone ? "caller-gone" : reason);
-    duration const first =
-        first_sent_ == instant{} ? duration::zero() : first_sent_ - arrived_;
+void request_handler::log_completion(std::string_view reason) {
+    state_->metrics.count_request(caller_->gone ? "caller-gone" : reason);
+    duration const first = first_sent_at_ == instant{}
+                               ? duration::zero()
+                               : first_sent_at_ - arrived_at_;
     state_->log_event(log_line(event_code::request_ended)
                           .with("id", demand_.id.str())
                           .with("first_ms", first)
@@ -184,21 +189,21 @@
                           .with("route", route_ ? route_->name : "")
                           .with("reason", reason)
                           .with("status", status_)
-                          .with("whole", static_cast<int>(ended_))
-                          .with("may_run", static_cast<int>(ledger_.may_run()))
-                          .with("sends", ledger_.sends())
-                          .with("took_ms", boot_clock::now() - arrived_));
+                          .with("whole", static_cast<int>(response_complete_))
+                          .with("may_run", static_cast<int>(tracker_.may_run()))
+                          .with("sends", tracker_.sends())
+                          .with("took_ms", boot_clock::now() - arrived_at_));
 }
 
 asio::awaitable<void> request_handler::finish(std::string_view why) {
-    auto const caller = leaving_;
+    auto const caller = caller_;
     std::string const reason(why);
-    if (!ended_ && !caller->gone && !begun_) {
+    if (!response_complete_ && !caller->gone && !response_started_) {
         http_response answer = final_answer();
         status_ = answer.status;
-        ended_ = co_await exchange_->respond(std::move(answer));
+        response_complete_ = co_await exchange_->respond(std::move(answer));
     }
-    note_end(reason);
+    log_completion(reason);
 }
 
 } // namespace camphorpoint
--- a/src/Gateway/request_handler_forwarding.cpp
+++ b/src/Gateway/request_handler_forwarding.cpp
@@ -15,17 +15,17 @@
 
 /// A stream that may go on elsewhere is given up after this silence: twice the
 /// longest pause that any installation's callers take for good.
-constexpr milliseconds stream_silence{1'500};
+constexpr milliseconds stream_idle_timeout{1'500};
 
 } // namespace
 
-asio::awaitable<request_handler::attempt_end>
+asio::awaitable<request_handler::attempt_outcome>
 request_handler::read_answer(endpoint_id at, std::shared_ptr<http_call> call) {
-    auto const caller = leaving_;
+    auto const caller = caller_;
     int const status = call->status();
     answer_kind const kind = platform::judge_answer(status, call->fields());
     if (kind == answer_kind::not_executed || kind == answer_kind::misdirected) {
-        ledger_.on_not_executed();
+        tracker_.on_not_executed();
         if (kind == answer_kind::misdirected && !need_.adapter.empty()) {
             state_->replicas.mark_unloading(
                 at, need_.adapter, boot_clock::now());
@@ -36,159 +36,160 @@
                 break;
             }
         }
-        co_return attempt_end::refused;
+        co_return attempt_outcome::refused;
     }
-    ledger_.on_answering();
+    tracker_.on_answering();
     if (kind == answer_kind::spoiled) {
-        co_return attempt_end::failed;
+        co_return attempt_outcome::failed;
     }
-    if (begun_ && kind == answer_kind::failure) {
+    if (response_started_ && kind == answer_kind::failure) {
         // The caller has the head of another run's answer already.
-        co_return attempt_end::failed;
+        co_return attempt_outcome::failed;
     }
     bool const stream =
         route_->kind == route_kind::streaming && kind == answer_kind::success;
     if (stream) {
-        co_return co_await pass_stream(call);
+        co_return co_await forward_stream(call);
     }
-    co_return co_await pass_whole(call, status);
+    co_return co_await forward_buffered(call, status);
 }
 
-asio::awaitable<bool> request_handler::forward(std::string_view piece) {
-    auto const caller = leaving_;
+asio::awaitable<bool> request_handler::write_to_caller(std::string_view piece) {
+    auto const caller = caller_;
     if (piece.empty()) {
         co_return true;
     }
     instant const now = boot_clock::now();
-    if (first_sent_ == instant{}) {
-        first_sent_ = now;
+    if (first_sent_at_ == instant{}) {
+        first_sent_at_ = now;
     } else {
-        longest_pause_ = std::max(longest_pause_, now - last_sent_);
+        longest_pause_ = std::max(longest_pause_, now - last_sent_at_);
     }
-    last_sent_ = now;
-    prove_content();
+    last_sent_at_ = now;
+    report_first_output();
     bool const passed = co_await exchange_->write_piece(piece);
     caller->gone = caller->gone || !passed;
     co_return passed;
 }
 
-asio::awaitable<bool> request_handler::hand_on(
+asio::awaitable<bool> request_handler::forward_events(
     std::shared_ptr<http_call> call, joined_events events) {
-    auto const caller = leaving_;
-    if (!begun_) {
-        begun_ = true;
+    auto const caller = caller_;
+    if (!response_started_) {
+        response_started_ = true;
         status_ = call->status();
-        state_->metrics.observe_first_byte(boot_clock::now() - arrived_);
+        state_->metrics.observe_first_byte(boot_clock::now() - arrived_at_);
         http_fields fields = platform::pass_fields(call->fields());
         bool const begun =
             co_await exchange_->begin_stream(status_, std::move(fields));
         caller->gone = caller->gone || !begun;
     }
-    bool const passed = co_await forward(events.text);
+    bool const passed = co_await write_to_caller(events.text);
     position_ = passed ? events.position : position_;
     co_return passed && !caller->gone;
 }
 
-asio::awaitable<request_handler::attempt_end>
-request_handler::pass_stream(std::shared_ptr<http_call> call) {
-    auto const caller = leaving_;
+asio::awaitable<request_handler::attempt_outcome>
+request_handler::forward_stream(std::shared_ptr<http_call> call) {
+    auto const caller = caller_;
     bool const resumable = route_->resumable;
-    attempt_stream run;
+    attempt_stream stream;
     while (true) {
         auto const left = std::chrono::duration_cast<milliseconds>(
             deadline_ + milliseconds(100) - boot_clock::now());
         milliseconds const wait =
-            resumable ? std::min(left, stream_silence) : left;
+            resumable ? std::min(left, stream_idle_timeout) : left;
         auto const piece =
             co_await call->next_piece(std::max(wait, milliseconds(1)));
         if (caller->gone) {
-            co_return attempt_end::finished;
+            co_return attempt_outcome::finished;
         }
         if (!piece || piece->empty()) {
-            bool const read_whole = piece.has_value();
-            co_return co_await end_run(call, run, read_whole);
+            bool const read_to_end = piece.has_value();
+            co_return co_await finish_stream_attempt(call, stream, read_to_end);
         }
-        run.push(*piece);
-        joined_events events = join_events(run, position_);
-        trace_.half_bytes = run.incomplete_bytes();
+        stream.push(*piece);
+        joined_events events = join_events(stream, position_);
+        trace_.half_bytes = stream.incomplete_bytes();
         bool const joined = events.joined;
         bool passed = true;
         if (!events.text.empty()) {
-            passed = co_await hand_on(call, std::move(events));
+            passed = co_await forward_events(call, std::move(events));
         }
         if (!passed) {
             call->cancel();
-            co_return attempt_end::finished;
+            co_return attempt_outcome::finished;
         }
         if (!joined) {
             trace_.body = "not-joined";
             call->cancel();
-            co_return attempt_end::failed;
+            co_return attempt_outcome::failed;
         }
     }
 }
 
-asio::awaitable<request_handler::attempt_end> request_handler::end_run(
-    std::shared_ptr<http_call> call, attempt_stream const& run,
-    bool read_whole) {
-    auto const caller = leaving_;
-    if (run.incomplete_bytes() > 0) {
+asio::awaitable<request_handler::attempt_outcome>
+request_handler::finish_stream_attempt(
+    std::shared_ptr<http_call> call, attempt_stream const& stream,
+    bool read_to_end) {
+    auto const caller = caller_;
+    if (stream.incomplete_bytes() > 0) {
         position_.note_truncated_event();
     }
-    if (!read_whole) {
+    if (!read_to_end) {
         trace_.body = "cut";
-        co_return attempt_end::silent;
+        co_return attempt_outcome::silent;
     }
     bool const framed = !call->ends_with_connection();
     trace_.body = framed ? "whole" : "connection-end";
-    stream_end const end = position_.classify_end(run, framed);
+    stream_end const end = position_.classify_end(stream, framed);
     if (end == stream_end::unconfirmed) {
-        co_return attempt_end::unproven;
+        co_return attempt_outcome::unproven;
     }
     if (end == stream_end::truncated) {
-        co_return framed ? attempt_end::failed : attempt_end::silent;
+        co_return framed ? attempt_outcome::failed : attempt_outcome::silent;
     }
-    ledger_.on_completed();
-    if (begun_) {
-        ended_ = co_await exchange_->end_stream();
-        co_return attempt_end::finished;
+    tracker_.on_completed();
+    if (response_started_) {
+        response_complete_ = co_await exchange_->end_stream();
+        co_return attempt_outcome::finished;
     }
     // A success without any event is passed on as it is.
     http_response empty;
     empty.status = call->status();
     empty.fields = platform::pass_fields(call->fields());
     status_ = empty.status;
-    ended_ = co_await exchange_->respond(std::move(empty));
-    co_return attempt_end::finished;
+    response_complete_ = co_await exchange_->respond(std::move(empty));
+    co_return attempt_outcome::finished;
 }
 
-asio::awaitable<request_handler::attempt_end>
-request_handler::pass_whole(std::shared_ptr<http_call> call, int status) {
-    auto const caller = leaving_;
+asio::awaitable<request_handler::attempt_outcome>
+request_handler::forward_buffered(std::shared_ptr<http_call> call, int status) {
+    auto const caller = caller_;
     http_response answer;
     answer.status = status;
     answer.fields = platform::pass_fields(call->fields());
     while (true) {
         auto const piece = co_await call->next_piece();
         if (!piece || answer.body.size() > largest_answer) {
-            co_return attempt_end::silent;
+            co_return attempt_outcome::silent;
         }
         if (piece->empty()) {
             break;
         }
         answer.body += *piece;
     }
-    ledger_.on_completed();
+    tracker_.on_completed();
     constexpr int first_failure = 500;
     if (status >= first_failure) {
-        failure_ = std::move(answer);
-        co_return attempt_end::failed;
+        failure_response_ = std::move(answer);
+        co_return attempt_outcome::failed;
     }
     status_ = status;
-    state_->metrics.observe_first_byte(boot_clock::now() - arrived_);
-    ended_ = co_await exchange_->respond(std::move(answer));
-    caller->gone = caller->gone || !ended_;
-    co_return attempt_end::finished;
+    state_->metrics.observe_first_byte(boot_clock::now() - arrived_at_);
+    response_complete_ = co_await exchange_->respond(std::move(answer));
+    caller->gone = caller->gone || !response_complete_;
+    co_return attempt_outcome::finished;
 }
 
 } // namespace camphorpoint
--- a/src/Gateway/request_handler_replica_search.cpp
+++ b/src/Gateway/request_handler_replica_search.cpp
@@ -13,62 +13,62 @@
 
 /// A replica below this load takes a request at once: it still has room in its
 /// batch when the other nodes think the same.
-constexpr double easy_load = 0.6;
+constexpr double immediate_load_limit = 0.6;
 /// From here on a replica has a queue of its own as long as a quarter of its
 /// batch; what comes then would miss its objective by waiting.
-constexpr double full_load = 1.25;
+constexpr double max_load = 1.25;
 /// From this mean crowding of its replicas on a service is busy: some are full
 /// then, as requests do not come evenly.
-constexpr double busy_service = 0.65;
+constexpr double busy_utilization = 0.65;
 /// A holder that is as full as this gets a second one beside it. A copy costs a
 /// load and a slot, and while places are free it brings nothing sooner.
-constexpr double copy_load = 0.9;
+constexpr double replication_load = 0.9;
 /// Wants are repeated so often: datagrams may be lost, holders may change.
-constexpr milliseconds want_again{300};
+constexpr milliseconds load_request_interval{300};
 /// A request waits for a load for this part of its objective; the rest is for
 /// the replica to read its prompt.
-constexpr double load_share = 0.75;
+constexpr double load_wait_fraction = 0.75;
 /// Who waits for longer than this many objectives has been forecast wrongly,
 /// and is told so while there is time to come back.
-constexpr double give_up_objectives = 1.25;
+constexpr double max_wait_objectives = 1.25;
 /// Homes that a request asks for a load in time, the one that keeps a copy
 /// among them. More would bring rare adapters everywhere.
-constexpr unsigned most_homes = 2;
+constexpr unsigned max_load_targets = 2;
 /// Prompt tokens that a replica should have to read at a time, a further
 /// prompt included. More make its streams pause for longer than their callers
 /// take for good, and the objective leaves time to wait here. Below the least
 /// a long prompt goes at once: it would never find less.
-constexpr double most_together = 4'500;
-constexpr double least_backlog = 500;
+constexpr double max_prompt_backlog = 4'500;
+constexpr double min_prompt_backlog = 500;
 /// A request is held for this part of its objective at the most: a long prompt
 /// has the rest of it to be read.
-constexpr double longest_hold = 0.45;
-constexpr milliseconds hold_look{15};
+constexpr double max_delay_fraction = 0.45;
+constexpr milliseconds delay_poll_interval{15};
 /// From this crowding of the best holder on a copy is as urgent as a first
 /// load.
-constexpr double copy_crowding = 0.4;
+constexpr double urgent_replication_utilization = 0.4;
 /// Whoever counts a replica's requests answers within a few milliseconds. It is
 /// not worth more than a fiftieth of the tightest objective of a stream.
-constexpr milliseconds ask_time{15};
+constexpr milliseconds utilization_query_timeout{15};
 /// From this crowding of the best holder on its prompts queue for longer than
 /// the pauses that callers take.
-constexpr double queue_crowding = 0.8;
+constexpr double queueing_utilization = 0.8;
 /// Holders that are fuller than the mean by less are as full as the others.
-constexpr double noticed_crowding = 0.05;
+constexpr double min_utilization_gap = 0.05;
 
 } // namespace
 
 // Guards against refusals while a service's replicas are there and write their
 // entries again, which lapsed in the store's outage.
-bool request_handler::awaits_entries(instant now) const {
+bool request_handler::awaits_registry_entries(instant now) const {
     return !state_->choice.any_accepts_requests(need_.service) &&
            state_->registry_refilling(now) &&
-           now < arrived_ + route_->objective;
+           now < arrived_at_ + route_->objective;
 }
 
-std::optional<replica*> request_handler::plain_replica(instant now) {
+std::optional<replica*> request_handler::select_plain_replica(instant now) {
     replica* const best = state_->choice.best(need_, now);
-    if (best == nullptr && awaits_entries(now)) {
+    if (best == nullptr && awaits_registry_entries(now)) {
         return std::nullopt;
     }
     if (best == nullptr) {
@@ -79,33 +79,35 @@
     return best;
 }
 
-void request_handler::ask_for_copy(replica* home, bool urgent) {
+void request_handler::request_load_at(replica* home, bool urgent) {
     if (home == nullptr) {
         return;
     }
-    bool const first_request = asked_ != home->record.id;
-    asked_ = home->record.id;
+    bool const first_request = load_target_ != home->record.id;
+    load_target_ = home->record.id;
     std::uint32_t const version =
         state_->versions.newest(need_.adapter).value_or(0);
     load_priority const kind =
         urgent ? load_priority::demand : load_priority::prefetch;
-    homes_asked_ += urgent && first_request ? 1 : 0;
+    load_targets_ += urgent && first_request ? 1 : 0;
     messenger_->request_load(
         *home, {need_.adapter, version}, kind, first_request,
-        patience(boot_clock::now()));
+        wait_budget(boot_clock::now()));
 }
 
-duration request_handler::patience(instant now) const {
-    instant const in_time = search_began_ + part_of_objective(load_share);
+duration request_handler::wait_budget(instant now) const {
+    instant const in_time =
+        search_started_at_ + objective_fraction(load_wait_fraction);
     return std::min(in_time, deadline_ - min_attempt_time) - now;
 }
 
-duration request_handler::part_of_objective(double part) const {
+duration request_handler::objective_fraction(double part) const {
     std::chrono::duration<double> const objective = route_->objective;
     return std::chrono::duration_cast<duration>(objective * part);
 }
 
-void request_handler::want_copies(replica const& best, instant now) {
+void request_handler::request_additional_load(
+    replica const& best, instant now) {
     std::size_t const replicas =
         state_->replicas.of_service(need_.service).size();
     std::size_t const here = state_->choice.resident_count(need_, now);
@@ -116,51 +118,53 @@
     // of many guesses would make copies everywhere.
     double const mean = state_->choice.mean_utilization(need_.service, now);
     bool const fuller =
-        replica_selector::utilization(best, now) > mean + noticed_crowding;
+        replica_selector::utilization(best, now) > mean + min_utilization_gap;
     // Where prompts queue at all holders one more pays whatever the share: it
     // may be another adapter there that fills them.
     bool const queues =
-        replica_selector::utilization(best, now) >= queue_crowding &&
+        replica_selector::utilization(best, now) >= queueing_utilization &&
         state_->demand.warrants_replication(need_.adapter, replicas, now);
     if (fuller && here > 0 && (here < wanted || queues)) {
         // While its holders have room the copy waits for loads that somebody
         // waits for.
-        bool const urgent =
-            replica_selector::utilization(best, now) >= copy_crowding;
-        ask_for_copy(state_->choice.next_preferred_replica(need_, now), urgent);
+        bool const urgent = replica_selector::utilization(best, now) >=
+                            urgent_replication_utilization;
+        request_load_at(
+            state_->choice.next_preferred_replica(need_, now), urgent);
     }
 }
 
-replica* request_handler::home_for(instant now) {
+replica* request_handler::select_preferred_replica(instant now) {
     // A home that was asked stays the one while it can: the load may be under
     // way, and another would be a second one for nothing.
-    replica* const asked = state_->replicas.find(asked_);
+    replica* const asked = state_->replicas.find(load_target_);
     // One that has filled up meanwhile would be a reason to refuse.
     if (asked != nullptr && asked->accepts_requests() &&
         asked->denial(need_.adapter, now) == nullptr &&
-        asked->load() < full_load && !asked->health.suspected(now)) {
+        asked->load() < max_load && !asked->health.suspected(now)) {
         return asked;
     }
     replica* const next = state_->choice.next_preferred_replica(need_, now);
     replica const* const soonest =
         state_->choice.soonest_ready_replica(need_, now);
-    bool const all_asked = next == nullptr || homes_asked_ >= most_homes;
+    bool const all_asked = next == nullptr || load_targets_ >= max_load_targets;
     if (soonest != nullptr && all_asked) {
-        soonest_ = soonest->denial(need_.adapter, now)->ready_at - now;
+        earliest_ready_in_ =
+            soonest->denial(need_.adapter, now)->ready_at - now;
         return nullptr;
     }
     return next;
 }
 
-bool request_handler::should_hold(replica const& at, instant now) const {
+bool request_handler::should_delay(replica const& at, instant now) const {
     double const waiting = at.backlog(now);
-    return waiting > least_backlog &&
-           waiting + demand_.prompt_tokens > most_together &&
-           now < arrived_ + part_of_objective(longest_hold);
+    return waiting > min_prompt_backlog &&
+           waiting + demand_.prompt_tokens > max_prompt_backlog &&
+           now < arrived_at_ + objective_fraction(max_delay_fraction);
 }
 
-std::optional<replica*> request_handler::adapter_replica(instant now) {
-    holding_ = false;
+std::optional<replica*> request_handler::select_adapter_replica(instant now) {
+    delayed_ = false;
     std::uint32_t const newest =
         state_->versions.newest(need_.adapter).value_or(0);
     need_.min_version = newest;
@@ -169,29 +173,31 @@
         state_->versions.min_version(need_.adapter, now);
     if (best == nullptr && least < newest) {
         // The old version serves until the new one lies somewhere.
-        ask_for_copy(state_->choice.next_preferred_replica(need_, now), true);
+        request_load_at(
+            state_->choice.next_preferred_replica(need_, now), true);
         need_.min_version = least;
         best = state_->choice.best(need_, now);
     }
     bool const sound = best != nullptr && !best->health.suspected(now);
-    if (sound && best->usage_known(now) && best->load() < easy_load) {
-        want_copies(*best, now);
-        holding_ = should_hold(*best, now);
-        if (holding_) {
+    if (sound && best->usage_known(now) &&
+        best->load() < immediate_load_limit) {
+        request_additional_load(*best, now);
+        delayed_ = should_delay(*best, now);
+        if (delayed_) {
             return std::nullopt;
         }
         return best;
     }
-    replica* const home = home_for(now);
+    replica* const home = select_preferred_replica(now);
     // Where nobody is known to count, all others send blindly too. It is used
     // when there is no other.
     bool const blind = sound && !best->usage_known(now) && home != nullptr &&
                        home->usage_known(now) &&
-                       now < arrived_ + route_->objective / 2;
-    if (sound && !blind && best->load() < full_load) {
+                       now < arrived_at_ + route_->objective / 2;
+    if (sound && !blind && best->load() < max_load) {
         if (home != nullptr && home->load() < best->load() &&
-            best->load() >= copy_load) {
-            ask_for_copy(home, false);
+            best->load() >= replication_load) {
+            request_load_at(home, false);
         }
         return best;
     }
@@ -199,20 +205,20 @@
     // its load is older. When all are busy a further load would make everybody
     // late, and places come free elsewhere no sooner.
     bool const service_busy =
-        state_->choice.mean_utilization(need_.service, now) >= busy_service;
-    if (home != nullptr && (home->load() < full_load || !service_busy)) {
-        ask_for_copy(home, true);
+        state_->choice.mean_utilization(need_.service, now) >= busy_utilization;
+    if (home != nullptr && (home->load() < max_load || !service_busy)) {
+        request_load_at(home, true);
         return std::nullopt;
     }
-    if (soonest_ && home == nullptr) {
+    if (earliest_ready_in_ && home == nullptr) {
         reason_ = "load-takes-too-long";
         return nullptr;
     }
     bool const none = best == nullptr && home == nullptr;
-    if (none && awaits_entries(now)) {
+    if (none && awaits_registry_entries(now)) {
         return std::nullopt;
     }
-    if (none && now < arrived_ + route_->objective &&
+    if (none && now < arrived_at_ + route_->objective &&
         state_->choice.any_accepts_requests(need_.service)) {
         // All that lies anywhere is in use right now; some of it ends soon.
         return std::nullopt;
@@ -225,15 +231,15 @@
 // home itself, or takes its holder for absent, the denial is there before the
 // request waits, and nobody tells it again. A refusal took 300 ms for each
 // home.
-bool request_handler::denied_already(instant now) const {
-    replica const* const home = state_->replicas.find(asked_);
+bool request_handler::load_already_rejected(instant now) const {
+    replica const* const home = state_->replicas.find(load_target_);
     return home != nullptr && home->denial(need_.adapter, now) != nullptr;
 }
 
-asio::awaitable<void> request_handler::freshen_loads() {
-    auto const caller = leaving_;
+asio::awaitable<void> request_handler::refresh_utilization() {
+    auto const caller = caller_;
     instant const began = boot_clock::now();
-    instant const until = began + ask_time;
+    instant const until = began + utilization_query_timeout;
     auto const asked = messenger_->query_replica_usage(
         state_->choice.compared_replicas(need_, began), need_.adapter, began);
     auto const unanswered = [&](endpoint_id const& id) {
@@ -248,16 +254,16 @@
 }
 
 asio::awaitable<replica*> request_handler::find_replica() {
-    auto const caller = leaving_;
-    co_await freshen_loads();
+    auto const caller = caller_;
+    co_await refresh_utilization();
     instant const began = boot_clock::now();
-    search_began_ = began;
-    homes_asked_ = 0;
-    soonest_.reset();
-    asked_ = endpoint_id();
-    instant const give_up = std::min(
+    search_started_at_ = began;
+    load_targets_ = 0;
+    earliest_ready_in_.reset();
+    load_target_ = endpoint_id();
+    instant const wait_until = std::min(
         deadline_ - min_attempt_time,
-        began + part_of_objective(give_up_objectives));
+        began + objective_fraction(max_wait_objectives));
     bool waited = false;
     bool freshened = false;
     while (!caller->gone) {
@@ -266,10 +272,11 @@
             reason_ = "too-late";
             co_return nullptr;
         }
-        endpoint_id const before = asked_;
-        std::optional<replica*> const found =
-            need_.adapter.empty() ? plain_replica(now) : adapter_replica(now);
-        if (!found && asked_ != before && denied_already(now)) {
+        endpoint_id const before = load_target_;
+        std::optional<replica*> const found = need_.adapter.empty()
+                                                  ? select_plain_replica(now)
+                                                  : select_adapter_replica(now);
+        if (!found && load_target_ != before && load_already_rejected(now)) {
             continue;
         }
         if (found && (!waited || *found == nullptr || freshened)) {
@@ -280,26 +287,27 @@
         }
         if (found) {
             // All who have waited are woken at once.
-            co_await freshen_loads();
+            co_await refresh_utilization();
             freshened = true;
             continue;
         }
         freshened = false;
-        if (now >= give_up) {
+        if (now >= wait_until) {
             reason_ = "load-takes-too-long";
             co_return nullptr;
         }
-        if (!waited && !holding_) {
+        if (!waited && !delayed_) {
             state_->log_event(log_line(event_code::request_waits)
                                   .with("id", demand_.id.str())
                                   .with("adapter", need_.adapter.str())
-                                  .with("at", asked_.str()));
+                                  .with("at", load_target_.str()));
         }
-        waited = waited || !holding_;
+        waited = waited || !delayed_;
         adapter_id adapter = need_.adapter;
-        instant const look = holding_ ? now + hold_look : now + want_again;
+        instant const look =
+            delayed_ ? now + delay_poll_interval : now + load_request_interval;
         co_await state_->waiters.wait(
-            std::move(adapter), std::min(give_up, look));
+            std::move(adapter), std::min(wait_until, look));
     }
     reason_ = "caller-gone";
     co_return nullptr;
