--- a/test/gateway/raw_answers_test.cpp
+++ b/test/gateway/raw_answers_test.cpp
@@ -43,7 +43,7 @@
 enum class after_answer : std::uint8_t { closes, resets, stays };
 
 /// One answer, as it goes over the wire. "{id}" stands for the request's id.
-struct literal_answer {
+struct raw_answer {
     std::string text;
     after_answer ending = after_answer::closes;
     /// Bytes that are written at a time.
@@ -51,7 +51,7 @@
     /// Between pieces.
     milliseconds pause{0};
     /// Bytes that are written before the text, once the request has come.
-    std::string stray = {};
+    std::string prefix = {};
 };
 
 std::string field_of(std::string_view head, std::string_view name) {
@@ -113,20 +113,20 @@
 
 /// Replicas, all at one address, that answer word for word as a script says;
 /// beyond it each goes on behind Last-Event-Id.
-class literal_replica {
+class raw_replica {
 public:
-    explicit literal_replica(loopback& loop)
+    explicit raw_replica(loopback& loop)
         : loop_(&loop)
         , acceptor_(
               loop.io(), tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
         asio::co_spawn(loop.io(), accept_all(), asio::detached);
     }
-    ~literal_replica() {
+    ~raw_replica() {
         acceptor_.close();
         loop_->io().poll();
     }
-    literal_replica(literal_replica const&) = delete;
-    literal_replica& operator=(literal_replica const&) = delete;
+    raw_replica(raw_replica const&) = delete;
+    raw_replica& operator=(raw_replica const&) = delete;
 
     std::string entry() const {
         return fmt::format(
@@ -136,15 +136,16 @@
             acceptor_.local_endpoint().port());
     }
 
-    std::deque<literal_answer> script;
+    std::deque<raw_answer> script;
     /// What comes when the script is over, in place of a whole stream.
-    std::function<std::string(unsigned after)> otherwise = [](unsigned after) {
-        return chunked(events(after + 1, stream_events));
-    };
+    std::function<std::string(unsigned after)> default_answer =
+        [](unsigned after) {
+            return chunked(events(after + 1, stream_events));
+        };
     /// Last-Event-Id of each request, as it came.
     std::vector<std::string> last_event_ids;
     /// Connections that the node has ended while an answer was being written.
-    unsigned broken_off = 0;
+    unsigned aborted_writes = 0;
 
 private:
     asio::awaitable<void> accept_all() {
@@ -157,15 +158,15 @@
         }
     }
 
-    literal_answer next(std::string const& last) {
+    raw_answer next(std::string const& last) {
         if (!script.empty()) {
-            literal_answer answer = std::move(script.front());
+            raw_answer answer = std::move(script.front());
             script.pop_front();
             return answer;
         }
         unsigned after = 0;
         std::from_chars(last.data(), last.data() + last.size(), after);
-        return {otherwise(after), after_answer::closes};
+        return {default_answer(after), after_answer::closes};
     }
 
     asio::awaitable<bool> write(
@@ -178,7 +179,7 @@
             auto const [error, size] = co_await asio::async_write(
                 socket, asio::buffer(part.data(), part.size()), use_result);
             if (error) {
-                ++broken_off;
+                ++aborted_writes;
                 co_return false;
             }
             rest.remove_prefix(part.size());
@@ -204,9 +205,9 @@
             read.erase(0, size);
             std::string const last = field_of(request, "Last-Event-Id: ");
             last_event_ids.push_back(last);
-            literal_answer const answer = next(last);
+            raw_answer const answer = next(last);
             std::string text =
-                answer.stray +
+                answer.prefix +
                 with_id(answer.text, field_of(request, "X-Request-Id: "));
             bool const written = co_await write(
                 socket, std::move(text), answer.piece, answer.pause);
@@ -230,9 +231,9 @@
 /// One node before them. Paths below /runs/ may be resumed and allow as many
 /// runs as there are replicas, those below /alone/ may be resumed by the client
 /// only, those below /bare/ not at all.
-class literal_world {
+class raw_fixture {
 public:
-    explicit literal_world(
+    explicit raw_fixture(
         unsigned listed = replicas,
         milliseconds stop_limit = milliseconds(4'000))
         : world([stop_limit](gateway_fixture& before) {
@@ -302,7 +303,7 @@
     }
 
     gateway_fixture world;
-    literal_replica replica;
+    raw_replica replica;
 
 private:
     unsigned asked_ = 0;
@@ -321,8 +322,8 @@
     got = co_await testing::read_until(socket, std::move(until));
 }
 
-std::deque<literal_answer> script_of(std::vector<std::string> texts) {
-    std::deque<literal_answer> script;
+std::deque<raw_answer> script_of(std::vector<std::string> texts) {
+    std::deque<raw_answer> script;
     for (std::string& each : texts) {
         script.push_back({std::move(each)});
     }
@@ -334,12 +335,12 @@
 // Guards against an event joined from two runs as the last one of a stream that
 // its client has resumed: the stream would end as complete without it.
 TEST_CASE("a run's half event ends with its run where the client has resumed") {
-    literal_world world;
+    raw_fixture world;
     for (unsigned after = 1; after < stream_events; ++after) {
-        std::string const due = event(after + 1);
-        for (std::size_t bytes = 0; bytes < due.size(); ++bytes) {
+        std::string const expected = event(after + 1);
+        for (std::size_t bytes = 0; bytes < expected.size(); ++bytes) {
             world.replica.script =
-                script_of({chunked_and_cut(due.substr(0, bytes))});
+                script_of({chunked_and_cut(expected.substr(0, bytes))});
             auto const answer = world.ask("runs", std::to_string(after));
             INFO("after " << after << ", cut after " << bytes);
             CHECK(answer.response.body == events(after + 1, stream_events));
@@ -355,16 +356,16 @@
         return unframed(events(after + 1, stream_events));
     };
     SUBCASE("the node may resume it") {
-        literal_world world;
-        world.replica.otherwise = no_length;
+        raw_fixture world;
+        world.replica.default_answer = no_length;
         auto const answer = world.ask("runs");
         CHECK(answer.response.body == events(1, stream_events));
         CHECK(complete(answer));
     }
     SUBCASE("its client resumes it as often as it likes") {
         constexpr unsigned most = 4;
-        literal_world world;
-        world.replica.otherwise = no_length;
+        raw_fixture world;
+        world.replica.default_answer = no_length;
         auto answer = world.ask("alone");
         for (unsigned each = 0; each < most && !complete(answer); ++each) {
             answer = world.ask("alone", std::to_string(stream_events));
@@ -372,8 +373,8 @@
         CHECK(complete(answer));
     }
     SUBCASE("there is one replica") {
-        literal_world world(1);
-        world.replica.otherwise = no_length;
+        raw_fixture world(1);
+        world.replica.default_answer = no_length;
         CHECK(complete(world.ask("runs")));
     }
 }
@@ -381,11 +382,11 @@
 // Guards against a content that is run nowhere for an hour, though none of its
 // replicas has ended: they sent an event that the node does not place.
 TEST_CASE("an event that can't be placed is no replica's end") {
-    literal_world world;
+    raw_fixture world;
     auto const done = [](unsigned after) {
         return chunked(events(after + 1, stream_events) + "data: [DONE]\n\n");
     };
-    world.replica.otherwise = done;
+    world.replica.default_answer = done;
     world.ask_at("/runs/same");
     std::size_t const runs = world.replica.last_event_ids.size();
     world.ask_at("/runs/same");
@@ -395,9 +396,9 @@
 // Guards against a stream that breaks off at what is no event to its client:
 // source as attempt_stream's, a block without data is not dispatched.
 TEST_CASE("a block without data has no number and needs none") {
-    literal_world world;
+    raw_fixture world;
     std::string const body = "retry: 1000\n\n" + events(1, stream_events);
-    world.replica.otherwise = [&](unsigned) {
+    world.replica.default_answer = [&](unsigned) {
         return chunked(body);
     };
     SUBCASE("before the first event") {
@@ -415,9 +416,9 @@
 // Guards against a stream that is cut for an event without number although
 // nothing will be joined to it.
 TEST_CASE("a stream that may not be resumed passes as its run made it") {
-    literal_world world;
+    raw_fixture world;
     std::string const body = events(1, stream_events) + "data: [DONE]\n\n";
-    world.replica.otherwise = [&](unsigned) {
+    world.replica.default_answer = [&](unsigned) {
         return chunked(body);
     };
     auto const answer = world.ask("bare");
@@ -428,7 +429,7 @@
 // Guards against events of another request's run, whose answer comes late on a
 // kept connection.
 TEST_CASE("an extra answer on a kept connection is not handed on") {
-    literal_world world;
+    raw_fixture world;
     std::string const foreign = chunk("id: 1\ndata: foreign\n\n");
     std::string extra = "HTTP/1.1 200 Any\r\nX-Response-Signature: signed\r\n";
     SUBCASE("with its id") {
@@ -450,7 +451,7 @@
 // resumed answer, for a number that the client may send.
 TEST_CASE("a large Last-Event-Id is a position like any other") {
     constexpr std::uint64_t large = 5'000'000'000;
-    literal_world world;
+    raw_fixture world;
     std::string const whole = chunked(events(large + 1, large + 2));
     SUBCASE("a gap behind it") {
         world.replica.script = script_of({chunked(event(large + 2)), whole});
@@ -465,7 +466,7 @@
 // Guards against a stream that ends as complete although a part of a further
 // event has come.
 TEST_CASE("a run without events does not complete behind a half event") {
-    literal_world world;
+    raw_fixture world;
     std::string const begun = events(1, 2) + "id: 3\ndata";
     std::string empty;
     SUBCASE("no content") {
@@ -482,7 +483,7 @@
 
 // Guards against bytes of the framing in an event, or an event lost to it.
 TEST_CASE("chunks may be cut anywhere and bear extensions and trailers") {
-    literal_world world;
+    raw_fixture world;
     std::string body;
     for (unsigned each = 1; each <= stream_events; ++each) {
         body += fmt::format("id: {0}\r\ndata: w{0}\r\n\r\n", each);
@@ -504,7 +505,7 @@
         for (std::size_t cut = 0; cut < text.size(); cut += 11) {
             world.replica.script = {
                 {text.substr(0, cut), after_answer::closes}};
-            world.replica.otherwise = [&](unsigned after) {
+            world.replica.default_answer = [&](unsigned after) {
                 std::size_t const one = body.size() / stream_events;
                 return chunked(std::string_view(body).substr(after * one));
             };
@@ -519,7 +520,7 @@
 // Guards against a stream that ends as complete where its framing says that
 // more is to come.
 TEST_CASE("a body that is shorter than its framing says is not whole") {
-    literal_world world;
+    raw_fixture world;
     std::string const part = events(1, 2);
     std::string cut;
     SUBCASE("its length") {
@@ -547,7 +548,7 @@
 // Guards against a half event at the end of a body that is framed as whole, or
 // that ends with its connection: its stream would end as complete.
 TEST_CASE("a body that ends in the middle of an event is not whole") {
-    literal_world world;
+    raw_fixture world;
     std::string const part = events(1, 2) + "id: 3\nda";
     std::string text = chunked(part);
     std::string_view route = "bare";
@@ -567,7 +568,7 @@
 // Guards against a run more, which nothing could be joined to, for a stream
 // without numbers that ends with its connection.
 TEST_CASE("a connection's end completes a stream without numbers") {
-    literal_world world;
+    raw_fixture world;
     std::string const body = "data: a\n\ndata: b\n\n";
     world.replica.script = script_of({unframed(body)});
     auto const answer = world.ask("runs");
@@ -579,7 +580,7 @@
 // Guards against an answer that is written into another, or a stream that ends
 // for a replica that has not run it.
 TEST_CASE("a stream goes on behind a replica that does not run it") {
-    literal_world world;
+    raw_fixture world;
     std::string not_run;
     SUBCASE("another one has its address") {
         not_run = head("Content-Length: 2\r\n", 421) + "no";
@@ -608,7 +609,7 @@
 // Guards against a half event, or an end as complete, where the time is over.
 TEST_CASE("a stream whose time ends in the middle of an event is cut") {
     constexpr unsigned deadline = 300;
-    literal_world world;
+    raw_fixture world;
     std::string const text = chunked_and_cut(event(1) + "id: 2\ndata");
     SUBCASE("its replica falls silent") {
         world.replica.script = {{text, after_answer::stays}};
@@ -629,7 +630,7 @@
 
 // Guards against repeated events of a replica that goes on from the start.
 TEST_CASE("events before Last-Event-Id are not repeated") {
-    literal_world world;
+    raw_fixture world;
     std::string const whole = chunked(events(1, stream_events));
     for (unsigned after = 0; after <= stream_events; ++after) {
         world.replica.script = script_of({whole});
@@ -648,9 +649,9 @@
 // Guards against an event with a number that can't be read, that rises by more
 // than one, or that is one of several.
 TEST_CASE("an event has the number of its last id line") {
-    literal_world world;
+    raw_fixture world;
     std::string second;
-    bool placed = true;
+    bool accepted = true;
     SUBCASE("of two") {
         second = "id: 9\nid: 2\ndata: w2\n\n";
     }
@@ -662,31 +663,31 @@
     }
     SUBCASE("with a blank behind it") {
         second = "id: 2 \ndata: w2\n\n";
-        placed = false;
+        accepted = false;
     }
     SUBCASE("negative") {
         second = "id: -2\ndata: w2\n\n";
-        placed = false;
+        accepted = false;
     }
     SUBCASE("too large") {
         second = "id: 18446744073709551618\ndata: w2\n\n";
-        placed = false;
+        accepted = false;
     }
     SUBCASE("the last one is none") {
         second = "id: 2\nid: two\ndata: w2\n\n";
-        placed = false;
+        accepted = false;
     }
     std::string const text = event(1) + second + events(3, stream_events);
     world.replica.script = script_of({chunked(text)});
     auto const answer = world.ask("runs");
-    CHECK(answer.response.body == (placed ? text : events(1, stream_events)));
+    CHECK(answer.response.body == (accepted ? text : events(1, stream_events)));
     CHECK(complete(answer));
 }
 
 // Guards against an answer of one request in that of the next on the same
 // connection, and against an answer behind one that was cut.
 TEST_CASE("two requests on one connection have an answer each") {
-    literal_world world;
+    raw_fixture world;
     std::string const cut = chunked_and_cut(events(1, 2) + "id: 3\nd");
     bool both = true;
     std::string path = "/runs/";
@@ -722,7 +723,7 @@
 // Guards against a run that goes on for a caller that has left, and against
 // state that it leaves to others.
 TEST_CASE("a caller that leaves in the middle ends its run") {
-    literal_world world;
+    raw_fixture world;
     std::string slow = head(chunked_field);
     for (unsigned each = 1; each <= 200; ++each) {
         slow += chunk(event(each));
@@ -737,7 +738,7 @@
             "id: 2\n", got);
     });
     CHECK(world.world.loop.run_until(
-        [&] { return world.replica.broken_off == 1; }));
+        [&] { return world.replica.aborted_writes == 1; }));
     CHECK(world.replica.last_event_ids.size() == 1);
     auto const answer = world.ask("runs");
     CHECK(answer.response.body == events(1, stream_events));
@@ -758,7 +759,7 @@
         in_time = false;
         limit = milliseconds(300);
     }
-    literal_world world(replicas, limit);
+    raw_fixture world(replicas, limit);
     world.replica.script = {{slow, after_answer::closes, 20, milliseconds(60)}};
     std::optional<fetch_result> answer;
     asio::co_spawn(
@@ -778,7 +779,7 @@
 // Guards against a stream that is cut, or joined by other rules, where a
 // configuration comes while it runs.
 TEST_CASE("a stream that has begun keeps its route") {
-    literal_world world;
+    raw_fixture world;
     std::string const part = chunked_and_cut(event(1) + "id: 2\nda");
     world.replica.script = {
         {part, after_answer::closes, part.size() / 4, milliseconds(40)}};
@@ -794,7 +795,7 @@
         world.world.configure(3);
     }
     SUBCASE("the route is resumed no more") {
-        world.world.configure(3, literal_world::route("runs", 1, false));
+        world.world.configure(3, raw_fixture::route("runs", 1, false));
     }
     REQUIRE(world.world.loop.run_until(
         [&] { return world.world.node->configuration_version() == 3; }));
--- a/test/gateway/resends_test.cpp
+++ b/test/gateway/resends_test.cpp
@@ -18,17 +18,17 @@
 namespace {
 
 /// Enough for one second send in a window.
-void allow_one(gateway_fixture& before) {
+void allow_one_resend(gateway_fixture& before) {
     before.settings.resends.ratio = 0;
     before.settings.resends.slack = 1.2;
 }
 
 /// A node that may send once more in a window, before a plain service with one
 /// replica.
-class budget_world {
+class budget_fixture {
 public:
-    budget_world()
-        : world_(allow_one) {
+    budget_fixture()
+        : world_(allow_one_resend) {
         REQUIRE(world_.loop.run_until([this] { return world_.node->ready(); }));
     }
 
@@ -41,7 +41,7 @@
     }
     /// Sends a request whose answer each replica loses.
     /// @returns how often it has run
-    unsigned runs_of_lost(std::string const& id) {
+    unsigned executions_of_lost(std::string const& id) {
         world_.plain.engine.faults = {replica_fault::answer_lost};
         other_->engine.faults = {replica_fault::answer_lost};
         world_.ask("/look/b", "", id);
@@ -60,12 +60,12 @@
 } // namespace
 
 TEST_CASE("a second send counts when it is made") {
-    budget_world test;
+    budget_fixture test;
 
     SUBCASE("one is made, and no more in the window") {
         test.add_replica();
-        CHECK(test.runs_of_lost("q1") == 2);
-        CHECK(test.runs_of_lost("q2") == 1);
+        CHECK(test.executions_of_lost("q1") == 2);
+        CHECK(test.executions_of_lost("q2") == 1);
     }
     // All replicas of a service are full for a while. Requests that no other
     // replica took would use up what those need whose answer is lost.
@@ -77,7 +77,7 @@
             CHECK(got.response.status == 503);
         }
         test.add_replica();
-        CHECK(test.runs_of_lost("lost") == 2);
+        CHECK(test.executions_of_lost("lost") == 2);
     }
     // A replica has ended and is still listed. The request that has not reached
     // it would draw a second time for the next one.
@@ -90,7 +90,7 @@
             return test.world().node->knows_replica(endpoint_id("p3"));
         }));
         gone->server.close();
-        CHECK(test.runs_of_lost("lost") == 2);
+        CHECK(test.executions_of_lost("lost") == 2);
     }
 }
 
--- a/test/gateway/slow_link_test.cpp
+++ b/test/gateway/slow_link_test.cpp
@@ -23,26 +23,26 @@
 constexpr std::size_t large = 500'000;
 
 /// Another node that says again and again how far it has read.
-class telling_node {
+class reporting_node {
 public:
-    telling_node(gateway_fixture& world, std::uint64_t place)
+    reporting_node(gateway_fixture& world, std::uint64_t place)
         : world_(&world)
         , link_(world.loop.executor(), [](std::string const&) {})
         , timer_(world.loop.io()) {
         REQUIRE(link_.listen(testing::local(0)).empty());
-        told_.present = true;
-        told_.declared_position = {store_epoch{}, place};
-        told_.from = "127.0.0.1:" + std::to_string(link_.port());
-        tell();
+        report_.present = true;
+        report_.declared_position = {store_epoch{}, place};
+        report_.from = "127.0.0.1:" + std::to_string(link_.port());
+        send_report();
     }
 
 private:
-    void tell() {
-        link_.send(world_->settings.peer_address, encode(told_));
+    void send_report() {
+        link_.send(world_->settings.peer_address, encode(report_));
         timer_.expires_after(milliseconds(100));
         timer_.async_wait([this](boost::system::error_code const& error) {
             if (!error) {
-                tell();
+                send_report();
             }
         });
     }
@@ -50,10 +50,10 @@
     gateway_fixture* world_;
     probe_link link_;
     boost::asio::steady_timer timer_;
-    peer_datagram told_;
+    peer_datagram report_;
 };
 
-bool in_force(gateway_fixture& world, std::uint64_t version) {
+bool reaches_version(gateway_fixture& world, std::uint64_t version) {
     return world.loop.run_until(
         [&] { return world.node->configuration_version() == version; });
 }
@@ -73,7 +73,7 @@
             before.configure(2, gateway_fixture::routes_of(large));
             before.metadata.bytes_per_second = slow;
         });
-        CHECK(in_force(world, 2));
+        CHECK(reaches_version(world, 2));
         CHECK(world.ask("/more7/x").response.status == 200);
     }
     SUBCASE("a node whose place in the history is forgotten reads it") {
@@ -81,15 +81,15 @@
         world.metadata.bytes_per_second = slow;
         world.configure(2, gateway_fixture::routes_of(large));
         world.metadata.store().forget("keyed.op");
-        CHECK(in_force(world, 2));
+        CHECK(reaches_version(world, 2));
     }
     SUBCASE("word that others have read it brings it once, not twice") {
         gateway_fixture world;
         std::uint64_t const end = world.metadata.store().end("keyed.op");
         world.metadata.bytes_per_second = slow;
-        telling_node const other(world, end + 1);
+        reporting_node const other(world, end + 1);
         world.configure(2, gateway_fixture::routes_of(large));
-        CHECK(in_force(world, 2));
+        CHECK(reaches_version(world, 2));
         CHECK(world.metadata.bytes_sent < large * 3 / 2);
     }
 }
--- a/test/gateway/stream_attempts_test.cpp
+++ b/test/gateway/stream_attempts_test.cpp
@@ -28,9 +28,9 @@
 /// /runs/ may be resumed and allow as many runs as there are replicas, those
 /// below /alone/ may be resumed by the client only, those below /once/ not at
 /// all.
-class stream_world {
+class stream_fixture {
 public:
-    stream_world()
+    stream_fixture()
         : world_([](gateway_fixture& before) {
             before.settings.resends.slack = 1e6;
         })
@@ -86,15 +86,15 @@
 };
 
 /// What a client has of one stream, over all its requests for it.
-class client_stream {
+class caller_stream {
 public:
     /// @param after the last event that it has already, 0 for none
-    explicit client_stream(unsigned after = 0)
+    explicit caller_stream(unsigned after = 0)
         : last_(after) {}
 
     /// Takes an answer, whole or cut.
     /// @param runs how many runs there were so far
-    void take(fetch_result const& answer, std::size_t runs) {
+    void add_answer(fetch_result const& answer, std::size_t runs) {
         std::string_view rest = answer.response.body;
         while (!rest.empty()) {
             std::size_t const end = rest.find("\n\n");
@@ -102,7 +102,7 @@
                 problem_ += fmt::format("half event '{}'; ", rest);
                 break;
             }
-            take_event(rest.substr(0, end + 2), runs);
+            add_event(rest.substr(0, end + 2), runs);
             rest.remove_prefix(end + 2);
         }
         complete_ = answer.how == call_result::answered &&
@@ -118,12 +118,12 @@
     bool complete() const noexcept { return complete_; }
 
 private:
-    void take_event(std::string_view event, std::size_t runs) {
-        bool made = false;
+    void add_event(std::string_view event, std::size_t runs) {
+        bool known = false;
         for (std::size_t run = 1; run <= runs; ++run) {
-            made = made || event == scripted_replica::event(run, last_ + 1);
+            known = known || event == scripted_replica::event(run, last_ + 1);
         }
-        if (!made) {
+        if (!known) {
             problem_ += fmt::format("'{}' after {}; ", event, last_);
         }
         ++last_;
@@ -150,31 +150,31 @@
 
 /// Plays one request over scripted runs; its client takes what comes.
 /// @param after the last event that the client has, 0 for none
-client_stream play(
-    stream_world& world, std::deque<scripted_attempt> runs,
+caller_stream send_request(
+    stream_fixture& world, std::deque<scripted_attempt> runs,
     std::string_view path, unsigned after = 0) {
     world.replica().last_event_ids.clear();
     world.replica().script = std::move(runs);
-    client_stream client(after);
+    caller_stream caller(after);
     auto const answer = world.ask(path, 0, after);
-    client.take(answer, world.replica().last_event_ids.size());
-    return client;
+    caller.add_answer(answer, world.replica().last_event_ids.size());
+    return caller;
 }
 
 /// Plays a stream that its client resumes, by turns at each node.
-client_stream
-play_resumed(stream_world& world, std::deque<scripted_attempt> runs) {
+caller_stream
+send_and_resume(stream_fixture& world, std::deque<scripted_attempt> runs) {
     constexpr std::size_t nodes = 2;
     constexpr std::size_t most_requests = 4;
     world.replica().last_event_ids.clear();
     world.replica().script = std::move(runs);
-    client_stream client;
-    for (std::size_t each = 0; each < most_requests && !client.complete();
+    caller_stream caller;
+    for (std::size_t each = 0; each < most_requests && !caller.complete();
          ++each) {
-        auto const answer = world.ask("alone", each % nodes, client.last());
-        client.take(answer, world.replica().last_event_ids.size());
+        auto const answer = world.ask("alone", each % nodes, caller.last());
+        caller.add_answer(answer, world.replica().last_event_ids.size());
     }
-    return client;
+    return caller;
 }
 
 } // namespace
@@ -182,18 +182,18 @@
 // Guards against an event joined from the half event of a run that has ended
 // and an event of the next run.
 TEST_CASE("a run's half event ends with its run") {
-    stream_world world;
+    stream_fixture world;
     std::size_t const whole = body_bytes(stream_events);
 
     SUBCASE("whichever byte was its last") {
         for (std::size_t const piece :
              {scripted_attempt::all, std::size_t{1}}) {
             for (std::size_t bytes = 0; bytes < whole; ++bytes) {
-                auto const client =
-                    play(world, {cut_after(bytes, piece)}, "runs");
+                auto const caller =
+                    send_request(world, {cut_after(bytes, piece)}, "runs");
                 INFO("cut after " << bytes << ", pieces of " << piece);
-                CHECK(client.problem() == "");
-                CHECK(client.complete());
+                CHECK(caller.problem() == "");
+                CHECK(caller.complete());
             }
         }
     }
@@ -203,22 +203,22 @@
         for (std::size_t bytes = 0; bytes < whole; ++bytes) {
             std::size_t const left = whole - bytes / event * event;
             for (std::size_t more = bytes % step; more < left; more += step) {
-                auto const client =
-                    play(world, {cut_after(bytes), cut_after(more)}, "runs");
+                auto const caller = send_request(
+                    world, {cut_after(bytes), cut_after(more)}, "runs");
                 INFO("cut after " << bytes << " and " << more);
-                CHECK(client.problem() == "");
-                CHECK(client.complete());
+                CHECK(caller.problem() == "");
+                CHECK(caller.complete());
             }
         }
     }
     SUBCASE("where its connection was reset") {
         constexpr std::size_t step = 6;
         for (std::size_t bytes = 1; bytes < whole; bytes += step) {
-            auto const client = play(
+            auto const caller = send_request(
                 world, {cut_after(bytes, 1, disconnect_kind::reset)}, "runs");
             INFO("cut after " << bytes);
-            CHECK(client.problem() == "");
-            CHECK(client.complete());
+            CHECK(caller.problem() == "");
+            CHECK(caller.complete());
         }
     }
     SUBCASE("where the client goes on at another node") {
@@ -227,11 +227,11 @@
         for (std::size_t bytes = 0; bytes < whole; ++bytes) {
             std::size_t const left = whole - bytes / event * event;
             for (std::size_t more = bytes % step; more < left; more += step) {
-                auto const client =
-                    play_resumed(world, {cut_after(bytes), cut_after(more, 1)});
+                auto const caller = send_and_resume(
+                    world, {cut_after(bytes), cut_after(more, 1)});
                 INFO("cut after " << bytes << " and " << more);
-                CHECK(client.problem() == "");
-                CHECK(client.complete());
+                CHECK(caller.problem() == "");
+                CHECK(caller.complete());
             }
         }
     }
@@ -240,93 +240,94 @@
 // Guards against an event that counts as handed on although it was dropped with
 // one that could not be joined.
 TEST_CASE("events before one that can't be joined are handed on") {
-    stream_world world;
+    stream_fixture world;
     scripted_attempt gap;
     gap.skipped = {3};
-    auto const client = play(world, {cut_after(body_bytes(1)), gap}, "runs");
-    CHECK(client.problem() == "");
-    CHECK(client.complete());
+    auto const caller =
+        send_request(world, {cut_after(body_bytes(1)), gap}, "runs");
+    CHECK(caller.problem() == "");
+    CHECK(caller.complete());
 }
 
 // Guards against a gap between what a client has and the first event of the
 // answer to its resumption.
 TEST_CASE("a resumed answer begins with the next event") {
-    stream_world world;
+    stream_fixture world;
     scripted_attempt gap;
     gap.skipped = {2};
     SUBCASE("at the node that the client asks") {
-        auto const client = play(world, {gap}, "runs", 1);
-        CHECK(client.problem() == "");
-        CHECK(client.complete());
+        auto const caller = send_request(world, {gap}, "runs", 1);
+        CHECK(caller.problem() == "");
+        CHECK(caller.complete());
     }
     SUBCASE("after a run that ended before its first event") {
-        auto const client = play(world, {cut_after(0), gap}, "runs", 1);
-        CHECK(client.problem() == "");
-        CHECK(client.complete());
+        auto const caller = send_request(world, {cut_after(0), gap}, "runs", 1);
+        CHECK(caller.problem() == "");
+        CHECK(caller.complete());
     }
 }
 
 // Guards against a stream that ends as complete although a part of a further
 // event has come.
 TEST_CASE("an empty run does not complete a stream behind a half event") {
-    stream_world world;
+    stream_fixture world;
     scripted_attempt empty;
     empty.skipped = {3, 4};
     std::deque<scripted_attempt> runs(replicas, empty);
     runs.front() = cut_after(body_bytes(2) + 1);
-    auto const client = play(world, runs, "runs");
-    CHECK(client.problem() == "");
-    CHECK_FALSE(client.complete());
+    auto const caller = send_request(world, runs, "runs");
+    CHECK(caller.problem() == "");
+    CHECK_FALSE(caller.complete());
 }
 
 // Guards against an event that can't be placed: it would be handed on twice, or
 // hide one that is missing.
 TEST_CASE("an event without a number has no place in a stream that has them") {
-    stream_world world;
+    stream_fixture world;
     scripted_attempt spoiled;
 
     SUBCASE("the run is given up before it") {
         spoiled.unnumbered = {2};
-        auto const client = play(world, {spoiled}, "runs");
-        CHECK(client.problem() == "");
-        CHECK(client.complete());
+        auto const caller = send_request(world, {spoiled}, "runs");
+        CHECK(caller.problem() == "");
+        CHECK(caller.complete());
     }
     SUBCASE("a stream without numbers is not resumed") {
         spoiled.unnumbered = {1, 2, 3, 4};
         spoiled.bytes = body_bytes(2);
         spoiled.cut = disconnect_kind::closed;
-        auto const client = play(world, {spoiled}, "runs");
-        CHECK_FALSE(client.complete());
+        auto const caller = send_request(world, {spoiled}, "runs");
+        CHECK_FALSE(caller.complete());
         CHECK(world.replica().last_event_ids.size() == 1);
     }
 }
 
 // Guards against a second head inside an answer that has begun.
 TEST_CASE("a refusal of a resumed run is not written into the answer") {
-    stream_world world;
+    stream_fixture world;
     scripted_attempt refused;
     refused.status = 404;
 
     SUBCASE("another replica goes on") {
-        auto const client =
-            play(world, {cut_after(body_bytes(1)), refused}, "runs");
-        CHECK(client.problem() == "");
-        CHECK(client.complete());
+        auto const caller =
+            send_request(world, {cut_after(body_bytes(1)), refused}, "runs");
+        CHECK(caller.problem() == "");
+        CHECK(caller.complete());
     }
     SUBCASE("the stream ends as cut when all refuse") {
         std::deque<scripted_attempt> runs(replicas, refused);
         runs.front() = cut_after(body_bytes(2));
-        auto const client = play(world, runs, "runs");
-        CHECK(client.problem() == "");
-        CHECK(client.last() == 2);
-        CHECK_FALSE(client.complete());
+        auto const caller = send_request(world, runs, "runs");
+        CHECK(caller.problem() == "");
+        CHECK(caller.last() == 2);
+        CHECK_FALSE(caller.complete());
     }
 }
 
 // Guards against a stream that ends as complete where its run's connection has
 // ended between two events.
 TEST_CASE("a connection's end does not complete a stream that may be resumed") {
-    stream_world world;
+    stream_fixture world;
     scripted_attempt unframed;
     unframed.framing = body_framing::connection;
     unframed.cut = disconnect_kind::closed;
@@ -334,42 +335,42 @@
     SUBCASE("it goes on elsewhere") {
         for (unsigned events = 0; events <= stream_events; ++events) {
             unframed.bytes = body_bytes(events);
-            auto const client = play(world, {unframed}, "runs");
+            auto const caller = send_request(world, {unframed}, "runs");
             INFO("ended after " << events);
-            CHECK(client.problem() == "");
-            CHECK(client.complete());
+            CHECK(caller.problem() == "");
+            CHECK(caller.complete());
         }
     }
     SUBCASE("its client resumes it where the node may not") {
         for (unsigned events = 0; events <= stream_events; ++events) {
             unframed.bytes = body_bytes(events);
-            auto const client = play_resumed(world, {unframed});
+            auto const caller = send_and_resume(world, {unframed});
             INFO("ended after " << events);
-            CHECK(client.problem() == "");
-            CHECK(client.complete());
+            CHECK(caller.problem() == "");
+            CHECK(caller.complete());
         }
     }
     SUBCASE("it ends where no replica tells lengths") {
         std::deque<scripted_attempt> const runs(replicas, unframed);
-        CHECK(play(world, runs, "runs").complete());
-        CHECK(play_resumed(world, runs).complete());
+        CHECK(send_request(world, runs, "runs").complete());
+        CHECK(send_and_resume(world, runs).complete());
     }
     SUBCASE("one that may not be resumed is taken at the protocol's word") {
-        CHECK(play(world, {unframed}, "bare").complete());
+        CHECK(send_request(world, {unframed}, "bare").complete());
     }
     SUBCASE("a reset completes nothing") {
         unframed.bytes = body_bytes(2);
         unframed.cut = disconnect_kind::reset;
-        auto const client = play(world, {unframed}, "bare");
-        CHECK(client.problem() == "");
-        CHECK_FALSE(client.complete());
+        auto const caller = send_request(world, {unframed}, "bare");
+        CHECK(caller.problem() == "");
+        CHECK_FALSE(caller.complete());
     }
 }
 
 // Guards against a content that is held for an hour as one that ends replicas,
 // though all of them answered.
 TEST_CASE("a replica that answers amiss has not ended") {
-    stream_world world;
+    stream_fixture world;
     scripted_attempt amiss;
     SUBCASE("without its signature") {
         amiss.is_signed = false;
