--- a/src/Gateway/command_times.hpp
+++ b/src/Gateway/command_times.hpp
@@ -7,19 +7,20 @@
 
 namespace camphorpoint {
 
-/// A replica answers an order within a few milliseconds. One without answer is
-/// given again, so nothing is lost by a short wait. With 700 ms replicas that
-/// leave half of their orders unanswered took one a second, while hundreds of
+/// Time-out of a command to a replica. A replica answers within a few
+/// milliseconds, and a command without an answer is sent again, so a short
+/// time-out loses nothing. With 700 ms, replicas that left half of their
+/// commands unanswered accepted one command per second, while hundreds of
 /// requests waited for loads.
 inline constexpr std::chrono::milliseconds command_timeout{200};
 
-/// Times of the call that carries an order.
-/// Guards against a holder that is suspended while it connects to the replica:
-/// it wakes after another has taken over, and its order would leave on a lapsed
-/// lease, which only replicas that check fencing numbers refuse. The call looks
-/// at the time again right before its first byte.
-/// @param leases by which the order is given
-/// @returns the times; nothing is sent after the lease has ended
+/// Time limits of a call that carries a command. They guard against a lease
+/// holder that is suspended while it connects to the replica: it resumes after
+/// another node has taken over, and its command would be sent under an expired
+/// lease, which only replicas that check fencing tokens refuse. The call checks
+/// the time again right before its first byte.
+/// @param leases the leases under which the command is given
+/// @returns the limits; nothing is sent after the lease has expired
 inline call_times command_times(partition_leases const& leases) {
     call_times times;
     times.each_step = command_timeout;
--- a/src/Gateway/gateway.cpp
+++ b/src/Gateway/gateway.cpp
@@ -18,10 +18,11 @@
 namespace {
 
 constexpr auto use_result = asio::as_tuple(asio::use_awaitable);
-/// Log lines wait no longer than this for their writing.
+/// Buffered log lines are written at this interval.
 constexpr milliseconds tick_interval{100};
 
-/// What is left of a stop's limit for closing and ending.
+/// Part of the stop limit that is reserved for closing connections and stopping
+/// the services.
 constexpr milliseconds shutdown_reserve{400};
 
 http_limits default_limits() {
@@ -182,7 +183,8 @@
 void gateway::log_if_ready() {
     if (!ready_logged_ && ready()) {
         ready_logged_ = true;
-        // Less than was told: what others know was not to be had in time.
+        // A declared total below the total reported by other nodes (`told`)
+        // means that their declarations could not be read in time.
         state_.log_event(log_line(event_code::gateway_ready)
                              .with("version", limits_version_)
                              .with("declared", state_.declared_total())
@@ -227,8 +229,8 @@
     instant const limit = began + state_.settings.stop_limit - shutdown_reserve;
     asio::steady_timer timer(*io_, state_.settings.stop_accepts);
     co_await timer.async_wait(use_result);
-    // Who comes now must see at once that nobody serves here: a request that
-    // is read late in the stop would be cut off by its end.
+    // New callers must see at once that this node no longer serves: a request
+    // that is read late in the shutdown would be cut off at its end.
     caller_server_.stop_accepting();
     caller_server_.finish_connections();
     while (state_.live_requests > 0 && boot_clock::now() < limit) {
--- a/src/Gateway/gateway.hpp
+++ b/src/Gateway/gateway.hpp
@@ -22,21 +22,22 @@
 
 namespace camphorpoint {
 
-/// A running gateway node: requests by host and path, to replicas of services,
-/// on the right adapter. Its parts are services of one kernel.
+/// A gateway node. It routes requests by host and path to replicas of services
+/// that have the requested adapter. Its components are services of one kernel.
 class gateway {
 public:
-    /// @param io       the loop that owns everything
-    /// @param settings checked settings
+    /// @param io       the event loop on which the node runs
+    /// @param settings validated settings
     gateway(boost::asio::io_context& io, gateway_settings settings);
 
     /// Starts all services.
-    /// @param problems takes what went wrong; then nothing runs
-    /// @returns true when the node runs
+    /// @param problems receives the errors; after an error no service runs
+    /// @returns true when the node has started
     bool start(findings& problems) { return kernel_.start(problems); }
-    /// Begins a planned stop: unready at once, no new orders, running requests
-    /// finish within the stop's limit.
-    /// @param stopped called when it has ended
+    /// Begins a planned shutdown: the node reports unready at once, gives no
+    /// new commands to replicas, and completes running requests within the stop
+    /// limit.
+    /// @param stopped called when the shutdown has ended
     void drain(std::function<void()> stopped);
     /// @returns true when requests can be served
     bool ready();
@@ -44,11 +45,11 @@
     std::uint64_t configuration_version() const noexcept {
         return state_.configuration.version;
     }
-    /// @returns the newest version that is known of an adapter, 0 for none
+    /// @returns the newest known version of an adapter, 0 for none
     std::uint32_t newest_version(adapter_id const& adapter) const {
         return state_.versions.newest(adapter).value_or(0);
     }
-    /// @returns true when the replica is in the list
+    /// @returns true when the replica is in the replica registry
     bool knows_replica(endpoint_id const& id) const {
         return state_.replicas.find(id) != nullptr;
     }
@@ -57,7 +58,7 @@
         replica const* const found = state_.replicas.find(id);
         return found != nullptr && found->accepts_requests();
     }
-    /// Takes up new settings, as far as they can change while it runs.
+    /// Applies those of the new settings that can change while the node runs.
     void reload(gateway_settings const& settings);
 
 private:
@@ -89,7 +90,8 @@
     port_service callers_service_;
     service_registry services_;
     kernel kernel_;
-    // Shared with the coroutines that answer, which may outlive this object.
+    // Shared with the coroutines that answer requests, which may outlive this
+    // object.
     std::shared_ptr<std::size_t> active_exchanges_ =
         std::make_shared<std::size_t>(0);
     std::uint64_t limits_version_ = 0;
--- a/src/Gateway/gateway_answers.cpp
+++ b/src/Gateway/gateway_answers.cpp
@@ -14,7 +14,7 @@
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
 
-/// Counts an exchange for as long as it is answered.
+/// Counts an exchange while it is being answered.
 class active_exchange_guard {
 public:
     explicit active_exchange_guard(std::shared_ptr<std::size_t> count)
--- a/src/Gateway/gateway_metrics.cpp
+++ b/src/Gateway/gateway_metrics.cpp
@@ -14,7 +14,7 @@
 using prometheus::BuildGauge;
 using prometheus::BuildHistogram;
 
-/// Seconds; the objectives of today's routes lie between 0.1 and 1.
+/// In seconds; the latency objectives of typical routes lie between 0.1 and 1.
 prometheus::Histogram::BucketBoundaries const time_buckets{
     0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.8, 1.0, 2.0, 5.0};
 
--- a/src/Gateway/gateway_metrics.hpp
+++ b/src/Gateway/gateway_metrics.hpp
@@ -9,8 +9,8 @@
 
 namespace camphorpoint {
 
-/// Counters and histograms of a gateway node, in prometheus-cpp's registry.
-/// docs/API.md lists them.
+/// Counters, gauges and histograms of a gateway node, in a prometheus-cpp
+/// registry. docs/API.md lists them.
 class gateway_metrics {
 public:
     gateway_metrics();
@@ -18,21 +18,22 @@
     gateway_metrics(gateway_metrics const&) = delete;
     gateway_metrics& operator=(gateway_metrics const&) = delete;
 
-    /// Counts a final answer under its reason.
+    /// Counts a completed request by the reason of its result.
     void count_request(std::string_view reason);
-    /// Counts a further send under its reason.
+    /// Counts a resend by the reason for it.
     void count_resend(std::string_view reason);
-    /// Counts an order by what the replica said.
-    /// The store has come back from an older copy.
+    /// Counts a restore of the store from an older snapshot.
     void count_store_rollback();
+    /// Counts a command to a replica by the replica's answer.
     void count_command(std::string_view answer);
-    /// Records the wait for an adapter's load.
+    /// Records how long a request waited for its adapter to be loaded.
     void observe_load_wait(duration time);
-    /// Records the time from a request's arrival to its answer's beginning.
+    /// Records the time from a request's arrival to the first byte of its
+    /// answer.
     void observe_first_byte(duration time);
-    /// Sets a gauge.
+    /// Sets the gauge with this name.
     void set_gauge(std::string_view gauge, double value);
-    /// @returns all of it in the text format of Prometheus
+    /// @returns all metrics in the Prometheus text format
     std::string to_text() const;
 
 private:
--- a/src/Gateway/gateway_settings.cpp
+++ b/src/Gateway/gateway_settings.cpp
@@ -11,8 +11,9 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds max_time{600'000};
-/// The list is read so often while a leaving replica goes on serving. With two
-/// a single reading that fails is one too many: a request came 63 ms late.
+/// Polls of the replica registry within the time for which a leaving replica
+/// continues to serve. With two polls, a single failed one is too many: a
+/// request reached a replica 63 ms too late.
 constexpr int polls = 3;
 
 void read_address(
@@ -88,7 +89,7 @@
     if (into.lease < 2 * into.renewal) {
         section.complain(
             "lease", "must be at least twice the renewal, or one lost answer "
-                     "ends it");
+                     "ends the lease");
     }
     section.refuse_unknown_keys();
 }
--- a/src/Gateway/gateway_settings.hpp
+++ b/src/Gateway/gateway_settings.hpp
@@ -12,40 +12,42 @@
 
 namespace camphorpoint {
 
-/// What a gateway node is told at its start. docs/SETTINGS.md lists the keys.
+/// Settings of a gateway node. docs/SETTINGS.md lists the keys.
 struct gateway_settings {
     node_id name;
     domain_id domain;
     ip_address caller_address;
     ip_address readiness_address;
-    /// UDP between nodes.
+    /// UDP address for messages between nodes.
     ip_address peer_address;
     ip_address metrics_address;
     ip_address store_address;
-    /// Bounds each call to the store beside its own waiting.
+    /// Time-out of each call to the store, in addition to the time for which
+    /// the call asks the store to wait.
     std::chrono::milliseconds store_timeout{800};
-    /// How often the list of replicas is read at the most.
+    /// Minimum time between polls of the replica registry.
     std::chrono::milliseconds registry_poll_interval{670};
 
-    /// A planned stop is cut off after this.
+    /// A planned shutdown ends after this time, even if requests are running.
     std::chrono::milliseconds stop_limit{8'000};
-    /// New connections are taken for so long after a stop has begun. They come
-    /// for about two seconds, since the platform asks once a second whether a
-    /// node is ready and wants two misses.
+    /// New connections are accepted for this long after a shutdown has begun.
+    /// They continue to arrive for about two seconds, since the platform polls
+    /// the readiness of a node once a second and requires two failed polls.
     std::chrono::milliseconds stop_accepts{2'600};
     resend_limits resends;
     lease_times leases;
 };
 
-/// Reads a gateway node's settings; whatever is wrong goes to the findings.
-/// @param file     the name that findings bear
-/// @param text     the file's content (TOML)
-/// @param problems where findings go; settings with findings are not for use
+/// Parses the settings of a gateway node.
+/// @param file     the file name that findings name
+/// @param text     the content of the file (TOML)
+/// @param problems receives the findings; settings with findings must not be
+///                 used
 gateway_settings read_gateway_settings(
     std::string const& file, std::string_view text, findings& problems);
 
-/// @returns true when the text holds a gateway node's settings rather than
-///          those of a node that serves profiles
+/// @returns true when the text contains the settings of a gateway node rather
+///          than those of a node that serves profiles
 bool is_gateway_settings(std::string_view text);
 
 } // namespace camphorpoint
--- a/src/Gateway/gateway_state.cpp
+++ b/src/Gateway/gateway_state.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-/// A node that was heard within this counts as one that is there.
+/// A node counts as running if a message from it was received within this time.
 constexpr duration peer_timeout = std::chrono::seconds(4);
-/// Entries of replicas that lapsed with the store's outage are back by then.
+/// Within this time after a store outage, the replicas have written their
+/// expired registry entries again.
 constexpr duration store_settling_time = std::chrono::milliseconds(2'300);
-/// Idle connections to a replica are few, as all nodes share its limit; they
-/// are kept for as long as it keeps them.
+/// Few idle connections are kept to each replica, since all nodes share its
+/// connection limit. They are kept for as long as the replica keeps them.
 constexpr http_pool_limits connection_limits{
     6, 600, std::chrono::milliseconds(15'000)};
 
@@ -34,7 +35,7 @@
     , leases(settings.leases) {}
 
 unsigned gateway_state::nodes() const {
-    // Those that were heard lately; the others have stopped.
+    // Nodes from which no message was received lately have stopped.
     instant const now = boot_clock::now();
     auto const recent = std::ranges::count_if(peers, [&](auto const& each) {
         return now < each.second + peer_timeout;
@@ -42,9 +43,11 @@
     return static_cast<unsigned>(recent) + 1;
 }
 
-// Guards against nodes that divide by whom they hear: with a domain cut off, or
-// all nodes just begun, each hears too few, and together they send more often
-// than is allowed. A partition is held by one node at a time.
+// Guards against nodes that divide the slack by the number of nodes from which
+// they receive messages. When a failure domain is cut off, or all nodes have
+// just started, that number is too low, and together the nodes resend more
+// often than is allowed. Leases are a safe measure, because each partition is
+// held by one node at a time.
 unsigned gateway_state::slack_divisor(instant now) const {
     constexpr unsigned none = 1'000'000;
     std::size_t const held =
--- a/src/Gateway/gateway_state.hpp
+++ b/src/Gateway/gateway_state.hpp
@@ -28,37 +28,42 @@
 
 namespace camphorpoint {
 
-/// Everything that a gateway node knows; its services share it. One loop owns
-/// it, so there are no locks.
+/// State of a gateway node, shared by its components: settings, configuration,
+/// replicas, leases and peers. Only one event loop uses it, so there are no
+/// locks.
 struct gateway_state {
     gateway_state(
         boost::asio::io_context& loop, gateway_settings initial_settings,
         int log_handle);
 
-    /// @returns how much of what the operator declares is known: the sum of
-    ///          all versions, which only rises
+    /// @returns the sum of all declared versions that this node knows. The sum
+    ///          never decreases, so it shows which of two nodes knows more
+    ///          declarations.
     std::uint64_t declared_total() const noexcept {
         return configuration.version + versions.total();
     }
-    /// @returns true when requests may be served by what is declared: there is
-    ///          a configuration, and nobody was known at the start to know more
+    /// @returns true when requests may be served: this node has a
+    ///          configuration, and no other node was known at this node's start
+    ///          to have newer declarations
     bool may_serve(instant now) {
         return configured && start.passed(declared_total(), now);
     }
-    /// @returns how many nodes there are, this one included
+    /// @returns the number of running nodes, including this one
     unsigned nodes() const;
-    /// @returns among how many nodes the slack of second sends is divided, by
-    ///          this node's part of the partitions; a number beyond any slack
-    ///          when it holds none
+    /// @returns the number by which the slack of resends is divided, derived
+    ///          from this node's fraction of the partitions; a number above any
+    ///          slack when the node holds no partition
     unsigned slack_divisor(instant now) const;
-    /// @returns true when the store has answered lately and without a break
+    /// @returns true when the store is reachable and expired registry entries
+    ///          have had time to be written again
     bool store_stable(instant now) const;
-    /// @returns when entries that lapsed with the store's last outage are back
+    /// @returns when the registry entries that expired in the store's last
+    ///          outage have been written again
     instant store_stable_from() const;
-    /// @returns true while entries of replicas that lapsed in the store's
-    ///          outage may be about to come back
+    /// @returns true while replicas may be about to write registry entries
+    ///          again that expired in the store's outage
     bool registry_refilling(instant now) const;
-    /// Writes a line.
+    /// Writes a line to the decision log.
     void log_event(log_line const& line) { log.write(line, boot_clock::now()); }
 
     boost::asio::io_context& io;
@@ -73,7 +78,7 @@
     bool stopping = false;
     declared_versions versions;
     startup_gate start;
-    /// How far this node has read what the operator declares.
+    /// Position up to which this node has read the operator's declarations.
     store_position declared_position;
 
     fleet replicas;
@@ -86,13 +91,15 @@
     quarantine_sync quarantine_sync_state;
     http_pool replica_connections;
     partition_leases leases;
-    /// Peer addresses of nodes heard of, with the time of the last word.
+    /// Peer addresses of the known nodes, with the time of the last message
+    /// from each.
     std::map<std::string, instant> peers;
-    /// Since when calls to the store fail; max while they don't.
+    /// Since when calls to the store fail; instant::max() while they succeed.
     instant store_unreachable_since = instant::max();
-    /// When the store came back last.
+    /// When the store last became reachable again, or was last restored from an
+    /// older snapshot.
     instant store_reachable_since;
-    /// The latest era of the store that this node has met.
+    /// The highest epoch of the store that this node has observed.
     store_epoch epoch{};
     unsigned live_requests = 0;
 };
--- a/src/Gateway/quarantine_persistence.cpp
+++ b/src/Gateway/quarantine_persistence.cpp
@@ -16,12 +16,14 @@
 
 namespace {
 
-/// Whoever holds this partition keeps the contents.
+/// The node that holds the lease of this partition reads and writes the
+/// quarantines for all nodes.
 constexpr std::size_t writer_partition = 0;
-/// Keys in the store: it keeps the newest record of each for good, so their
-/// number bounds what is kept. They fit into one page of an answer.
+/// Number of keys in the store. The store retains the newest record of each key
+/// permanently, so this number bounds the stored quarantines. All of them fit
+/// into one page of an answer.
 constexpr std::uint64_t key_count = 256;
-/// After a failed call; doubles with each one in a row.
+/// Delay after a failed call; doubles with each consecutive failure.
 constexpr milliseconds initial_retry_delay{250};
 constexpr unsigned max_doublings = 4;
 constexpr auto topic = platform::store_topic::quarantine;
@@ -57,7 +59,8 @@
 void quarantine_persistence::poll() {
     instant const now = boot_clock::now();
     if (!state_->leases.holds(writer_partition)) {
-        // Another node may write meanwhile.
+        // Another node may write to the store while this node does not hold the
+        // lease.
         on_store_rollback();
         return;
     }
@@ -84,7 +87,8 @@
 asio::awaitable<bool> quarantine_persistence::read() {
     auto const alive = running_;
     instant const began = boot_clock::now();
-    // Another one by the end: the store has gone back meanwhile.
+    // A different epoch at the end of the read means that the store was
+    // restored from an older snapshot during the read.
     store_epoch const epoch = state_->epoch;
     platform::store_reading seen;
     platform::reading_times times;
--- a/src/Gateway/quarantine_persistence.hpp
+++ b/src/Gateway/quarantine_persistence.hpp
@@ -14,26 +14,28 @@
 
 namespace camphorpoint {
 
-/// Keeps in the store which contents are not run. Guards against nodes that
-/// have all begun anew, and let the same request end three more replicas. One
-/// node at a time reads and writes for all, by a partition that it holds, so
-/// that the calls do not grow with the nodes; two that do so harm nothing.
+/// Saves the quarantined requests in the store and reads them back. Guards
+/// against a poison request that crashes three more replicas after a restart of
+/// all nodes. One node at a time reads and writes for all, namely the lease
+/// holder of one fixed partition, so that the number of calls does not grow
+/// with the number of nodes. Two nodes that do so at the same time cause no
+/// harm.
 class quarantine_persistence {
 public:
-    /// @param beliefs must outlive this
-    /// @param store   must outlive this
-    /// @param words   tells the others what was kept; must outlive this
+    /// @param state     must outlive this
+    /// @param store     must outlive this
+    /// @param messenger broadcasts the quarantines that were read; must outlive
+    ///                  this
     quarantine_persistence(
         gateway_state& state, platform::store_client& store,
         peer_messenger& messenger);
 
-    /// Looks whether something is to be read or written; called again and
-    /// again.
+    /// Starts a read or write if one is due; called periodically.
     void poll();
-    /// The store has come back from an older copy: all is read and written
-    /// anew.
+    /// The store was restored from an older snapshot: everything is read and
+    /// written again.
     void on_store_rollback();
-    /// Nothing is begun from here on.
+    /// Starts no further reads or writes.
     void stop() { *running_ = false; }
 
 private:
@@ -46,7 +48,7 @@
     gateway_state* state_;
     platform::store_client* store_;
     peer_messenger* messenger_;
-    /// Turns as they stand in the store.
+    /// Revision of each quarantine as it is in the store.
     std::map<request_fingerprint, std::uint32_t> saved_;
     bool loaded_ = false;
     bool active_ = false;
--- a/src/Gateway/request_handler.cpp
+++ b/src/Gateway/request_handler.cpp
@@ -14,15 +14,15 @@
 
 constexpr int status_not_found = 404;
 constexpr int status_unavailable = 503;
-/// A connection to a replica takes two milliseconds; longer means that it is
-/// gone or cut off.
+/// A connection to a replica takes two milliseconds to open. A replica that
+/// takes much longer is down or cut off from the network.
 constexpr milliseconds connect_timeout{300};
-/// Attempts that a replica refused, or that never reached one, beside those
-/// that the route allows.
+/// Total attempts of one request after which a refusal or a failed connection
+/// is not retried. After other failures the route's own limit applies.
 constexpr unsigned max_attempts = 4;
-/// A replica may drop an idle connection without a sign. What must not run
-/// twice can't be sent again after that, so it goes over one that was used a
-/// short time ago.
+/// A replica may close an idle connection without the node noticing. A request
+/// that must not run twice can't be resent after that, so it only uses a
+/// connection that was active within this time.
 constexpr milliseconds max_idle_if_not_idempotent{1'000};
 
 } // namespace
@@ -41,7 +41,7 @@
 
 request_handler::~request_handler() {
     --state_->live_requests;
-    // The caller's leaving may still call back.
+    // The callback for the caller's disconnection may still run.
     caller_->call = nullptr;
     caller_->waiters = nullptr;
 }
@@ -53,7 +53,8 @@
     if (found == nullptr) {
         return false;
     }
-    // Copied: the configuration may change while the request runs.
+    // The route is copied because the configuration may change while the
+    // request runs.
     route_ = *found;
     tracker_ = attempt_tracker(route_->idempotent());
     position_ = delivery_position(demand_.last_event, route_->resumable);
@@ -107,8 +108,9 @@
     co_await run_attempts();
 }
 
-// Guards against one request that ends replica after replica; see
-// request_quarantine. It is refused before it takes a place or a load.
+// Guards against a poison request that crashes one replica after another; see
+// request_quarantine. The request is refused before it uses capacity or causes
+// a load.
 bool request_handler::refuse_quarantined() {
     quarantined_for_ =
         state_->quarantine.quarantined_for(fingerprint_, boot_clock::now());
@@ -126,7 +128,8 @@
             co_return;
         }
         replica* const at = co_await find_replica();
-        // It may have been held while this request waited for its adapter.
+        // The request may have been quarantined while it waited for its
+        // adapter.
         if (at == nullptr || refuse_quarantined() || !consume_resend_budget()) {
             co_await finish(reason_);
             co_return;
@@ -145,7 +148,8 @@
             co_await finish("answered");
             co_return;
         }
-        // One that has ended its answer unproven is sound.
+        // A replica whose answer ended with its connection is healthy and may
+        // be selected again.
         if (end != attempt_outcome::unproven) {
             need_.tried_replicas.push_back(id);
         }
@@ -169,8 +173,9 @@
     std::uint32_t const least =
         state_->versions.min_version(need_.adapter, now);
     if (least > 0) {
-        // A replica refuses any other version than the one that is named, also
-        // a newer one: the version that it should hold.
+        // A replica refuses every version other than the one named in the
+        // request, even a newer one. The request therefore names the version
+        // that the replica is expected to have loaded.
         auto const held = at.adapters.find(need_.adapter);
         bool const known =
             held != at.adapters.end() && held->second.version >= least;
@@ -279,7 +284,8 @@
         }
         break;
     }
-    // Told before the search for a replica, whose place would not be used.
+    // Checked before the search for a replica, whose capacity would go unused
+    // if the budget is exhausted.
     if (!state_->resends.available(
             need_.service, state_->slack_divisor(now), now)) {
         reason_ += "-no-budget";
@@ -288,8 +294,9 @@
     return true;
 }
 
-// Drawn right before the send: a request that finds no replica sends nothing,
-// and an attempt that reached none leaves its draw to the next.
+// The budget is charged right before the send: a request that finds no replica
+// sends nothing, and an attempt that reached no replica leaves its charge to
+// the next attempt.
 bool request_handler::consume_resend_budget() {
     if (resends_ >= tracker_.sends()) {
         return true;
--- a/src/Gateway/request_handler.hpp
+++ b/src/Gateway/request_handler.hpp
@@ -23,15 +23,20 @@
 
 namespace camphorpoint {
 
-/// Least time that a replica needs for anything.
+/// Minimum time that a replica needs for any answer. No attempt is sent when
+/// less than this remains before the request's deadline.
 inline constexpr std::chrono::milliseconds min_attempt_time{20};
 
-/// One request's way from its caller to a replica and back.
+/// Handles one request: selects a replica, forwards the request to it, passes
+/// the answer back to the caller, and retries at other replicas where that is
+/// safe.
 class request_handler {
 public:
-    /// @param beliefs  what the node knows; must outlive the flow
-    /// @param words    for wants of adapters; must outlive the flow
-    /// @param exchange the caller's request; must outlive the flow
+    /// @param state     the node's view of the cluster; must outlive the
+    ///                  handler
+    /// @param messenger sends load requests and crash reports to the other
+    ///                  nodes; must outlive the handler
+    /// @param exchange  the caller's request; must outlive the handler
     request_handler(
         gateway_state& state, peer_messenger& messenger,
         http_exchange& exchange);
@@ -39,47 +44,54 @@
     request_handler(request_handler const&) = delete;
     request_handler& operator=(request_handler const&) = delete;
 
-    /// Answers the request.
+    /// Processes the request until the caller has its answer or has
+    /// disconnected.
     boost::asio::awaitable<void> run();
 
 private:
-    /// How one attempt ended.
+    /// Result of one attempt.
     enum class attempt_outcome : std::uint8_t {
-        /// The caller has its whole answer, or is gone.
+        /// The caller has received its complete answer, or has disconnected.
         finished,
-        /// The replica, or one at its address, has not run it.
+        /// The replica, or another one at its address, reported that it did not
+        /// execute the request.
         refused,
-        /// No byte of it was sent.
+        /// No byte of the request was sent.
         unreached,
-        /// The replica ran it and failed, or answered with what can't be meant.
+        /// The replica executed the request and reported a failure, or sent an
+        /// invalid answer.
         failed,
-        /// It fell silent.
+        /// The replica sent nothing within the time-out.
         silent,
-        /// It broke off.
+        /// The connection failed before the answer was complete.
         broken,
-        /// Its connection ended, which tells a whole stream from a cut one only
-        /// when another run has nothing to add.
+        /// The answer has no length and ended with its connection. Whether the
+        /// stream is complete is known only when another attempt has nothing to
+        /// add.
         unproven,
-        /// The time is over.
+        /// The deadline passed during the attempt.
         late
     };
 
-    /// What one run brought.
+    /// Details of one attempt, for the log.
     struct attempt_trace {
-        /// The last event handed on when it began.
+        /// Number of the last event that was passed to the caller before the
+        /// attempt.
         std::uint64_t after = 0;
-        /// Bytes behind its last whole event.
+        /// Bytes received after the last complete event.
         std::size_t half_bytes = 0;
-        /// How the answer's body ended.
+        /// How the body of the answer ended.
         std::string_view body = "none";
-        /// The replica's connection ended before its answer had.
+        /// Set when the connection ended before the answer was complete.
         bool broke_off = false;
     };
 
     bool resolve_route();
     bool refuse_quarantined();
-    /// @returns true when others count the content's ends and may say that it
-    ///          is held
+    /// Reports a crash or a success of the request to the nodes that count
+    /// crashes by request fingerprint.
+    /// @returns true when other nodes count the crashes and may be about to
+    ///          quarantine the request
     bool report_outcome(endpoint_id const& at, attempt_outcome end);
     boost::asio::awaitable<void> await_crash_reports();
     boost::asio::awaitable<bool> enter_gate(endpoint_id at);
@@ -131,39 +143,40 @@
     std::optional<service_route> route_;
     replica_requirements need_;
     request_fingerprint fingerprint_{};
-    /// Its number at the content's gate, while it was let begin and has shown
-    /// nothing yet.
+    /// Number of the admitted attempt at the request gate; set from the
+    /// admission until the attempt's first output or its end.
     std::optional<std::uint64_t> gate_attempt_;
-    /// For how long its content is not run.
+    /// Remaining quarantine of the request, if it is quarantined.
     std::optional<duration> quarantined_for_;
-    /// The replica that was asked last to hold the adapter.
+    /// The replica that was last requested to load the adapter.
     endpoint_id load_target_;
-    /// How many were asked since the search began, and when that was.
+    /// Number of replicas that were requested to load the adapter since the
+    /// search for a replica began, and the start of that search.
     unsigned load_targets_ = 0;
     instant search_started_at_;
-    /// How long the adapter would take at the soonest, when no home can have it
-    /// ready in time.
+    /// Time until the adapter could be ready at the earliest, when no preferred
+    /// replica can have it ready in time.
     std::optional<duration> earliest_ready_in_;
     attempt_tracker tracker_{false};
     delivery_position position_;
     attempt_trace trace_;
-    /// It waits for its replica to read other prompts.
+    /// The request is delayed until its replica has processed other prompts.
     bool delayed_ = false;
     bool response_started_ = false;
-    /// What the caller saw, for the log: when its first bytes left, and the
-    /// longest pause between bytes since.
+    /// For the log: when the first and the latest bytes were sent to the
+    /// caller, and the longest pause between two writes.
     instant first_sent_at_;
     instant last_sent_at_;
     duration longest_pause_{0};
     bool response_complete_ = false;
     unsigned attempts_ = 0;
-    /// Second sends that were drawn on the budget.
+    /// Resends that were charged to the budget.
     unsigned resends_ = 0;
     std::optional<http_response> failure_response_;
     std::string reason_ = "unanswered";
     int status_ = 0;
-    /// Shared with the call-back that the caller's leaving triggers, which may
-    /// outlive the flow.
+    /// Shared with the callback for the caller's disconnection, which may
+    /// outlive the handler.
     struct caller_state {
         bool gone = false;
         std::shared_ptr<http_call> call;
--- a/src/Gateway/request_handler_completion.cpp
+++ b/src/Gateway/request_handler_completion.cpp
@@ -22,13 +22,15 @@
 constexpr int status_unavailable = 503;
 constexpr int status_gateway_timeout = 504;
 
-/// Word of the nodes that count comes within this, or is lost.
+/// Messages from the nodes that count crashes arrive within this time or are
+/// lost.
 constexpr milliseconds crash_report_wait{20};
 
-/// While another run of the content is under way.
+/// Delay before the next request for admission, while another attempt of the
+/// same request is in progress.
 constexpr milliseconds gate_retry_delay{50};
 
-/// @returns a name that is another one after each start of the replica
+/// @returns a hash that identifies the replica and its current process start
 std::uint64_t incarnation_hash(endpoint_id const& id, fleet const& replicas) {
     std::uint64_t const name = fleet::id_hash(id);
     replica const* const at = replicas.find(id);
@@ -66,15 +68,16 @@
     }
 }
 
-// Guards against a request that has ended its third replica and is sent on to
-// the next one while the nodes that count it are about to say so.
+// Guards against a request that has crashed its third replica and is sent on to
+// the next one while the nodes that count its crashes are about to report the
+// quarantine.
 asio::awaitable<void> request_handler::await_crash_reports() {
     asio::steady_timer timer(state_->io, crash_report_wait);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-// Guards against requests of one content that go out side by side while nobody
-// knows yet that it ends its replicas; see request_gate.
+// Guards against parallel attempts of a request while no node knows yet that it
+// crashes its replicas; see request_gate.
 asio::awaitable<bool> request_handler::enter_gate(endpoint_id at) {
     auto const caller = caller_;
     if (!messenger_->requires_admission(fingerprint_, boot_clock::now())) {
@@ -119,8 +122,8 @@
 
 bool request_handler::report_outcome(
     endpoint_id const& at, attempt_outcome end) {
-    // A caller that has left breaks its own run off. A replica that answers
-    // what is no good goes on.
+    // A caller that disconnects ends its own attempt, and a replica that sends
+    // an invalid answer keeps running. Neither counts as a crash.
     if (end == attempt_outcome::broken && trace_.broke_off && !caller_->gone) {
         return messenger_->report_crash(
             fingerprint_, incarnation_hash(at, state_->replicas));
@@ -151,7 +154,8 @@
 }
 
 milliseconds request_handler::retry_after() const {
-    // Long enough for a load, short enough that one more try fits.
+    // Long enough for a load, and short enough for the caller to retry once
+    // more in time.
     constexpr milliseconds one_load{400};
     if (quarantined_for_) {
         return std::chrono::ceil<milliseconds>(*quarantined_for_);
--- a/src/Gateway/request_handler_forwarding.cpp
+++ b/src/Gateway/request_handler_forwarding.cpp
@@ -13,8 +13,9 @@
 
 namespace {
 
-/// A stream that may go on elsewhere is given up after this silence: twice the
-/// longest pause that any installation's callers take for good.
+/// A stream that may be resumed at another replica is abandoned after this time
+/// without data. This is twice the longest pause that the callers of any
+/// deployment accept.
 constexpr milliseconds stream_idle_timeout{1'500};
 
 } // namespace
@@ -30,7 +31,7 @@
             state_->replicas.mark_unloading(
                 at, need_.adapter, boot_clock::now());
         }
-        // Read to its end, so that the connection can be kept.
+        // The answer is read to its end so that the connection can be reused.
         while (auto const piece = co_await call->next_piece()) {
             if (piece->empty() || caller->gone) {
                 break;
@@ -43,7 +44,8 @@
         co_return attempt_outcome::failed;
     }
     if (response_started_ && kind == answer_kind::failure) {
-        // The caller has the head of another run's answer already.
+        // The caller has already received the head of an earlier attempt's
+        // answer.
         co_return attempt_outcome::failed;
     }
     bool const stream =
@@ -154,7 +156,7 @@
         response_complete_ = co_await exchange_->end_stream();
         co_return attempt_outcome::finished;
     }
-    // A success without any event is passed on as it is.
+    // A successful answer without any event is passed on unchanged.
     http_response empty;
     empty.status = call->status();
     empty.fields = platform::pass_fields(call->fields());
--- a/src/Gateway/request_handler_replica_search.cpp
+++ b/src/Gateway/request_handler_replica_search.cpp
@@ -11,55 +11,62 @@
 
 namespace {
 
-/// A replica below this load takes a request at once: it still has room in its
-/// batch when the other nodes think the same.
+/// A replica below this load is sent a request at once: its batch still has
+/// capacity when other nodes select it at the same time.
 constexpr double immediate_load_limit = 0.6;
-/// From here on a replica has a queue of its own as long as a quarter of its
-/// batch; what comes then would miss its objective by waiting.
+/// At this load a replica has a queue as long as a quarter of its batch. A
+/// further request would miss its latency objective in that queue.
 constexpr double max_load = 1.25;
-/// From this mean crowding of its replicas on a service is busy: some are full
-/// then, as requests do not come evenly.
+/// From this mean utilization of its replicas on, a service counts as busy:
+/// requests do not arrive evenly, so some of its replicas are full.
 constexpr double busy_utilization = 0.65;
-/// A holder that is as full as this gets a second one beside it. A copy costs a
-/// load and a slot, and while places are free it brings nothing sooner.
+/// From this load of the best replica that has the adapter on, the adapter is
+/// loaded at a second one. An additional load costs time and an adapter slot,
+/// and it makes no request faster while capacity is available.
 constexpr double replication_load = 0.9;
-/// Wants are repeated so often: datagrams may be lost, holders may change.
+/// Load requests are repeated at this interval, since datagrams may be lost and
+/// lease holders may change.
 constexpr milliseconds load_request_interval{300};
-/// A request waits for a load for this part of its objective; the rest is for
-/// the replica to read its prompt.
+/// Fraction of the latency objective for which a request waits for a load. The
+/// remaining time is for the replica to process the prompt.
 constexpr double load_wait_fraction = 0.75;
-/// Who waits for longer than this many objectives has been forecast wrongly,
-/// and is told so while there is time to come back.
+/// A request that waits for more than this many objectives was forecast
+/// wrongly. It is refused then, while its caller still has time to retry.
 constexpr double max_wait_objectives = 1.25;
-/// Homes that a request asks for a load in time, the one that keeps a copy
-/// among them. More would bring rare adapters everywhere.
+/// Replicas that one request asks to load its adapter, including the one that
+/// has the adapter cached. A higher number would load rare adapters at every
+/// replica.
 constexpr unsigned max_load_targets = 2;
-/// Prompt tokens that a replica should have to read at a time, a further
-/// prompt included. More make its streams pause for longer than their callers
-/// take for good, and the objective leaves time to wait here. Below the least
-/// a long prompt goes at once: it would never find less.
+/// Prompt tokens that a replica should have to process at a time, including the
+/// new prompt. With more, the replica's streams pause for longer than their
+/// callers accept, and the latency objective leaves time to wait here. Below
+/// `min_prompt_backlog` a long prompt is sent at once, because it would never
+/// find a smaller backlog.
 constexpr double max_prompt_backlog = 4'500;
 constexpr double min_prompt_backlog = 500;
-/// A request is held for this part of its objective at the most: a long prompt
-/// has the rest of it to be read.
+/// A request is delayed for at most this fraction of its objective. A long
+/// prompt needs the remaining time to be processed.
 constexpr double max_delay_fraction = 0.45;
 constexpr milliseconds delay_poll_interval{15};
-/// From this crowding of the best holder on a copy is as urgent as a first
-/// load.
+/// From this utilization of the best replica that has the adapter on, an
+/// additional load is as urgent as a first load.
 constexpr double urgent_replication_utilization = 0.4;
-/// Whoever counts a replica's requests answers within a few milliseconds. It is
-/// not worth more than a fiftieth of the tightest objective of a stream.
+/// The node that counts a replica's requests answers within a few milliseconds.
+/// Its answer is not worth a longer wait than a fiftieth of the tightest
+/// latency objective of a stream.
 constexpr milliseconds utilization_query_timeout{15};
-/// From this crowding of the best holder on its prompts queue for longer than
-/// the pauses that callers take.
+/// From this utilization of the best replica that has the adapter on, prompts
+/// queue there for longer than the pauses that callers accept.
 constexpr double queueing_utilization = 0.8;
-/// Holders that are fuller than the mean by less are as full as the others.
+/// A replica whose utilization exceeds the mean by less than this counts as no
+/// fuller than the others.
 constexpr double min_utilization_gap = 0.05;
 
 } // namespace
 
-// Guards against refusals while a service's replicas are there and write their
-// entries again, which lapsed in the store's outage.
+// Guards against refusals after a store outage: the registry entries of the
+// service's replicas expired during the outage, and the replicas, which are
+// running, have yet to write them again.
 bool request_handler::awaits_registry_entries(instant now) const {
     return !state_->choice.any_accepts_requests(need_.service) &&
            state_->registry_refilling(now) &&
@@ -75,7 +82,8 @@
         reason_ = "no-replica";
         return nullptr;
     }
-    // A plain service queues a few requests itself, and says when it is full.
+    // A plain service queues a few requests itself, and refuses further ones
+    // when it is full.
     return best;
 }
 
@@ -113,20 +121,22 @@
     std::size_t const here = state_->choice.resident_count(need_, now);
     std::size_t const wanted =
         state_->demand.target_replica_count(need_.adapter, replicas, now);
-    // A copy spreads nothing while the holders are no fuller than the others.
-    // Each node guesses the demand from its own few requests, and the highest
-    // of many guesses would make copies everywhere.
+    // An additional load distributes nothing while the replicas that have the
+    // adapter are no fuller than the others. Each node estimates the demand
+    // from its own few requests, and acting on the highest of many estimates
+    // would load the adapter at every replica.
     double const mean = state_->choice.mean_utilization(need_.service, now);
     bool const fuller =
         replica_selector::utilization(best, now) > mean + min_utilization_gap;
-    // Where prompts queue at all holders one more pays whatever the share: it
-    // may be another adapter there that fills them.
+    // When prompts queue at every replica that has the adapter, one more
+    // replica helps however small this adapter's part of the work is: another
+    // adapter may be the one that fills them.
     bool const queues =
         replica_selector::utilization(best, now) >= queueing_utilization &&
         state_->demand.warrants_replication(need_.adapter, replicas, now);
     if (fuller && here > 0 && (here < wanted || queues)) {
-        // While its holders have room the copy waits for loads that somebody
-        // waits for.
+        // While the replicas that have the adapter still have capacity, the
+        // additional load yields to loads that requests wait for.
         bool const urgent = replica_selector::utilization(best, now) >=
                             urgent_replication_utilization;
         request_load_at(
@@ -135,10 +145,12 @@
 }
 
 replica* request_handler::select_preferred_replica(instant now) {
-    // A home that was asked stays the one while it can: the load may be under
-    // way, and another would be a second one for nothing.
+    // A replica that was requested to load the adapter stays the choice while
+    // it can load it: the load may be in progress, and a load at another
+    // replica would be redundant.
     replica* const asked = state_->replicas.find(load_target_);
-    // One that has filled up meanwhile would be a reason to refuse.
+    // A replica that has filled up in the meantime is not kept, because it
+    // would cause a refusal.
     if (asked != nullptr && asked->accepts_requests() &&
         asked->denial(need_.adapter, now) == nullptr &&
         asked->load() < max_load && !asked->health.suspected(now)) {
@@ -172,7 +184,7 @@
     std::uint32_t const least =
         state_->versions.min_version(need_.adapter, now);
     if (best == nullptr && least < newest) {
-        // The old version serves until the new one lies somewhere.
+        // The old version serves until the new one is loaded at a replica.
         request_load_at(
             state_->choice.next_preferred_replica(need_, now), true);
         need_.min_version = least;
@@ -189,8 +201,9 @@
         return best;
     }
     replica* const home = select_preferred_replica(now);
-    // Where nobody is known to count, all others send blindly too. It is used
-    // when there is no other.
+    // While no node is known to count the replica's requests, all nodes send to
+    // it without knowing its load. Such a replica is used only when there is no
+    // other.
     bool const blind = sound && !best->usage_known(now) && home != nullptr &&
                        home->usage_known(now) &&
                        now < arrived_at_ + route_->objective / 2;
@@ -201,9 +214,10 @@
         }
         return best;
     }
-    // While the service has room, the home's orderer decides: what was heard of
-    // its load is older. When all are busy a further load would make everybody
-    // late, and places come free elsewhere no sooner.
+    // While the service has capacity, the controller of the preferred replica
+    // decides, because the load known at this node is older. When all replicas
+    // are busy, a further load would delay every request, and capacity becomes
+    // available elsewhere no sooner.
     bool const service_busy =
         state_->choice.mean_utilization(need_.service, now) >= busy_utilization;
     if (home != nullptr && (home->load() < max_load || !service_busy)) {
@@ -220,17 +234,19 @@
     }
     if (none && now < arrived_at_ + route_->objective &&
         state_->choice.any_accepts_requests(need_.service)) {
-        // All that lies anywhere is in use right now; some of it ends soon.
+        // All loaded adapters are in use right now, and some of these uses end
+        // soon.
         return std::nullopt;
     }
     reason_ = none ? "no-replica" : "all-full";
     return nullptr;
 }
 
-// Guards against a wait for word that has come: where this node orders for the
-// home itself, or takes its holder for absent, the denial is there before the
-// request waits, and nobody tells it again. A refusal took 300 ms for each
-// home.
+// Guards against a wait for a message that has already arrived. When this node
+// controls the preferred replica itself, or takes its lease holder for absent,
+// the rejection is known before the request starts to wait, and no later
+// message repeats it. Without this check a refusal took 300 ms for each
+// replica.
 bool request_handler::load_already_rejected(instant now) const {
     replica const* const home = state_->replicas.find(load_target_);
     return home != nullptr && home->denial(need_.adapter, now) != nullptr;
@@ -286,7 +302,8 @@
             co_return *found;
         }
         if (found) {
-            // All who have waited are woken at once.
+            // All waiting requests wake up at the same time, so the known
+            // utilization is outdated.
             co_await refresh_utilization();
             freshened = true;
             continue;
--- a/src/Gateway/waiter_list.hpp
+++ b/src/Gateway/waiter_list.hpp
@@ -12,18 +12,18 @@
 
 namespace camphorpoint {
 
-/// Requests that wait for an adapter to be ready somewhere.
+/// Requests that wait until their adapter is ready at a replica.
 class waiter_list {
 public:
     explicit waiter_list(boost::asio::any_io_executor executor)
         : executor_(std::move(executor)) {}
 
-    /// Waits until there is word of the adapter, or until a time.
+    /// Waits until notify() is called for the adapter, or until the given time.
     boost::asio::awaitable<void> wait(adapter_id adapter, instant until);
-    /// Wakes all that wait for the adapter.
+    /// Wakes all requests that wait for the adapter.
     void notify(adapter_id const& adapter);
 
-    /// @returns how many wait
+    /// @returns the number of waiting requests
     std::size_t size() const noexcept { return count_; }
 
 private:
