--- a/test/gateway/gateway_test.cpp
+++ b/test/gateway/gateway_test.cpp
@@ -31,10 +31,10 @@
 
 } // namespace
 
-TEST_CASE("a request goes its whole way") {
+TEST_CASE("a request is routed to a replica and answered") {
     gateway_fixture world;
 
-    SUBCASE("a stream on an adapter that nobody holds yet") {
+    SUBCASE("a stream on an adapter that no replica has loaded") {
         auto const got = world.ask("/gen/a", "m/a7");
         CHECK(got.how == call_result::answered);
         CHECK(got.response.status == 200);
@@ -42,7 +42,7 @@
         CHECK_FALSE(got.response.fields.get("X-Response-Signature").empty());
         CHECK(world.runs("q1") == 1);
     }
-    SUBCASE("more adapters than there are slots") {
+    SUBCASE("more adapters than adapter slots") {
         for (int each = 0; each < 12; ++each) {
             std::string const name = std::to_string(each);
             auto const got = world.ask("/gen/a", "m/a" + name, "q" + name);
@@ -57,11 +57,11 @@
         CHECK(got.response.body == "answer of p1 to x");
         CHECK(world.runs("q1") == 1);
     }
-    SUBCASE("no route") {
+    SUBCASE("a path without a route") {
         auto const got = world.ask("/nowhere/");
         CHECK(got.response.status == 404);
     }
-    SUBCASE("a new configuration is in force at once, an older one never") {
+    SUBCASE("a new configuration applies at once, an older one is ignored") {
         std::string const more =
             R"({"name":"new","hostname":"h","path_prefix":"/new/",)"
             R"("type":"safe","timeout_ms":3000,"service":"app",)"
@@ -74,7 +74,7 @@
         world.ask("/look/x");
         CHECK(world.node->configuration_version() == 9);
     }
-    SUBCASE("a broken configuration leaves the last good one in force") {
+    SUBCASE("an invalid configuration leaves the last valid one in force") {
         world.metadata.store().put(
             "keyed.op", "config",
             R"({"version":9,"routes":[{"name":"r","type":"odd"}]})");
@@ -83,32 +83,32 @@
     }
 }
 
-// A booking's replica runs it and the answer is lost. Told "not run" the
-// florist books again and pays twice; told nothing at all she waits.
-TEST_CASE("what must not run twice") {
+// Guards against double execution. A replica executes a booking and its answer
+// is lost. If the node reported "not run", the caller would book again and pay
+// twice; without any answer the caller would wait.
+TEST_CASE("a request that must not run twice") {
     gateway_fixture world;
 
-    SUBCASE("an answer that is lost leaves it unknown") {
+    SUBCASE("a lost answer is reported as an unknown result") {
         world.plain.engine.faults = {replica_fault::answer_lost};
         auto const got = world.ask("/book/b");
         CHECK(got.response.status == 502);
         CHECK(world.runs("q1") == 1);
     }
-    SUBCASE("a replica that is full has not run it, and the caller may come "
-            "again") {
+    SUBCASE("a full replica has not run it, and the caller may retry") {
         world.plain.engine.faults = {replica_fault::full};
         auto const got = world.ask("/book/b");
         CHECK(got.response.status == 503);
         CHECK_FALSE(got.response.fields.get("Retry-After").empty());
         CHECK(world.runs("q1") == 0);
     }
-    SUBCASE("an answer without the replica's signature is not passed on") {
+    SUBCASE("an answer without the replica's signature is not forwarded") {
         world.plain.engine.faults = {replica_fault::unsigned_answer};
         auto const got = world.ask("/book/b");
         CHECK(got.response.status == 502);
         CHECK(world.runs("q1") == 1);
     }
-    SUBCASE("a replica's own failure is passed on as it is") {
+    SUBCASE("a replica's own failure is forwarded unchanged") {
         world.plain.engine.faults = {replica_fault::failure};
         auto const got = world.ask("/book/b");
         CHECK(got.response.status == 500);
@@ -117,29 +117,30 @@
     }
 }
 
-TEST_CASE("what may run twice goes on elsewhere") {
+TEST_CASE("a request that may run twice continues at another replica") {
     gateway_fixture world;
     world.ask("/gen/a", "m/a1", "warm");
     bool const first_holds = world.first.engine.runs.contains("warm");
     standins::replica_engine& holder =
         first_holds ? world.first.engine : world.second.engine;
 
-    // A technician's summary breaks off in the middle of a word, as its replica
-    // dies. It must go on where it stopped.
-    SUBCASE("a stream that is cut goes on behind its last whole event") {
+    // Guards against a stream that breaks off in the middle of a word because
+    // its replica crashed. The stream must continue where it stopped.
+    SUBCASE("a truncated stream continues after its last complete event") {
         holder.faults = {replica_fault::cut};
         auto const got = world.ask("/gen/a", "m/a1");
         CHECK(got.how == call_result::answered);
         CHECK(got.response.body == events(1, 8));
         CHECK(world.runs("q1") == 2);
     }
-    SUBCASE("one that may not be resumed ends as cut, never as complete") {
+    SUBCASE(
+        "a stream that may not be resumed ends as truncated, not as complete") {
         holder.faults = {replica_fault::cut};
         auto const got = world.ask("/once/a", "m/a1");
         CHECK(got.how == call_result::lost);
         CHECK(world.runs("q1") == 1);
     }
-    SUBCASE("a look-up whose answer was lost is asked again") {
+    SUBCASE("a look-up whose answer was lost is retried") {
         auto const other =
             std::make_unique<testing::served_replica>(world.loop, "p2", "", 0);
         world.list(*other, "app");
@@ -154,15 +155,15 @@
     }
 }
 
-// The store goes away. Callers must notice nothing as long as what they need
-// is there.
-TEST_CASE("a store that is out holds up nobody") {
+// Guards against requests that depend on the store. During a store outage,
+// requests must be served as long as the replicas that they need are reachable.
+TEST_CASE("requests are served during a store outage") {
     gateway_fixture world;
     world.ask("/gen/a", "m/a1", "warm");
-    SUBCASE("it turns calls away") {
+    SUBCASE("the store refuses calls") {
         world.metadata.turns_away = true;
     }
-    SUBCASE("its answers are lost") {
+    SUBCASE("the store's answers are lost") {
         world.metadata.loses_answers = true;
     }
     CHECK(world.ask("/gen/a", "m/a1").response.body == events(1, 8));
@@ -172,9 +173,9 @@
     world.metadata.loses_answers = false;
 }
 
-// The store's history is dropped while nobody watches. What was declared in the
-// gap would never be in force.
-TEST_CASE("a history that is forgotten is read whole again") {
+// Guards against lost declarations when the store drops its history before the
+// node has read it: what was declared in the gap would never be in force.
+TEST_CASE("a full snapshot is read after the store has dropped its history") {
     gateway_fixture world;
     world.configure(2);
     world.metadata.store().forget("keyed.op");
@@ -183,9 +184,9 @@
         [&] { return world.node->configuration_version() == 2; }));
 }
 
-// A replica's address has passed to another one. A request that reaches the
-// stranger is not run there, and the caller does not see it.
-TEST_CASE("an address that belongs to another replica") {
+// A replica's address now belongs to another replica. A request that reaches
+// the other replica must not run there, and the caller must not see an error.
+TEST_CASE("a request that reaches another replica at a reused address") {
     gateway_fixture world;
     testing::served_replica stranger(world.loop, "p9", "", 0);
     std::string const entry =
@@ -200,11 +201,11 @@
     CHECK(stranger.engine.runs.empty());
 }
 
-// All places are in use by long streams. The node that orders for the replicas
-// is the one that the request came to, and turns it away at once; its own word
-// came before the request had begun to wait for it, which was told 0.3 s later
-// for each home.
-TEST_CASE("a request that this node turns away itself is told at once") {
+// Guards against a needless wait before a refusal. All adapter slots are in use
+// by long streams, and the node that received the request also controls the
+// replicas. Its rejection of the load came before the request began to wait for
+// one, so the refusal took 0.3 s longer for each preferred replica.
+TEST_CASE("a load rejection by the same node refuses the request at once") {
     gateway_fixture world;
     for (int each = 0; each < 6; ++each) {
         std::string const name = std::to_string(each);
@@ -226,10 +227,10 @@
     CHECK(world.runs("q1") == 0);
 }
 
-// Both replicas have started again under their ids. Nodes that go on by the
-// accounts of the earlier ones take them for full of adapters that nobody uses,
-// and name a count of orders that is refused.
-TEST_CASE("replicas that start again under their ids are loaded anew") {
+// Guards against nodes that keep the state of earlier processes after both
+// replicas have restarted under their ids. Such nodes take the replicas for
+// full of unused adapters, and name a command count that the replicas refuse.
+TEST_CASE("adapters are loaded again at replicas that restarted") {
     gateway_fixture world;
     for (int each = 0; each < 6; ++each) {
         std::string const name = std::to_string(each);
@@ -251,9 +252,10 @@
     CHECK_FALSE(world.second.engine.overfilled);
 }
 
-// Somebody else writes into the list under a replica's name. Requests go to the
-// others, and to this one again once it has said what it is.
-TEST_CASE("an entry by another writer") {
+// Another writer overwrites a replica's registry entry with invalid data.
+// Requests must go to the other replicas, and to this one again once it has
+// written a valid entry.
+TEST_CASE("a registry entry overwritten with invalid data") {
     gateway_fixture world;
     endpoint_id const id("r1");
     world.metadata.store().put("keyed.servers", "r1", "{\"state\":7}");
@@ -270,7 +272,7 @@
     CHECK(world.loop.run_until([&] { return world.node->routes_to(id); }));
 }
 
-TEST_CASE("a planned stop finishes what runs") {
+TEST_CASE("a planned shutdown completes running requests") {
     gateway_fixture world;
     bool stopped = false;
     world.ask("/gen/a", "m/a1", "warm");
@@ -287,10 +289,12 @@
     CHECK_FALSE(world.node->ready());
     CHECK(world.loop.run_until([&] { return stopped; }));
 }
-// A node is killed while the store is down: nobody can take its replicas over
-// until the store is back. Requests whose adapter belongs there waited for two
-// seconds and were refused, with room at other replicas all the while.
-TEST_CASE("a holder that is not there holds nobody up") {
+// Guards against requests that wait for an absent lease holder. A node is
+// killed while the store is down, so no other node can take over its replicas
+// until the store is back. Requests whose preferred replica belonged to that
+// node waited for two seconds and were refused, although other replicas had
+// capacity.
+TEST_CASE("an absent lease holder does not delay requests") {
     gateway_fixture world;
     std::vector<std::unique_ptr<testing::served_replica>> more;
     auto const add = [&](std::size_t remainder) {
@@ -307,7 +311,8 @@
     };
     add(0);
     add(1);
-    // The stand-in deals partitions out by turns, in the order of the names.
+    // The stand-in assigns partitions to members in turn, in the order of their
+    // names.
     constexpr std::size_t topic_count = 8;
     std::vector<std::string> topics;
     topics.reserve(topic_count);
--- a/test/gateway/poison_request_restart_test.cpp
+++ b/test/gateway/poison_request_restart_test.cpp
@@ -17,23 +17,24 @@
 
 constexpr unsigned nodes = 3;
 constexpr unsigned replicas = 28;
-/// A node counts from so long after its start on; and so long after the third
-/// end sends begin to count.
+/// Attempts count from this long after the start of their node on, and from
+/// this long after the third crash on.
 constexpr milliseconds connect_time{3'000};
-/// Sends that are allowed from then on.
+/// Counted attempts that are allowed.
 constexpr unsigned max_counted = 3;
-/// Replicas that end under a content before it is held.
+/// Replicas that a request crashes before it is quarantined.
 constexpr std::size_t quarantine_threshold = 3;
-/// Between a caller's tries.
+/// Delay between a caller's retries.
 constexpr milliseconds retry_delay{20};
 
-/// One try of the deadly request, and what the platform's rule makes of it.
+/// Sends the poison request and counts the attempts that count by the
+/// platform's rule.
 class poison_caller {
 public:
     explicit poison_caller(gateway_fixture& world)
         : world_(&world) {}
 
-    /// Sends it by turns to each node, as a new request each time.
+    /// Sends the request to each node in turn, as a new request each time.
     void send_repeatedly(milliseconds time) {
         instant const until = boot_clock::now() + time;
         while (boot_clock::now() < until) {
@@ -49,7 +50,8 @@
             which, "/gen/a", "m", "deadly" + std::to_string(attempts_),
             "deadly");
         ++attempts_;
-        // A replica ends with each run; the answer comes when the last has.
+        // Each attempt crashes a replica; the answer arrives after the last
+        // crash.
         auto const& ends = world_->crash_times;
         for (std::size_t each = before; each < ends.size(); ++each) {
             bool const connected =
@@ -60,7 +62,7 @@
             counted_ += connected && late ? 1 : 0;
         }
     }
-    /// @returns sends that count by the rule
+    /// @returns the number of attempts that count by the rule
     unsigned counted() const noexcept { return counted_; }
 
 private:
@@ -71,29 +73,29 @@
 
 } // namespace
 
-// Guards against nodes that begin anew and send the request on as if nobody
-// knew it, once they count as in touch. Without waits 9 replicas had ended,
-// which the rule allows: sends of nodes that began less than three seconds ago
-// don't count.
-TEST_CASE("all nodes begin anew as soon as a request has ended its replicas") {
+// Guards against restarted nodes that no longer know the poison request and
+// forward it once they count as connected. Without waits 9 replicas crashed,
+// which the rule allows: attempts of nodes that started less than three seconds
+// ago don't count.
+TEST_CASE("all nodes are restarted right after a request crashed replicas") {
     gateway_fixture world;
     world.add_node();
     world.add_node();
     world.add_replicas(replicas, "deadly");
     poison_caller caller(world);
     bool wait_for_connection = false;
-    SUBCASE("after the third end, which the store may not have") {
-        SUBCASE("and it comes again at once") {}
-        SUBCASE("and it comes again once they are in touch") {
+    SUBCASE("after the third crash, which may not be in the store yet") {
+        SUBCASE("and the request is sent again at once") {}
+        SUBCASE("and the request is sent again once the nodes are connected") {
             wait_for_connection = true;
         }
         while (world.crash_times.size() < quarantine_threshold) {
             caller.try_once();
         }
     }
-    SUBCASE("after many more tries") {
-        SUBCASE("and it comes again at once") {}
-        SUBCASE("and it comes again once they are in touch") {
+    SUBCASE("after many more attempts") {
+        SUBCASE("and the request is sent again at once") {}
+        SUBCASE("and the request is sent again once the nodes are connected") {
             wait_for_connection = true;
         }
         for (int each = 0; each < 18; ++each) {
@@ -106,15 +108,16 @@
     }
     caller.send_repeatedly(connect_time + milliseconds(1'000));
     MESSAGE(
-        "replicas ended: ", world.crashed_replicas,
-        ", that count: ", caller.counted());
+        "crashed replicas: ", world.crashed_replicas,
+        ", attempts that count: ", caller.counted());
     CHECK(caller.counted() <= max_counted);
 }
 
-// Guards against nodes that each count for themselves while they still learn
-// of each other, and go on to do so. Without the three seconds 7 replicas had
-// ended in one run of three, which the rule allows for the same reason.
-TEST_CASE("a request ends its replicas while nodes learn of each other") {
+// Guards against nodes that count only their own crashes while they still
+// discover each other, and continue to do so. Without the three seconds 7
+// replicas crashed in one run of three, which the rule allows for the same
+// reason.
+TEST_CASE("a request crashes replicas while nodes discover each other") {
     gateway_fixture world;
     world.add_replicas(replicas, "deadly");
     world.add_node();
@@ -122,8 +125,8 @@
     poison_caller caller(world);
     caller.send_repeatedly(connect_time + milliseconds(1'000));
     MESSAGE(
-        "replicas ended: ", world.crashed_replicas,
-        ", that count: ", caller.counted());
+        "crashed replicas: ", world.crashed_replicas,
+        ", attempts that count: ", caller.counted());
     CHECK(caller.counted() <= max_counted);
 }
 
--- a/test/gateway/quarantine_false_positive_test.cpp
+++ b/test/gateway/quarantine_false_positive_test.cpp
@@ -13,10 +13,11 @@
 using testing::gateway_fixture;
 using testing::served_replica;
 
-// Three replicas of a faulty build answer a look-up without their signature,
-// and go on. Counted as their ends, the content is refused everywhere for an
-// hour, also by replicas that are well.
-TEST_CASE("an answer that is no good is not its replica's end") {
+// Guards against a wrong quarantine. Three replicas of a faulty build answer
+// without their signature and keep running. If these answers counted as
+// crashes, the request would be refused everywhere for an hour, also by healthy
+// replicas.
+TEST_CASE("an invalid answer does not count as a crash") {
     gateway_fixture world;
     std::vector<std::unique_ptr<served_replica>> more;
     for (char const* const name : {"p2", "p3"}) {
@@ -41,9 +42,10 @@
     CHECK(world.ask("/book/b", "", "last").response.status == 200);
 }
 
-// Guards against a look-up that many send in the same words and that breaks off
-// now and then: its ends were added up for ten minutes, whatever came between.
-TEST_CASE("a content that ends well in between is not held") {
+// Guards against a wrong quarantine of a look-up that many callers send with
+// the same content and that breaks off now and then. Its crashes were summed up
+// for ten minutes, whatever succeeded in between.
+TEST_CASE("a request that succeeds between crashes is not quarantined") {
     gateway_fixture world;
     world.add_node();
     std::vector<std::unique_ptr<served_replica>> more;
--- a/test/gateway/raw_answers_test.cpp
+++ b/test/gateway/raw_answers_test.cpp
@@ -39,18 +39,18 @@
 constexpr unsigned replicas = 4;
 constexpr std::size_t all_at_once = 1U << 20U;
 
-/// What an answer's connection does behind its last byte.
+/// What happens to the connection after the last byte of an answer.
 enum class after_answer : std::uint8_t { closes, resets, stays };
 
-/// One answer, as it goes over the wire. "{id}" stands for the request's id.
+/// One answer, as sent over the wire. "{id}" stands for the request's id.
 struct raw_answer {
     std::string text;
     after_answer ending = after_answer::closes;
-    /// Bytes that are written at a time.
+    /// Bytes per write.
     std::size_t piece = all_at_once;
-    /// Between pieces.
+    /// Delay between writes.
     milliseconds pause{0};
-    /// Bytes that are written before the text, once the request has come.
+    /// Bytes that are written before the text, after the request has arrived.
     std::string prefix = {};
 };
 
@@ -102,7 +102,7 @@
     return head(chunked_field) + text + std::string(last_chunk);
 }
 
-/// A chunked answer whose connection ends behind these bytes of the body.
+/// A chunked answer whose connection ends after these bytes of the body.
 std::string chunked_and_cut(std::string_view body) {
     return head(chunked_field) + (body.empty() ? "" : chunk(body));
 }
@@ -111,8 +111,9 @@
     return head("Connection: close\r\n") + std::string(body);
 }
 
-/// Replicas, all at one address, that answer word for word as a script says;
-/// beyond it each goes on behind Last-Event-Id.
+/// Replicas that share one address and send the raw answers of a script. After
+/// the end of the script, each answer continues after the request's
+/// Last-Event-Id.
 class raw_replica {
 public:
     explicit raw_replica(loopback& loop)
@@ -137,14 +138,14 @@
     }
 
     std::deque<raw_answer> script;
-    /// What comes when the script is over, in place of a whole stream.
+    /// The answer after the end of the script, in place of a complete stream.
     std::function<std::string(unsigned after)> default_answer =
         [](unsigned after) {
             return chunked(events(after + 1, stream_events));
         };
-    /// Last-Event-Id of each request, as it came.
+    /// Last-Event-Id of each request, as received.
     std::vector<std::string> last_event_ids;
-    /// Connections that the node has ended while an answer was being written.
+    /// Connections that the node has closed while an answer was being written.
     unsigned aborted_writes = 0;
 
 private:
@@ -228,9 +229,9 @@
     tcp::acceptor acceptor_;
 };
 
-/// One node before them. Paths below /runs/ may be resumed and allow as many
-/// runs as there are replicas, those below /alone/ may be resumed by the client
-/// only, those below /bare/ not at all.
+/// One node in front of the replicas. Streams below /runs/ may be resumed and
+/// allow as many attempts as there are replicas. Those below /alone/ may be
+/// resumed by the caller only, and those below /bare/ not at all.
 class raw_fixture {
 public:
     explicit raw_fixture(
@@ -294,7 +295,7 @@
         return result;
     }
 
-    /// Sends a request whose content is like no other's.
+    /// Sends a request with a fingerprint of its own.
     fetch_result
     ask(std::string_view route, std::string last = "",
         unsigned deadline = 3000) {
@@ -313,7 +314,8 @@
     return answer.how == call_result::answered && answer.response.status == 200;
 }
 
-/// Sends requests on one connection and reads until some text has come, or all.
+/// Sends requests on one connection and reads until the given text has arrived,
+/// or to the end if the text is empty.
 asio::awaitable<void> send_and_read(
     ip_address to, std::string requests, std::string until, std::string& got) {
     auto const text = std::make_shared<std::string>(std::move(requests));
@@ -332,9 +334,10 @@
 
 } // namespace
 
-// Guards against an event joined from two runs as the last one of a stream that
-// its client has resumed: the stream would end as complete without it.
-TEST_CASE("a run's half event ends with its run where the client has resumed") {
+// Guards against a last event that is joined from two attempts in a stream that
+// its caller has resumed: the stream would end as complete without the true
+// event.
+TEST_CASE("a partial event is dropped in a stream that its caller resumed") {
     raw_fixture world;
     for (unsigned after = 1; after < stream_events; ++after) {
         std::string const expected = event(after + 1);
@@ -349,9 +352,9 @@
     }
 }
 
-// Guards against streams that can't end: a body without length ends with its
-// connection, and one that was not reset is complete.
-TEST_CASE("a whole stream is completed where all replicas send no length") {
+// Guards against streams that never complete: a body without a length ends with
+// its connection, and is complete if the connection was not reset.
+TEST_CASE("a stream completes when no replica sends a length") {
     auto const no_length = [](unsigned after) {
         return unframed(events(after + 1, stream_events));
     };
@@ -362,7 +365,7 @@
         CHECK(answer.response.body == events(1, stream_events));
         CHECK(complete(answer));
     }
-    SUBCASE("its client resumes it as often as it likes") {
+    SUBCASE("its caller resumes it repeatedly") {
         constexpr unsigned most = 4;
         raw_fixture world;
         world.replica.default_answer = no_length;
@@ -379,9 +382,9 @@
     }
 }
 
-// Guards against a content that is run nowhere for an hour, though none of its
-// replicas has ended: they sent an event that the node does not place.
-TEST_CASE("an event that can't be placed is no replica's end") {
+// Guards against a request that is quarantined for an hour although none of its
+// replicas crashed: they sent an event without a number.
+TEST_CASE("an event without a number does not count as a crash") {
     raw_fixture world;
     auto const done = [](unsigned after) {
         return chunked(events(after + 1, stream_events) + "data: [DONE]\n\n");
@@ -393,9 +396,10 @@
     CHECK(world.replica.last_event_ids.size() > runs);
 }
 
-// Guards against a stream that breaks off at what is no event to its client:
-// source as attempt_stream's, a block without data is not dispatched.
-TEST_CASE("a block without data has no number and needs none") {
+// Guards against a stream that breaks off at a block that is no event for its
+// caller: by the rule that attempt_stream implements, a block without data is
+// not dispatched.
+TEST_CASE("a block without data needs no number") {
     raw_fixture world;
     std::string const body = "retry: 1000\n\n" + events(1, stream_events);
     world.replica.default_answer = [&](unsigned) {
@@ -413,9 +417,10 @@
     }
 }
 
-// Guards against a stream that is cut for an event without number although
-// nothing will be joined to it.
-TEST_CASE("a stream that may not be resumed passes as its run made it") {
+// Guards against a stream that is truncated because of an event without a
+// number, although the stream may not be resumed and nothing will be joined to
+// it.
+TEST_CASE("a stream that may not be resumed is forwarded unchanged") {
     raw_fixture world;
     std::string const body = events(1, stream_events) + "data: [DONE]\n\n";
     world.replica.default_answer = [&](unsigned) {
@@ -426,9 +431,9 @@
     CHECK(complete(answer));
 }
 
-// Guards against events of another request's run, whose answer comes late on a
-// kept connection.
-TEST_CASE("an extra answer on a kept connection is not handed on") {
+// Guards against events of another request whose answer arrives late on a
+// reused connection.
+TEST_CASE("an extra answer on a reused connection is not forwarded") {
     raw_fixture world;
     std::string const foreign = chunk("id: 1\ndata: foreign\n\n");
     std::string extra = "HTTP/1.1 200 Any\r\nX-Response-Signature: signed\r\n";
@@ -447,13 +452,13 @@
     CHECK(answer.response.body == events(1, stream_events));
 }
 
-// Guards against an event that is missing or comes twice at the start of a
-// resumed answer, for a number that the client may send.
+// Guards against a missing or repeated event at the start of a resumed answer
+// when the caller sends a large number.
 TEST_CASE("a large Last-Event-Id is a position like any other") {
     constexpr std::uint64_t large = 5'000'000'000;
     raw_fixture world;
     std::string const whole = chunked(events(large + 1, large + 2));
-    SUBCASE("a gap behind it") {
+    SUBCASE("a gap after it") {
         world.replica.script = script_of({chunked(event(large + 2)), whole});
     }
     SUBCASE("a repeated event") {
@@ -464,8 +469,8 @@
 }
 
 // Guards against a stream that ends as complete although a part of a further
-// event has come.
-TEST_CASE("a run without events does not complete behind a half event") {
+// event was received.
+TEST_CASE("an attempt without events does not complete after a partial event") {
     raw_fixture world;
     std::string const begun = events(1, 2) + "id: 3\ndata";
     std::string empty;
@@ -481,8 +486,9 @@
         !complete(answer) || answer.response.body == events(1, stream_events)));
 }
 
-// Guards against bytes of the framing in an event, or an event lost to it.
-TEST_CASE("chunks may be cut anywhere and bear extensions and trailers") {
+// Guards against framing bytes inside an event, and against an event that is
+// lost to the framing.
+TEST_CASE("chunks may be split anywhere and have extensions and trailers") {
     raw_fixture world;
     std::string body;
     for (unsigned each = 1; each <= stream_events; ++each) {
@@ -517,9 +523,9 @@
     }
 }
 
-// Guards against a stream that ends as complete where its framing says that
-// more is to come.
-TEST_CASE("a body that is shorter than its framing says is not whole") {
+// Guards against a stream that ends as complete although its framing announces
+// more data.
+TEST_CASE("a body that is shorter than its framing says is incomplete") {
     raw_fixture world;
     std::string const part = events(1, 2);
     std::string cut;
@@ -534,7 +540,7 @@
     SUBCASE("its last chunk") {
         cut = head(chunked_field) + chunk(part) + "0\r\n";
     }
-    SUBCASE("its next chunk is none") {
+    SUBCASE("its next chunk is invalid") {
         cut = head(chunked_field) + chunk(part) + "zz\r\n\r\n";
     }
     world.replica.script = script_of({cut});
@@ -545,9 +551,9 @@
     CHECK(world.replica.last_event_ids.back() == "2");
 }
 
-// Guards against a half event at the end of a body that is framed as whole, or
-// that ends with its connection: its stream would end as complete.
-TEST_CASE("a body that ends in the middle of an event is not whole") {
+// Guards against a stream that ends as complete with an incomplete event: its
+// body is framed as complete, or ends with its connection.
+TEST_CASE("a body that ends in the middle of an event is incomplete") {
     raw_fixture world;
     std::string const part = events(1, 2) + "id: 3\nda";
     std::string text = chunked(part);
@@ -556,7 +562,7 @@
     SUBCASE("without length") {
         text = unframed(part);
     }
-    SUBCASE("framed, and its client resumes it") {
+    SUBCASE("framed, and its caller resumes it") {
         route = "alone";
     }
     world.replica.script = script_of({text});
@@ -565,9 +571,9 @@
     CHECK_FALSE(complete(answer));
 }
 
-// Guards against a run more, which nothing could be joined to, for a stream
-// without numbers that ends with its connection.
-TEST_CASE("a connection's end completes a stream without numbers") {
+// Guards against a further attempt, to which nothing could be joined, for a
+// stream without numbers that ends with its connection.
+TEST_CASE("the end of a connection completes a stream without numbers") {
     raw_fixture world;
     std::string const body = "data: a\n\ndata: b\n\n";
     world.replica.script = script_of({unframed(body)});
@@ -577,26 +583,26 @@
     CHECK(world.replica.last_event_ids.size() == 1);
 }
 
-// Guards against an answer that is written into another, or a stream that ends
-// for a replica that has not run it.
-TEST_CASE("a stream goes on behind a replica that does not run it") {
+// Guards against an answer that is written into another one, and against a
+// stream that ends because a replica did not execute the request.
+TEST_CASE("a stream continues after a replica that does not execute it") {
     raw_fixture world;
     std::string not_run;
-    SUBCASE("another one has its address") {
+    SUBCASE("another replica has its address") {
         not_run = head("Content-Length: 2\r\n", 421) + "no";
     }
-    SUBCASE("it is full") {
+    SUBCASE("the replica is full") {
         not_run =
             head("Content-Length: 2\r\nX-Not-Executed: 1\r\n", 503) + "no";
     }
-    SUBCASE("it fails") {
+    SUBCASE("the replica fails") {
         not_run = head("Content-Length: 2\r\n", 500) + "no";
     }
-    SUBCASE("its answer is not signed") {
+    SUBCASE("the replica's answer is not signed") {
         not_run = "HTTP/1.1 200 Any\r\nX-Request-Id: {id}\r\n"
                   "Content-Length: 17\r\n\r\nid: 2\ndata: x\n\n\n";
     }
-    SUBCASE("what it sends is no answer") {
+    SUBCASE("the replica does not send an HTTP answer") {
         not_run = event(2);
     }
     world.replica.script =
@@ -606,15 +612,16 @@
     CHECK(complete(answer));
 }
 
-// Guards against a half event, or an end as complete, where the time is over.
-TEST_CASE("a stream whose time ends in the middle of an event is cut") {
+// Guards against an incomplete event, or a stream that ends as complete, when
+// the deadline has passed.
+TEST_CASE("a deadline in the middle of an event truncates the stream") {
     constexpr unsigned deadline = 300;
     raw_fixture world;
     std::string const text = chunked_and_cut(event(1) + "id: 2\ndata");
-    SUBCASE("its replica falls silent") {
+    SUBCASE("its replica stops sending") {
         world.replica.script = {{text, after_answer::stays}};
     }
-    SUBCASE("its replica goes on, byte by byte") {
+    SUBCASE("its replica continues, byte by byte") {
         std::string slow = text;
         for (unsigned each = 0; each < 200; ++each) {
             slow += chunk(".");
@@ -628,7 +635,7 @@
     CHECK(world.replica.last_event_ids.size() == 1);
 }
 
-// Guards against repeated events of a replica that goes on from the start.
+// Guards against repeated events from a replica that starts at the first event.
 TEST_CASE("events before Last-Event-Id are not repeated") {
     raw_fixture world;
     std::string const whole = chunked(events(1, stream_events));
@@ -646,7 +653,7 @@
     }
 }
 
-// Guards against an event with a number that can't be read, that rises by more
+// Guards against events with a number that can't be parsed, that rises by more
 // than one, or that is one of several.
 TEST_CASE("an event has the number of its last id line") {
     raw_fixture world;
@@ -658,10 +665,10 @@
     SUBCASE("without a blank") {
         second = "id:2\ndata: w2\n\n";
     }
-    SUBCASE("behind another line") {
+    SUBCASE("after another line") {
         second = "x-weight-versions: 7\nid: 2\ndata: w2\n\n";
     }
-    SUBCASE("with a blank behind it") {
+    SUBCASE("with a trailing blank") {
         second = "id: 2 \ndata: w2\n\n";
         accepted = false;
     }
@@ -673,7 +680,7 @@
         second = "id: 18446744073709551618\ndata: w2\n\n";
         accepted = false;
     }
-    SUBCASE("the last one is none") {
+    SUBCASE("the last one is not a number") {
         second = "id: 2\nid: two\ndata: w2\n\n";
         accepted = false;
     }
@@ -684,17 +691,17 @@
     CHECK(complete(answer));
 }
 
-// Guards against an answer of one request in that of the next on the same
-// connection, and against an answer behind one that was cut.
-TEST_CASE("two requests on one connection have an answer each") {
+// Guards against the answer of one request inside the answer of the next on the
+// same connection, and against an answer that follows a truncated one.
+TEST_CASE("each of two requests on one connection has its own answer") {
     raw_fixture world;
     std::string const cut = chunked_and_cut(events(1, 2) + "id: 3\nd");
     bool both = true;
     std::string path = "/runs/";
-    SUBCASE("the first goes on elsewhere") {
+    SUBCASE("the first continues at another replica") {
         world.replica.script = script_of({cut});
     }
-    SUBCASE("the first is cut") {
+    SUBCASE("the first is truncated") {
         world.replica.script = script_of({cut});
         path = "/alone/";
         both = false;
@@ -720,9 +727,9 @@
     CHECK(begun.find("id: 3\nd\r\n") == std::string::npos);
 }
 
-// Guards against a run that goes on for a caller that has left, and against
-// state that it leaves to others.
-TEST_CASE("a caller that leaves in the middle ends its run") {
+// Guards against an attempt that continues after its caller has disconnected,
+// and against state of it that affects other requests.
+TEST_CASE("a caller that disconnects ends the attempt") {
     raw_fixture world;
     std::string slow = head(chunked_field);
     for (unsigned each = 1; each <= 200; ++each) {
@@ -745,8 +752,8 @@
     CHECK(complete(answer));
 }
 
-// Guards against a stream that ends as complete with its node.
-TEST_CASE("a planned stop cuts no stream that ends in time") {
+// Guards against a stream that ends as complete when its node shuts down.
+TEST_CASE("a planned shutdown truncates no stream that ends in time") {
     std::string slow = head(chunked_field);
     for (unsigned each = 1; each <= stream_events; ++each) {
         slow += chunk(event(each));
@@ -776,9 +783,9 @@
     CHECK(events(1, stream_events).starts_with(answer->response.body));
 }
 
-// Guards against a stream that is cut, or joined by other rules, where a
-// configuration comes while it runs.
-TEST_CASE("a stream that has begun keeps its route") {
+// Guards against a stream that is truncated, or joined by other rules, when a
+// new configuration arrives while it runs.
+TEST_CASE("a running stream keeps its route") {
     raw_fixture world;
     std::string const part = chunked_and_cut(event(1) + "id: 2\nda");
     world.replica.script = {
@@ -791,10 +798,10 @@
         });
     REQUIRE(world.world.loop.run_until(
         [&] { return !world.replica.last_event_ids.empty(); }));
-    SUBCASE("the route is gone") {
+    SUBCASE("the route is removed") {
         world.world.configure(3);
     }
-    SUBCASE("the route is resumed no more") {
+    SUBCASE("the route may no longer be resumed") {
         world.world.configure(3, raw_fixture::route("runs", 1, false));
     }
     REQUIRE(world.world.loop.run_until(
--- a/test/gateway/resends_test.cpp
+++ b/test/gateway/resends_test.cpp
@@ -17,14 +17,14 @@
 
 namespace {
 
-/// Enough for one second send in a window.
+/// Enough for one resend in a window.
 void allow_one_resend(gateway_fixture& before) {
     before.settings.resends.ratio = 0;
     before.settings.resends.slack = 1.2;
 }
 
-/// A node that may send once more in a window, before a plain service with one
-/// replica.
+/// A node with a budget of one resend per window, in front of a plain service
+/// with one replica.
 class budget_fixture {
 public:
     budget_fixture()
@@ -32,15 +32,15 @@
         REQUIRE(world_.loop.run_until([this] { return world_.node->ready(); }));
     }
 
-    /// Lists a second replica of the plain service.
+    /// Registers a second replica of the plain service.
     void add_replica() {
         other_ = std::make_unique<served_replica>(world_.loop, "p2", "", 0);
         world_.list(*other_, "app");
         REQUIRE(world_.loop.run_until(
             [this] { return world_.node->knows_replica(endpoint_id("p2")); }));
     }
-    /// Sends a request whose answer each replica loses.
-    /// @returns how often it has run
+    /// Sends a request whose answer is lost at each replica.
+    /// @returns the number of its executions
     unsigned executions_of_lost(std::string const& id) {
         world_.plain.engine.faults = {replica_fault::answer_lost};
         other_->engine.faults = {replica_fault::answer_lost};
@@ -59,17 +59,17 @@
 
 } // namespace
 
-TEST_CASE("a second send counts when it is made") {
+TEST_CASE("a resend is charged to the budget when it is sent") {
     budget_fixture test;
 
-    SUBCASE("one is made, and no more in the window") {
+    SUBCASE("one resend is made, and no further one in the window") {
         test.add_replica();
         CHECK(test.executions_of_lost("q1") == 2);
         CHECK(test.executions_of_lost("q2") == 1);
     }
-    // All replicas of a service are full for a while. Requests that no other
-    // replica took would use up what those need whose answer is lost.
-    SUBCASE("a refused request that finds no other replica leaves it") {
+    // Guards against refused requests that use up the budget while all replicas
+    // of a service are full. Requests whose answer is lost need it.
+    SUBCASE("a refused request without another replica is not charged") {
         for (int each = 0; each < 3; ++each) {
             test.world().plain.engine.faults = {replica_fault::full};
             auto const got =
@@ -79,9 +79,11 @@
         test.add_replica();
         CHECK(test.executions_of_lost("lost") == 2);
     }
-    // A replica has ended and is still listed. The request that has not reached
-    // it would draw a second time for the next one.
-    SUBCASE("an attempt that reaches nobody leaves it to the next") {
+    // Guards against a double charge. A replica has crashed and is still in the
+    // registry: a request that could not reach it would be charged a second
+    // time for the next replica.
+    SUBCASE(
+        "an attempt that reaches no replica leaves its charge to the next") {
         test.add_replica();
         auto const gone =
             std::make_unique<served_replica>(test.world().loop, "p3", "", 0);
@@ -94,18 +96,18 @@
     }
 }
 
-// Guards against second sends beyond the bound where nodes hear too few others:
-// a failure domain is cut off, or all have just begun.
-TEST_CASE("nodes share the slack of second sends by what was dealt to them") {
+// Guards against more resends than allowed when nodes receive messages from too
+// few others: a failure domain is cut off, or all nodes have just started.
+TEST_CASE("nodes divide the slack of resends by their partitions") {
     constexpr instant now{std::chrono::hours(1)};
     boost::asio::io_context io;
     gateway_state node(io, gateway_settings(), STDOUT_FILENO);
     resend_limits const limits;
 
-    SUBCASE("nothing was dealt, and nobody is heard") {
+    SUBCASE("no partition is held, and no other node is known") {
         CHECK(limits.slack / node.slack_divisor(now) < 1);
     }
-    SUBCASE("a third was dealt, and nobody is heard") {
+    SUBCASE("a third of the partitions is held, and no other node is known") {
         std::vector<std::size_t> third(partition_count / 3);
         std::iota(third.begin(), third.end(), 0);
         node.leases.on_renewal_granted(now, 1, third, now);
@@ -113,7 +115,7 @@
         instant const lapsed = now + limits.window;
         CHECK(limits.slack / node.slack_divisor(lapsed) < 1);
     }
-    SUBCASE("all was dealt: a node that is alone has all") {
+    SUBCASE("a node that holds all partitions has all of the slack") {
         std::vector<std::size_t> every(partition_count);
         std::iota(every.begin(), every.end(), 0);
         node.leases.on_renewal_granted(now, 1, every, now);
--- a/test/gateway/slow_link_test.cpp
+++ b/test/gateway/slow_link_test.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// The way to the node needs more than a second for a configuration of
-/// `large`, and a call to the store has 0.8 s.
+/// The link to the node needs more than a second for a configuration of `large`
+/// bytes, and a call to the store has a time-out of 0.8 s.
 constexpr std::uint64_t slow = 400'000;
 constexpr std::size_t large = 500'000;
 
-/// Another node that says again and again how far it has read.
+/// Another node that repeatedly reports its position in the declarations.
 class reporting_node {
 public:
     reporting_node(gateway_fixture& world, std::uint64_t place)
@@ -60,15 +60,15 @@
 
 } // namespace
 
-// An agent is told 404 on a route that was confirmed ten seconds before.
-// The configuration had grown to where a node's link needed more than 0.8 s for
-// it. Each whole reading was ended then, whatever had come, and begun anew,
-// several beside one another; between them they kept the link full.
-// Proof: the store's side counts the bytes; a bound that ends silence only lets
-// the same reading end.
-TEST_CASE(
-    "a configuration that a slow link carries for longer than a call has") {
-    SUBCASE("a node that starts reads it") {
+// Guards against full reads that never complete on a slow link. A configuration
+// had grown until a node's link needed more than 0.8 s for it. Each full read
+// was cancelled at the time-out, whatever had arrived, and started again,
+// several in parallel, and together they kept the link full. A caller received
+// 404 for a route that had been confirmed ten seconds before. The test counts
+// the bytes at the store's side, and a time-out that only ends idle reads must
+// allow the same read to complete.
+TEST_CASE("a configuration that takes longer than a call on a slow link") {
+    SUBCASE("a starting node reads it") {
         gateway_fixture world([](gateway_fixture& before) {
             before.configure(2, gateway_fixture::routes_of(large));
             before.metadata.bytes_per_second = slow;
@@ -76,14 +76,14 @@
         CHECK(reaches_version(world, 2));
         CHECK(world.ask("/more7/x").response.status == 200);
     }
-    SUBCASE("a node whose place in the history is forgotten reads it") {
+    SUBCASE("a node whose position the store has dropped reads it") {
         gateway_fixture world;
         world.metadata.bytes_per_second = slow;
         world.configure(2, gateway_fixture::routes_of(large));
         world.metadata.store().forget("keyed.op");
         CHECK(reaches_version(world, 2));
     }
-    SUBCASE("word that others have read it brings it once, not twice") {
+    SUBCASE("a message that others have read it causes one read, not two") {
         gateway_fixture world;
         std::uint64_t const end = world.metadata.store().end("keyed.op");
         world.metadata.bytes_per_second = slow;
--- a/test/gateway/stream_attempts_test.cpp
+++ b/test/gateway/stream_attempts_test.cpp
@@ -24,10 +24,10 @@
 constexpr unsigned stream_events = 4;
 constexpr unsigned replicas = 4;
 
-/// Two nodes before replicas whose runs end where the test says. Paths below
-/// /runs/ may be resumed and allow as many runs as there are replicas, those
-/// below /alone/ may be resumed by the client only, those below /once/ not at
-/// all.
+/// Two nodes in front of replicas whose attempts end where the test specifies.
+/// Streams below /runs/ may be resumed and allow as many attempts as there are
+/// replicas. Those below /alone/ may be resumed by the caller only, and those
+/// below /bare/ not at all.
 class stream_fixture {
 public:
     stream_fixture()
@@ -50,21 +50,21 @@
             return world_.node->configuration_version() == 2 &&
                    world_.node->knows_replica(last);
         }));
-        // The second node has read what the first one has.
+        // Waits until the second node has the configuration of the first one.
         REQUIRE(world_.loop.run_until(
             [&] { return ask("bare", 1).how == call_result::answered; }));
         replica_.last_event_ids.clear();
     }
 
-    /// Sends a request whose content is like no other's.
-    /// @param after the last event that the client has, 0 for none
+    /// Sends a request with a fingerprint of its own.
+    /// @param after the last event that the caller has, 0 for none
     fetch_result
     ask(std::string_view path, std::size_t node, unsigned after = 0) {
         return world_.stream_from_node(
             node, fmt::format("/{}/{}", path, ++asked_), after);
     }
 
-    /// Sends a request of one content again.
+    /// Sends a request that has the same fingerprint at each call.
     void ask_same() { world_.stream_from_node(0, "/runs/same", 0); }
 
     scripted_replica& replica() noexcept { return replica_; }
@@ -85,21 +85,22 @@
     unsigned asked_ = 0;
 };
 
-/// What a client has of one stream, over all its requests for it.
+/// The events that a caller received of one stream, over all its requests for
+/// it.
 class caller_stream {
 public:
-    /// @param after the last event that it has already, 0 for none
+    /// @param after the last event that the caller already has, 0 for none
     explicit caller_stream(unsigned after = 0)
         : last_(after) {}
 
-    /// Takes an answer, whole or cut.
-    /// @param runs how many runs there were so far
+    /// Checks and adds the events of an answer, complete or truncated.
+    /// @param runs number of attempts so far
     void add_answer(fetch_result const& answer, std::size_t runs) {
         std::string_view rest = answer.response.body;
         while (!rest.empty()) {
             std::size_t const end = rest.find("\n\n");
             if (end == std::string_view::npos) {
-                problem_ += fmt::format("half event '{}'; ", rest);
+                problem_ += fmt::format("incomplete event '{}'; ", rest);
                 break;
             }
             add_event(rest.substr(0, end + 2), runs);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// @returns what is wrong with what came, empty for nothing
+    /// @returns the errors in the received events, empty for none
     std::string const& problem() const noexcept { return problem_; }
     unsigned last() const noexcept { return last_; }
     bool complete() const noexcept { return complete_; }
@@ -148,8 +149,8 @@
     return run;
 }
 
-/// Plays one request over scripted runs; its client takes what comes.
-/// @param after the last event that the client has, 0 for none
+/// Sends one request that is answered by scripted attempts.
+/// @param after the last event that the caller has, 0 for none
 caller_stream send_request(
     stream_fixture& world, std::deque<scripted_attempt> runs,
     std::string_view path, unsigned after = 0) {
@@ -161,7 +162,7 @@
     return caller;
 }
 
-/// Plays a stream that its client resumes, by turns at each node.
+/// Sends a request for a stream that its caller resumes at each node in turn.
 caller_stream
 send_and_resume(stream_fixture& world, std::deque<scripted_attempt> runs) {
     constexpr std::size_t nodes = 2;
@@ -179,13 +180,13 @@
 
 } // namespace
 
-// Guards against an event joined from the half event of a run that has ended
-// and an event of the next run.
-TEST_CASE("a run's half event ends with its run") {
+// Guards against an event that is joined from the incomplete event of an ended
+// attempt and an event of the next attempt.
+TEST_CASE("an incomplete event is dropped at the end of its attempt") {
     stream_fixture world;
     std::size_t const whole = body_bytes(stream_events);
 
-    SUBCASE("whichever byte was its last") {
+    SUBCASE("whichever byte was the last") {
         for (std::size_t const piece :
              {scripted_attempt::all, std::size_t{1}}) {
             for (std::size_t bytes = 0; bytes < whole; ++bytes) {
@@ -197,7 +198,7 @@
             }
         }
     }
-    SUBCASE("over three runs") {
+    SUBCASE("over three attempts") {
         constexpr std::size_t step = 3;
         std::size_t const event = body_bytes(1);
         for (std::size_t bytes = 0; bytes < whole; ++bytes) {
@@ -211,7 +212,7 @@
             }
         }
     }
-    SUBCASE("where its connection was reset") {
+    SUBCASE("with a reset connection") {
         constexpr std::size_t step = 6;
         for (std::size_t bytes = 1; bytes < whole; bytes += step) {
             auto const caller = send_request(
@@ -221,7 +222,7 @@
             CHECK(caller.complete());
         }
     }
-    SUBCASE("where the client goes on at another node") {
+    SUBCASE("with a caller that resumes at another node") {
         constexpr std::size_t step = 5;
         std::size_t const event = body_bytes(1);
         for (std::size_t bytes = 0; bytes < whole; ++bytes) {
@@ -237,9 +238,9 @@
     }
 }
 
-// Guards against an event that counts as handed on although it was dropped with
-// one that could not be joined.
-TEST_CASE("events before one that can't be joined are handed on") {
+// Guards against an event that counts as forwarded although it was dropped
+// together with one that could not be joined.
+TEST_CASE("events before one that can't be joined are forwarded") {
     stream_fixture world;
     scripted_attempt gap;
     gap.skipped = {3};
@@ -249,18 +250,18 @@
     CHECK(caller.complete());
 }
 
-// Guards against a gap between what a client has and the first event of the
-// answer to its resumption.
+// Guards against a gap between the last event that a caller has and the first
+// event of the resumed answer.
 TEST_CASE("a resumed answer begins with the next event") {
     stream_fixture world;
     scripted_attempt gap;
     gap.skipped = {2};
-    SUBCASE("at the node that the client asks") {
+    SUBCASE("at the first attempt") {
         auto const caller = send_request(world, {gap}, "runs", 1);
         CHECK(caller.problem() == "");
         CHECK(caller.complete());
     }
-    SUBCASE("after a run that ended before its first event") {
+    SUBCASE("after an attempt that ended before its first event") {
         auto const caller = send_request(world, {cut_after(0), gap}, "runs", 1);
         CHECK(caller.problem() == "");
         CHECK(caller.complete());
@@ -268,8 +269,8 @@
 }
 
 // Guards against a stream that ends as complete although a part of a further
-// event has come.
-TEST_CASE("an empty run does not complete a stream behind a half event") {
+// event was received.
+TEST_CASE("an empty attempt does not complete a stream after a partial event") {
     stream_fixture world;
     scripted_attempt empty;
     empty.skipped = {3, 4};
@@ -280,13 +281,13 @@
     CHECK_FALSE(caller.complete());
 }
 
-// Guards against an event that can't be placed: it would be handed on twice, or
-// hide one that is missing.
-TEST_CASE("an event without a number has no place in a stream that has them") {
+// Guards against an event without a number: it would be forwarded twice, or
+// hide a missing one.
+TEST_CASE("an event without a number is rejected in a numbered stream") {
     stream_fixture world;
     scripted_attempt spoiled;
 
-    SUBCASE("the run is given up before it") {
+    SUBCASE("the attempt is abandoned before it") {
         spoiled.unnumbered = {2};
         auto const caller = send_request(world, {spoiled}, "runs");
         CHECK(caller.problem() == "");
@@ -302,19 +303,19 @@
     }
 }
 
-// Guards against a second head inside an answer that has begun.
-TEST_CASE("a refusal of a resumed run is not written into the answer") {
+// Guards against a second response head inside an answer that has begun.
+TEST_CASE("a refusal of a resuming attempt is not written into the answer") {
     stream_fixture world;
     scripted_attempt refused;
     refused.status = 404;
 
-    SUBCASE("another replica goes on") {
+    SUBCASE("another replica continues the stream") {
         auto const caller =
             send_request(world, {cut_after(body_bytes(1)), refused}, "runs");
         CHECK(caller.problem() == "");
         CHECK(caller.complete());
     }
-    SUBCASE("the stream ends as cut when all refuse") {
+    SUBCASE("the stream ends as truncated when all replicas refuse") {
         std::deque<scripted_attempt> runs(replicas, refused);
         runs.front() = cut_after(body_bytes(2));
         auto const caller = send_request(world, runs, "runs");
@@ -324,15 +325,15 @@
     }
 }
 
-// Guards against a stream that ends as complete where its run's connection has
+// Guards against a stream that ends as complete when its replica's connection
 // ended between two events.
-TEST_CASE("a connection's end does not complete a stream that may be resumed") {
+TEST_CASE("the end of a connection does not complete a resumable stream") {
     stream_fixture world;
     scripted_attempt unframed;
     unframed.framing = body_framing::connection;
     unframed.cut = disconnect_kind::closed;
 
-    SUBCASE("it goes on elsewhere") {
+    SUBCASE("the stream continues at another replica") {
         for (unsigned events = 0; events <= stream_events; ++events) {
             unframed.bytes = body_bytes(events);
             auto const caller = send_request(world, {unframed}, "runs");
@@ -341,7 +342,7 @@
             CHECK(caller.complete());
         }
     }
-    SUBCASE("its client resumes it where the node may not") {
+    SUBCASE("its caller resumes it where the node may not") {
         for (unsigned events = 0; events <= stream_events; ++events) {
             unframed.bytes = body_bytes(events);
             auto const caller = send_and_resume(world, {unframed});
@@ -350,12 +351,12 @@
             CHECK(caller.complete());
         }
     }
-    SUBCASE("it ends where no replica tells lengths") {
+    SUBCASE("the stream ends when no replica sends a length") {
         std::deque<scripted_attempt> const runs(replicas, unframed);
         CHECK(send_request(world, runs, "runs").complete());
         CHECK(send_and_resume(world, runs).complete());
     }
-    SUBCASE("one that may not be resumed is taken at the protocol's word") {
+    SUBCASE("a stream that may not be resumed ends as HTTP defines it") {
         CHECK(send_request(world, {unframed}, "bare").complete());
     }
     SUBCASE("a reset completes nothing") {
@@ -367,15 +368,15 @@
     }
 }
 
-// Guards against a content that is held for an hour as one that ends replicas,
-// though all of them answered.
-TEST_CASE("a replica that answers amiss has not ended") {
+// Guards against a request that is quarantined for an hour for crashing
+// replicas, although all replicas answered.
+TEST_CASE("an invalid answer does not count as a crash of the replica") {
     stream_fixture world;
     scripted_attempt amiss;
     SUBCASE("without its signature") {
         amiss.is_signed = false;
     }
-    SUBCASE("with an event that has no place") {
+    SUBCASE("with an event without a number") {
         amiss.unnumbered = {2};
     }
     world.replica().script =
