--- a/src/Gateway/request_handler.cpp
+++ b/src/Gateway/request_handler.cpp
@@ -58,9 +58,9 @@
     route_ = *found;
     tracker_ = attempt_tracker(route_->idempotent());
     position_ = delivery_position(demand_.last_event, route_->resumable);
-    milliseconds const patience =
+    milliseconds const timeout =
         std::min(demand_.patience.value_or(route_->timeout), route_->timeout);
-    deadline_ = arrived_at_ + patience;
+    deadline_ = arrived_at_ + timeout;
     need_.service = pick_service(*route_, hash_text(demand_.id.str()));
     need_.adapter = demand_.adapter;
     need_.model = demand_.model;
@@ -142,7 +142,7 @@
             co_await attempt(*state_->replicas.find(id));
         record_health(id, end);
         log_attempt(id, end);
-        bool const others_count = report_outcome(id, end);
+        bool const crash_reported = report_outcome(id, end);
         leave_gate(end);
         if (end == attempt_outcome::finished) {
             co_await finish("answered");
@@ -157,7 +157,7 @@
             co_await finish(reason_);
             co_return;
         }
-        if (others_count) {
+        if (crash_reported) {
             co_await await_crash_reports();
         }
     }
@@ -176,11 +176,11 @@
         // A replica refuses every version other than the one named in the
         // request, even a newer one. The request therefore names the version
         // that the replica is expected to have loaded.
-        auto const held = at.adapters.find(need_.adapter);
-        bool const known =
-            held != at.adapters.end() && held->second.version >= least;
-        terms.version = known ? held->second.version
-                              : state_->versions.newest(need_.adapter);
+        auto const resident = at.adapters.find(need_.adapter);
+        bool const version_known =
+            resident != at.adapters.end() && resident->second.version >= least;
+        terms.version = version_known ? resident->second.version
+                                      : state_->versions.newest(need_.adapter);
     }
     terms.after_event = position_.last();
     return terms;
--- a/src/Gateway/request_handler.hpp
+++ b/src/Gateway/request_handler.hpp
@@ -107,7 +107,7 @@
     bool should_delay(replica const& at, instant now) const;
     bool load_already_rejected(instant now) const;
     void request_additional_load(replica const& best, instant now);
-    void request_load_at(replica* home, bool urgent);
+    void request_load_at(replica* preferred, bool urgent);
     duration wait_budget(instant now) const;
     duration objective_fraction(double part) const;
     boost::asio::awaitable<attempt_outcome> attempt(replica& at);
--- a/src/Gateway/request_handler_completion.cpp
+++ b/src/Gateway/request_handler_completion.cpp
@@ -37,8 +37,8 @@
     if (at == nullptr || !at->record.started_at) {
         return name;
     }
-    auto const born = at->record.started_at->time_since_epoch().count();
-    return combine_hashes(name, static_cast<std::uint64_t>(born));
+    auto const start_time = at->record.started_at->time_since_epoch().count();
+    return combine_hashes(name, static_cast<std::uint64_t>(start_time));
 }
 
 } // namespace
@@ -59,12 +59,12 @@
         evidence = health_signal::failed;
     }
     if (target->health.add_outcome(evidence, now)) {
-        duration const rest = target->health.suspected_until() - now;
+        duration const suspected_for = target->health.suspected_until() - now;
         state_->log_event(
             log_line(event_code::replica_suspected, log_level::warning)
                 .with("replica", at.str())
-                .with("rest_ms", rest));
-        messenger_->broadcast_suspicion(*target, rest);
+                .with("rest_ms", suspected_for));
+        messenger_->broadcast_suspicion(*target, suspected_for);
     }
 }
 
@@ -85,16 +85,16 @@
     }
     std::uint64_t const attempt_id =
         combine_hashes(hash_text(demand_.id.str()), attempts_);
-    bool const begins =
+    bool const admitted =
         co_await messenger_->request_admission(fingerprint_, attempt_id);
-    if (!begins) {
+    if (!admitted) {
         asio::steady_timer timer(state_->io, gate_retry_delay);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         co_return false;
     }
     gate_attempt_ = attempt_id;
-    replica const* const still = state_->replicas.find(at);
-    bool const usable = still != nullptr && still->accepts_requests() &&
+    replica const* const current = state_->replicas.find(at);
+    bool const usable = current != nullptr && current->accepts_requests() &&
                         !caller->gone && !refuse_quarantined();
     if (!usable) {
         leave_gate(attempt_outcome::unreached);
@@ -129,10 +129,10 @@
             fingerprint_, incarnation_hash(at, state_->replicas));
     }
     constexpr int first_redirect = 300;
-    bool const whole = response_complete_ &&
-                       tracker_.phase() == attempt_phase::completed &&
-                       status_ < first_redirect;
-    if (whole) {
+    bool const succeeded = response_complete_ &&
+                           tracker_.phase() == attempt_phase::completed &&
+                           status_ < first_redirect;
+    if (succeeded) {
         messenger_->report_completion(fingerprint_);
     }
     return false;
@@ -156,13 +156,13 @@
 milliseconds request_handler::retry_after() const {
     // Long enough for a load, and short enough for the caller to retry once
     // more in time.
-    constexpr milliseconds one_load{400};
+    constexpr milliseconds min_retry_after{400};
     if (quarantined_for_) {
         return std::chrono::ceil<milliseconds>(*quarantined_for_);
     }
     auto const forecast = std::chrono::duration_cast<milliseconds>(
         earliest_ready_in_.value_or(duration::zero()));
-    return std::max(one_load, forecast);
+    return std::max(min_retry_after, forecast);
 }
 
 http_response request_handler::final_answer() {
--- a/src/Gateway/request_handler_forwarding.cpp
+++ b/src/Gateway/request_handler_forwarding.cpp
@@ -82,9 +82,9 @@
         status_ = call->status();
         state_->metrics.observe_first_byte(boot_clock::now() - arrived_at_);
         http_fields fields = platform::pass_fields(call->fields());
-        bool const begun =
+        bool const started =
             co_await exchange_->begin_stream(status_, std::move(fields));
-        caller->gone = caller->gone || !begun;
+        caller->gone = caller->gone || !started;
     }
     bool const passed = co_await write_to_caller(events.text);
     position_ = passed ? events.position : position_;
--- a/src/Gateway/request_handler_replica_search.cpp
+++ b/src/Gateway/request_handler_replica_search.cpp
@@ -87,19 +87,19 @@
     return best;
 }
 
-void request_handler::request_load_at(replica* home, bool urgent) {
-    if (home == nullptr) {
+void request_handler::request_load_at(replica* preferred, bool urgent) {
+    if (preferred == nullptr) {
         return;
     }
-    bool const first_request = load_target_ != home->record.id;
-    load_target_ = home->record.id;
+    bool const first_request = load_target_ != preferred->record.id;
+    load_target_ = preferred->record.id;
     std::uint32_t const version =
         state_->versions.newest(need_.adapter).value_or(0);
     load_priority const kind =
         urgent ? load_priority::demand : load_priority::prefetch;
     load_targets_ += urgent && first_request ? 1 : 0;
     messenger_->request_load(
-        *home, {need_.adapter, version}, kind, first_request,
+        *preferred, {need_.adapter, version}, kind, first_request,
         wait_budget(boot_clock::now()));
 }
 
@@ -118,8 +118,8 @@
     replica const& best, instant now) {
     std::size_t const replicas =
         state_->replicas.of_service(need_.service).size();
-    std::size_t const here = state_->choice.resident_count(need_, now);
-    std::size_t const wanted =
+    std::size_t const resident = state_->choice.resident_count(need_, now);
+    std::size_t const target_count =
         state_->demand.target_replica_count(need_.adapter, replicas, now);
     // An additional load distributes nothing while the replicas that have the
     // adapter are no fuller than the others. Each node estimates the demand
@@ -134,7 +134,7 @@
     bool const queues =
         replica_selector::utilization(best, now) >= queueing_utilization &&
         state_->demand.warrants_replication(need_.adapter, replicas, now);
-    if (fuller && here > 0 && (here < wanted || queues)) {
+    if (fuller && resident > 0 && (resident < target_count || queues)) {
         // While the replicas that have the adapter still have capacity, the
         // additional load yields to loads that requests wait for.
         bool const urgent = replica_selector::utilization(best, now) >=
@@ -148,13 +148,13 @@
     // A replica that was requested to load the adapter stays the choice while
     // it can load it: the load may be in progress, and a load at another
     // replica would be redundant.
-    replica* const asked = state_->replicas.find(load_target_);
+    replica* const requested = state_->replicas.find(load_target_);
     // A replica that has filled up in the meantime is not kept, because it
     // would cause a refusal.
-    if (asked != nullptr && asked->accepts_requests() &&
-        asked->denial(need_.adapter, now) == nullptr &&
-        asked->load() < max_load && !asked->health.suspected(now)) {
-        return asked;
+    if (requested != nullptr && requested->accepts_requests() &&
+        requested->denial(need_.adapter, now) == nullptr &&
+        requested->load() < max_load && !requested->health.suspected(now)) {
+        return requested;
     }
     replica* const next = state_->choice.next_preferred_replica(need_, now);
     replica const* const soonest =
@@ -190,8 +190,8 @@
         need_.min_version = least;
         best = state_->choice.best(need_, now);
     }
-    bool const sound = best != nullptr && !best->health.suspected(now);
-    if (sound && best->usage_known(now) &&
+    bool const healthy = best != nullptr && !best->health.suspected(now);
+    if (healthy && best->usage_known(now) &&
         best->load() < immediate_load_limit) {
         request_additional_load(*best, now);
         delayed_ = should_delay(*best, now);
@@ -200,17 +200,18 @@
         }
         return best;
     }
-    replica* const home = select_preferred_replica(now);
+    replica* const preferred = select_preferred_replica(now);
     // While no node is known to count the replica's requests, all nodes send to
     // it without knowing its load. Such a replica is used only when there is no
     // other.
-    bool const blind = sound && !best->usage_known(now) && home != nullptr &&
-                       home->usage_known(now) &&
-                       now < arrived_at_ + route_->objective / 2;
-    if (sound && !blind && best->load() < max_load) {
-        if (home != nullptr && home->load() < best->load() &&
+    bool const usage_unknown = healthy && !best->usage_known(now) &&
+                               preferred != nullptr &&
+                               preferred->usage_known(now) &&
+                               now < arrived_at_ + route_->objective / 2;
+    if (healthy && !usage_unknown && best->load() < max_load) {
+        if (preferred != nullptr && preferred->load() < best->load() &&
             best->load() >= replication_load) {
-            request_load_at(home, false);
+            request_load_at(preferred, false);
         }
         return best;
     }
@@ -220,15 +221,16 @@
     // available elsewhere no sooner.
     bool const service_busy =
         state_->choice.mean_utilization(need_.service, now) >= busy_utilization;
-    if (home != nullptr && (home->load() < max_load || !service_busy)) {
-        request_load_at(home, true);
+    if (preferred != nullptr &&
+        (preferred->load() < max_load || !service_busy)) {
+        request_load_at(preferred, true);
         return std::nullopt;
     }
-    if (earliest_ready_in_ && home == nullptr) {
+    if (earliest_ready_in_ && preferred == nullptr) {
         reason_ = "load-takes-too-long";
         return nullptr;
     }
-    bool const none = best == nullptr && home == nullptr;
+    bool const none = best == nullptr && preferred == nullptr;
     if (none && awaits_registry_entries(now)) {
         return std::nullopt;
     }
@@ -248,21 +250,22 @@
 // message repeats it. Without this check a refusal took 300 ms for each
 // replica.
 bool request_handler::load_already_rejected(instant now) const {
-    replica const* const home = state_->replicas.find(load_target_);
-    return home != nullptr && home->denial(need_.adapter, now) != nullptr;
+    replica const* const preferred = state_->replicas.find(load_target_);
+    return preferred != nullptr &&
+           preferred->denial(need_.adapter, now) != nullptr;
 }
 
 asio::awaitable<void> request_handler::refresh_utilization() {
     auto const caller = caller_;
     instant const began = boot_clock::now();
     instant const until = began + utilization_query_timeout;
-    auto const asked = messenger_->query_replica_usage(
+    auto const queried = messenger_->query_replica_usage(
         state_->choice.compared_replicas(need_, began), need_.adapter, began);
     auto const unanswered = [&](endpoint_id const& id) {
         replica const* const at = state_->replicas.find(id);
         return at != nullptr && at->usage_received_at < began;
     };
-    while (std::ranges::any_of(asked, unanswered) && !caller->gone &&
+    while (std::ranges::any_of(queried, unanswered) && !caller->gone &&
            boot_clock::now() < until) {
         adapter_id adapter = need_.adapter;
         co_await state_->waiters.wait(std::move(adapter), until);
@@ -281,21 +284,22 @@
         deadline_ - min_attempt_time,
         began + objective_fraction(max_wait_objectives));
     bool waited = false;
-    bool freshened = false;
+    bool refreshed = false;
     while (!caller->gone) {
         instant const now = boot_clock::now();
         if (now >= deadline_ - min_attempt_time) {
             reason_ = "too-late";
             co_return nullptr;
         }
-        endpoint_id const before = load_target_;
+        endpoint_id const previous_target = load_target_;
         std::optional<replica*> const found = need_.adapter.empty()
                                                   ? select_plain_replica(now)
                                                   : select_adapter_replica(now);
-        if (!found && load_target_ != before && load_already_rejected(now)) {
+        if (!found && load_target_ != previous_target &&
+            load_already_rejected(now)) {
             continue;
         }
-        if (found && (!waited || *found == nullptr || freshened)) {
+        if (found && (!waited || *found == nullptr || refreshed)) {
             if (waited) {
                 state_->metrics.observe_load_wait(now - began);
             }
@@ -305,10 +309,10 @@
             // All waiting requests wake up at the same time, so the known
             // utilization is outdated.
             co_await refresh_utilization();
-            freshened = true;
+            refreshed = true;
             continue;
         }
-        freshened = false;
+        refreshed = false;
         if (now >= wait_until) {
             reason_ = "load-takes-too-long";
             co_return nullptr;
@@ -321,10 +325,10 @@
         }
         waited = waited || !delayed_;
         adapter_id adapter = need_.adapter;
-        instant const look =
+        instant const poll_at =
             delayed_ ? now + delay_poll_interval : now + load_request_interval;
         co_await state_->waiters.wait(
-            std::move(adapter), std::min(wait_until, look));
+            std::move(adapter), std::min(wait_until, poll_at));
     }
     reason_ = "caller-gone";
     co_return nullptr;
