--- a/test/gateway/poison_request_restart_test.cpp
+++ b/test/gateway/poison_request_restart_test.cpp
@@ -52,13 +52,14 @@
         ++attempts_;
         // Each attempt crashes a replica; the answer arrives after the last
         // crash.
-        auto const& ends = world_->crash_times;
-        for (std::size_t each = before; each < ends.size(); ++each) {
+        auto const& crash_times = world_->crash_times;
+        for (std::size_t each = before; each < crash_times.size(); ++each) {
             bool const connected =
                 sent >= world_->started(which) + connect_time;
             bool const late =
                 each >= quarantine_threshold &&
-                ends[each] > ends[quarantine_threshold - 1] + connect_time;
+                crash_times[each] >
+                    crash_times[quarantine_threshold - 1] + connect_time;
             counted_ += connected && late ? 1 : 0;
         }
     }
