--- a/src/Gateway/request_handler.hpp
+++ b/src/Gateway/request_handler.hpp
@@ -23,153 +23,167 @@
 
 namespace camphorpoint {
 
-/// Least time that a replica needs for anything.
+/// Minimum time that a replica needs for any answer. No attempt is sent when
+/// less than this remains before the request's deadline.
 inline constexpr std::chrono::milliseconds min_attempt_time{20};
 
-/// One request's way from its caller to a replica and back.
+/// Handles one request: selects a replica, forwards the request to it, passes
+/// the answer back to the caller, and retries at other replicas where that is
+/// safe.
 class request_handler {
 public:
-    /// @param beliefs  what the node knows; must outlive the flow
-    /// @param words    for wants of adapters; must outlive the flow
-    /// @param exchange the caller's request; must outlive the flow
+    /// @param state     the node's view of the cluster; must outlive the
+    ///                  handler
+    /// @param messenger sends load requests and crash reports to the other
+    ///                  nodes; must outlive the handler
+    /// @param exchange  the caller's request; must outlive the handler
     request_handler(
-        gateway_state& state, peer_messenger& words, http_exchange& exchange);
+        gateway_state& state, peer_messenger& messenger,
+        http_exchange& exchange);
     ~request_handler();
     request_handler(request_handler const&) = delete;
     request_handler& operator=(request_handler const&) = delete;
 
-    /// Answers the request.
+    /// Processes the request until the caller has its answer or has
+    /// disconnected.
     boost::asio::awaitable<void> run();
 
 private:
-    /// How one attempt ended.
-    enum class attempt_end : std::uint8_t {
-        /// The caller has its whole answer, or is gone.
+    /// Result of one attempt.
+    enum class attempt_outcome : std::uint8_t {
+        /// The caller has received its complete answer, or has disconnected.
         finished,
-        /// The replica, or one at its address, has not run it.
+        /// The replica, or another one at its address, reported that it did not
+        /// execute the request.
         refused,
-        /// No byte of it was sent.
+        /// No byte of the request was sent.
         unreached,
-        /// The replica ran it and failed, or answered with what can't be meant.
+        /// The replica executed the request and reported a failure, or sent an
+        /// invalid answer.
         failed,
-        /// It fell silent.
+        /// The replica sent nothing within the time-out.
         silent,
-        /// It broke off.
+        /// The connection failed before the answer was complete.
         broken,
-        /// Its connection ended, which tells a whole stream from a cut one only
-        /// when another run has nothing to add.
+        /// The answer has no length and ended with its connection. Whether the
+        /// stream is complete is known only when another attempt has nothing to
+        /// add.
         unproven,
-        /// The time is over.
+        /// The deadline passed during the attempt.
         late
     };
 
-    /// What one run brought.
-    struct run_trace {
-        /// The last event handed on when it began.
+    /// Details of one attempt, for the log.
+    struct attempt_trace {
+        /// Number of the last event that was passed to the caller before the
+        /// attempt.
         std::uint64_t after = 0;
-        /// Bytes behind its last whole event.
+        /// Bytes received after the last complete event.
         std::size_t half_bytes = 0;
-        /// How the answer's body ended.
+        /// How the body of the answer ended.
         std::string_view body = "none";
-        /// The replica's connection ended before its answer had.
+        /// Set when the connection ended before the answer was complete.
         bool broke_off = false;
     };
 
-    bool admit();
-    bool refuse_held();
-    /// @returns true when others count the content's ends and may say that it
-    ///          is held
-    bool note_content(endpoint_id const& at, attempt_end end);
-    boost::asio::awaitable<void> hear_counts();
-    boost::asio::awaitable<bool> pass_gate(endpoint_id at);
-    void prove_content();
-    void leave_gate(attempt_end end);
-    boost::asio::awaitable<void> answer_all();
+    bool resolve_route();
+    bool refuse_quarantined();
+    /// Reports a crash or a success of the request to the nodes that count
+    /// crashes by request fingerprint.
+    /// @returns true when other nodes count the crashes and may be about to
+    ///          quarantine the request
+    bool report_outcome(endpoint_id const& at, attempt_outcome end);
+    boost::asio::awaitable<void> await_crash_reports();
+    boost::asio::awaitable<bool> enter_gate(endpoint_id at);
+    void report_first_output();
+    void leave_gate(attempt_outcome end);
+    boost::asio::awaitable<void> run_attempts();
     boost::asio::awaitable<replica*> find_replica();
-    boost::asio::awaitable<void> freshen_loads();
-    std::optional<replica*> plain_replica(instant now);
-    bool awaits_entries(instant now) const;
-    std::optional<replica*> adapter_replica(instant now);
-    replica* home_for(instant now);
-    bool should_hold(replica const& at, instant now) const;
-    bool denied_already(instant now) const;
-    void want_copies(replica const& best, instant now);
-    void ask_for_copy(replica* home, bool urgent);
-    duration patience(instant now) const;
-    duration part_of_objective(double part) const;
-    boost::asio::awaitable<attempt_end> attempt(replica& at);
-    boost::asio::awaitable<attempt_end>
+    boost::asio::awaitable<void> refresh_utilization();
+    std::optional<replica*> select_plain_replica(instant now);
+    bool awaits_registry_entries(instant now) const;
+    std::optional<replica*> select_adapter_replica(instant now);
+    replica* select_preferred_replica(instant now);
+    bool should_delay(replica const& at, instant now) const;
+    bool load_already_rejected(instant now) const;
+    void request_additional_load(replica const& best, instant now);
+    void request_load_at(replica* preferred, bool urgent);
+    duration wait_budget(instant now) const;
+    duration objective_fraction(double part) const;
+    boost::asio::awaitable<attempt_outcome> attempt(replica& at);
+    boost::asio::awaitable<attempt_outcome>
     read_answer(endpoint_id at, std::shared_ptr<http_call> call);
-    boost::asio::awaitable<attempt_end>
-    pass_stream(std::shared_ptr<http_call> call);
+    boost::asio::awaitable<attempt_outcome>
+    forward_stream(std::shared_ptr<http_call> call);
     boost::asio::awaitable<bool>
-    hand_on(std::shared_ptr<http_call> call, joined_events events);
-    boost::asio::awaitable<attempt_end> end_run(
-        std::shared_ptr<http_call> call, attempt_stream const& run,
-        bool read_whole);
-    boost::asio::awaitable<attempt_end>
-    pass_whole(std::shared_ptr<http_call> call, int status);
-    boost::asio::awaitable<bool> forward(std::string_view piece);
+    forward_events(std::shared_ptr<http_call> call, joined_events events);
+    boost::asio::awaitable<attempt_outcome> finish_stream_attempt(
+        std::shared_ptr<http_call> call, attempt_stream const& stream,
+        bool read_to_end);
+    boost::asio::awaitable<attempt_outcome>
+    forward_buffered(std::shared_ptr<http_call> call, int status);
+    boost::asio::awaitable<bool> write_to_caller(std::string_view piece);
     http_response final_answer();
-    void note_end(std::string_view reason);
+    void log_completion(std::string_view reason);
     boost::asio::awaitable<void> finish(std::string_view why);
-    bool may_go_on(attempt_end end);
-    bool draw_second_send();
-    void note_evidence(endpoint_id const& at, attempt_end end);
-    void note_attempt(endpoint_id const& at, attempt_end end);
-    std::chrono::milliseconds come_back() const;
-    call_times times_of_send(instant now) const;
-    platform::send_terms terms_of(replica const& at, instant now) const;
+    bool may_retry(attempt_outcome end);
+    bool consume_resend_budget();
+    void record_health(endpoint_id const& at, attempt_outcome end);
+    void log_attempt(endpoint_id const& at, attempt_outcome end);
+    std::chrono::milliseconds retry_after() const;
+    call_times send_times(instant now) const;
+    platform::send_terms make_send_terms(replica const& at, instant now) const;
 
     gateway_state* state_;
     peer_messenger* messenger_;
     http_exchange* exchange_;
-    instant arrived_;
+    instant arrived_at_;
     instant deadline_;
     platform::caller_demand demand_;
     std::optional<service_route> route_;
     replica_requirements need_;
-    request_fingerprint content_{};
-    /// Its number at the content's gate, while it was let begin and has shown
-    /// nothing yet.
-    std::optional<std::uint64_t> gate_run_;
-    /// For how long its content is not run.
-    std::optional<duration> held_for_;
-    /// The replica that was asked last to hold the adapter.
-    endpoint_id asked_;
-    /// How many were asked since the search began, and when that was.
-    unsigned homes_asked_ = 0;
-    instant search_began_;
-    /// How long the adapter would take at the soonest, when no home can have it
-    /// ready in time.
-    std::optional<duration> soonest_;
-    attempt_tracker ledger_{false};
+    request_fingerprint fingerprint_{};
+    /// Number of the admitted attempt at the request gate; set from the
+    /// admission until the attempt's first output or its end.
+    std::optional<std::uint64_t> gate_attempt_;
+    /// Remaining quarantine of the request, if it is quarantined.
+    std::optional<duration> quarantined_for_;
+    /// The replica that was last requested to load the adapter.
+    endpoint_id load_target_;
+    /// Number of replicas that were requested to load the adapter since the
+    /// search for a replica began, and the start of that search.
+    unsigned load_targets_ = 0;
+    instant search_started_at_;
+    /// Time until the adapter could be ready at the earliest, when no preferred
+    /// replica can have it ready in time.
+    std::optional<duration> earliest_ready_in_;
+    attempt_tracker tracker_{false};
     delivery_position position_;
-    run_trace trace_;
-    /// It waits for its replica to read other prompts.
-    bool holding_ = false;
-    bool begun_ = false;
-    /// What the caller saw, for the log: when its first bytes left, and the
-    /// longest pause between bytes since.
-    instant first_sent_;
-    instant last_sent_;
+    attempt_trace trace_;
+    /// The request is delayed until its replica has processed other prompts.
+    bool delayed_ = false;
+    bool response_started_ = false;
+    /// For the log: when the first and the latest bytes were sent to the
+    /// caller, and the longest pause between two writes.
+    instant first_sent_at_;
+    instant last_sent_at_;
     duration longest_pause_{0};
-    bool ended_ = false;
-    unsigned tries_ = 0;
-    /// Second sends that were drawn on the budget.
-    unsigned second_sends_ = 0;
-    std::optional<http_response> failure_;
+    bool response_complete_ = false;
+    unsigned attempts_ = 0;
+    /// Resends that were charged to the budget.
+    unsigned resends_ = 0;
+    std::optional<http_response> failure_response_;
     std::string reason_ = "unanswered";
     int status_ = 0;
-    /// Shared with the call-back that the caller's leaving triggers, which may
-    /// outlive the flow.
-    struct leaving {
+    /// Shared with the callback for the caller's disconnection, which may
+    /// outlive the handler.
+    struct caller_state {
         bool gone = false;
         std::shared_ptr<http_call> call;
         waiter_list* waiters = nullptr;
         adapter_id adapter;
     };
-    std::shared_ptr<leaving> leaving_;
+    std::shared_ptr<caller_state> caller_;
 };
 
 } // namespace camphorpoint
