--- a/src/Membership/endpoint_table.cpp
+++ b/src/Membership/endpoint_table.cpp
@@ -12,7 +12,7 @@
         entry& place = entries_[each.id];
         place.seen = true;
         if (!place.listed || place.instance != each) {
-            ++changes_;
+            ++change_count_;
         }
         place.listed = true;
         place.instance = each;
@@ -32,7 +32,7 @@
         bool const was_listed = each.listed;
         if (!each.seen && was_listed) {
             entry_at = entries_.erase(entry_at);
-            ++changes_;
+            ++change_count_;
         } else {
             ++entry_at;
         }
@@ -43,8 +43,8 @@
     entry& place = entries_[endpoint];
     bool const news = !place.leaving_until;
     if (news) {
-        place.leaving_until = now + settings_.hold;
-        ++changes_;
+        place.leaving_until = now + settings_.leaving_report_lifetime;
+        ++change_count_;
     }
     return news;
 }
@@ -57,15 +57,15 @@
     }
     entry& place = found->second;
     if (succeeded) {
-        changes_ += place.avoid_until ? 1 : 0;
+        change_count_ += place.avoid_until ? 1 : 0;
         place.failures = 0;
         place.avoid_until.reset();
         return;
     }
     ++place.failures;
-    if (place.failures >= settings_.endpoint_failures) {
-        changes_ += place.avoid_until ? 0 : 1;
-        place.avoid_until = now + settings_.endpoint_retry;
+    if (place.failures >= settings_.endpoint_failure_threshold) {
+        change_count_ += place.avoid_until ? 0 : 1;
+        place.avoid_until = now + settings_.endpoint_retry_delay;
         note_end(*place.avoid_until);
     }
 }
@@ -82,7 +82,7 @@
         if (now >= *each.avoid_until) {
             // One more failure makes it suspect again at once.
             each.avoid_until.reset();
-            ++changes_;
+            ++change_count_;
         } else {
             note_end(*each.avoid_until);
         }
@@ -97,7 +97,7 @@
             each.listed && each.instance.state == instance_state::live;
         if (over && says_live) {
             each.leaving_until.reset();
-            ++changes_;
+            ++change_count_;
         }
         entry_at = over && !each.listed ? entries_.erase(entry_at)
                                         : std::next(entry_at);
--- a/src/Membership/endpoint_table.hpp
+++ b/src/Membership/endpoint_table.hpp
@@ -51,7 +51,7 @@
     /// @returns the endpoint's data; null when the list never named it
     endpoint_instance const* find(endpoint_id const& endpoint) const;
     /// @returns a counter that grows with each change
-    std::uint64_t changes() const noexcept { return changes_; }
+    std::uint64_t change_count() const noexcept { return change_count_; }
 
 private:
     struct entry {
@@ -71,7 +71,7 @@
 
     membership_settings settings_;
     std::map<endpoint_id, entry> entries_;
-    std::uint64_t changes_ = 0;
+    std::uint64_t change_count_ = 0;
     std::optional<instant> next_end_;
 };
 
--- a/src/Membership/limit_shares.cpp
+++ b/src/Membership/limit_shares.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-constexpr limit_shares::amount whole = 1'000'000'000;
+constexpr quota_shares::amount whole = 1'000'000'000;
 /// Asks whose answers are still taken.
 constexpr std::size_t most_open = 8;
 
 } // namespace
 
-limit_shares::limit_shares(node_id self, std::size_t total, share_times times)
+quota_shares::quota_shares(
+    node_id self, std::size_t total, quota_loan_times times)
     : self_(std::move(self))
     , total_(total)
     , times_(times) {}
 
-void limit_shares::dealt(
+void quota_shares::dealt(
     std::vector<std::size_t> const& own, std::vector<node_id> holders,
     instant now) {
     std::erase_if(parts_, [&](auto const& each) {
@@ -38,7 +39,7 @@
     holders_ = std::move(holders);
 }
 
-limit_shares::amount limit_shares::dealt_amount(instant now) const {
+quota_shares::amount quota_shares::dealt_amount(instant now) const {
     auto const settled = std::ranges::count_if(
         parts_, [now](auto const& each) { return now >= each.second; });
     std::size_t const part = whole / std::max<std::size_t>(1, total_);
@@ -46,7 +47,7 @@
 }
 
 // A borrower that was lent less at its last renewal may not have heard of it.
-limit_shares::amount limit_shares::lent_to(borrower const& one, instant now) {
+quota_shares::amount quota_shares::lent_to(borrower const& one, instant now) {
     amount most = 0;
     for (loan const& each : one.loans) {
         most = now < each.until ? std::max(most, each.lent) : most;
@@ -54,7 +55,7 @@
     return most;
 }
 
-limit_shares::amount limit_shares::lent(instant now) const {
+quota_shares::amount quota_shares::lent(instant now) const {
     amount sum = 0;
     for (auto const& [id, each] : borrowers_) {
         sum += lent_to(each, now);
@@ -62,7 +63,7 @@
     return sum;
 }
 
-void limit_shares::forget_old(instant now) {
+void quota_shares::forget_old(instant now) {
     for (auto& [id, each] : borrowers_) {
         std::erase_if(
             each.loans, [now](loan const& one) { return now >= one.until; });
@@ -73,7 +74,7 @@
     });
 }
 
-limit_shares::amount limit_shares::on_ask(node_id const& from, instant now) {
+quota_shares::amount quota_shares::on_ask(node_id const& from, instant now) {
     forget_old(now);
     borrower& asking = borrowers_[from];
     asking.asked = now;
@@ -86,7 +87,7 @@
     return given;
 }
 
-std::optional<limit_shares::question> limit_shares::ask(instant now) {
+std::optional<quota_shares::question> quota_shares::ask(instant now) {
     if (!parts_.empty() || holders_.empty() || now < next_ask_) {
         return std::nullopt;
     }
@@ -100,7 +101,7 @@
     return question{to, last_number_};
 }
 
-void limit_shares::on_given(
+void quota_shares::on_given(
     node_id const& from, std::uint32_t number, amount given, instant now) {
     auto const asked = std::ranges::find(asks_, number, &open_ask::number);
     if (asked == asks_.end()) {
@@ -122,7 +123,7 @@
     next_ask_ = now + (given > 0 ? times_.renewal : times_.answer);
 }
 
-double limit_shares::own(instant now) const {
+double quota_shares::own(instant now) const {
     amount const all = dealt_amount(now);
     amount const away = lent(now);
     amount sum = all > away ? all - away : 0;
--- a/src/Membership/limit_shares.hpp
+++ b/src/Membership/limit_shares.hpp
@@ -14,7 +14,7 @@
 namespace camphorpoint {
 
 /// Times of the leases under which parts of a limit are lent.
-struct share_times {
+struct quota_loan_times {
     /// How long a node may use what it was lent, from its asking on.
     std::chrono::milliseconds lease{4'000};
     /// How long a part that was dealt waits before it is used or lent: who had
@@ -35,7 +35,7 @@
 /// shares add up to the limit at most, whatever gets lost or starts anew.
 /// References: D. Barbara, H. Garcia-Molina, "The demarcation protocol", VLDB
 /// Journal 3(3), 1994; C. Gray, D. Cheriton, "Leases", SOSP 1989.
-class limit_shares {
+class quota_shares {
 public:
     /// Amounts are in billionths of the limit, rounded down, so that they add
     /// up without error.
@@ -49,7 +49,7 @@
 
     /// @param self  this node
     /// @param total parts that the platform deals
-    limit_shares(node_id self, std::size_t total, share_times times = {});
+    quota_shares(node_id self, std::size_t total, quota_loan_times times = {});
 
     /// The platform has dealt its parts anew.
     /// @param own     those of this node
@@ -94,7 +94,7 @@
 
     node_id self_;
     std::size_t total_;
-    share_times times_;
+    quota_loan_times times_;
     /// Own parts, and from when on each counts.
     std::map<std::size_t, instant> parts_;
     /// Holders in the order in which this node asks them.
--- a/src/Membership/membership.cpp
+++ b/src/Membership/membership.cpp
@@ -7,14 +7,14 @@
 namespace camphorpoint {
 
 membership::membership(
-    membership_settings settings, node_instance self, std::uint64_t run,
-    std::mt19937_64 random)
+    membership_settings settings, node_instance self,
+    std::uint64_t start_time_ms, std::mt19937_64 random)
     : settings_(settings)
     , self_(std::move(self))
-    , at_{run, 0}
+    , at_{start_time_ms, 0}
     , random_(random)
     , endpoints_(settings)
-    , shares_(self_.id, settings.dealt_parts, settings.shares) {
+    , shares_(self_.id, settings.quota_unit_count, settings.quota_loans) {
     tell_self();
 }
 
@@ -43,7 +43,7 @@
     member& who = place->second;
     who.seen = true;
     if (added || who.instance != node) {
-        ++changes_;
+        ++change_count_;
     }
     who.instance = node;
     if (added) {
@@ -68,7 +68,7 @@
         rounds_.heard(place->first);
         place = members_.erase(place);
         order_.clear();
-        ++changes_;
+        ++change_count_;
     }
     if (order_.empty()) {
         for (auto const& [id, who] : members_) {
@@ -80,21 +80,22 @@
 void membership::on_datagram(std::string_view datagram, instant now) {
     std::optional<probe_message> const message = decode_probe(datagram);
     if (!message) {
-        ++broken_;
+        ++malformed_datagrams_;
         return;
     }
     on_probe(*message, now);
 }
 
-void membership::on_peer_heard(node_id const& peer, instant /*now*/) {
-    if (settings_.base == base_set::met && peer != self_.id) {
+void membership::on_peer_message(node_id const& peer, instant /*now*/) {
+    if (settings_.source == member_source::gossip && peer != self_.id) {
         meet(peer, {});
     }
     rounds_.heard(peer);
     probe_soon_.erase(peer);
 }
 
-void membership::report_leaving(endpoint_id const& endpoint, instant now) {
+void membership::report_endpoint_leaving(
+    endpoint_id const& endpoint, instant now) {
     if (!endpoints_.leaving(endpoint, now)) {
         return;
     }
@@ -110,7 +111,7 @@
 
 void membership::start_leaving(instant /*now*/) {
     leaving_ = true;
-    ++changes_;
+    ++change_count_;
     tell_self();
 }
 
@@ -118,11 +119,13 @@
     // Guards against a node that was paused: the answers to its probes lie
     // unread, and it would accuse nodes that are well. It shows as a wave of
     // suspicions when the node wakes.
-    bool const paused = last_tick_ && now - *last_tick_ >= settings_.ack_limit;
-    bool const long_paused = last_tick_ && now - *last_tick_ >= settings_.hold;
+    bool const paused =
+        last_tick_ && now - *last_tick_ >= settings_.ack_timeout;
+    bool const long_paused =
+        last_tick_ && now - *last_tick_ >= settings_.leaving_report_lifetime;
     last_tick_ = now;
     if (paused) {
-        rounds_ = probe_rounds();
+        rounds_ = pending_probes();
     }
     if (long_paused) {
         updates_.clear();
@@ -147,7 +150,8 @@
     std::vector<live_node> result;
     result.reserve(members_.size() + 1);
     live_node const own{
-        self_.id, self_.domain, self_.peer_address, at_.run, leaving_};
+        self_.id, self_.domain, self_.peer_address, at_.start_time_ms,
+        leaving_};
     bool own_added = false;
     for (auto const& [id, who] : members_) {
         if (!own_added && self_.id < id) {
@@ -156,8 +160,8 @@
         }
         if (who.state != node_state::dead) {
             result.push_back(
-                {id, who.instance.domain, who.instance.peer_address, who.at.run,
-                 who.state == node_state::leaving});
+                {id, who.instance.domain, who.instance.peer_address,
+                 who.at.start_time_ms, who.state == node_state::leaving});
         }
     }
     if (!own_added) {
--- a/src/Membership/membership.hpp
+++ b/src/Membership/membership.hpp
@@ -32,7 +32,7 @@
     domain_id domain;
     std::string peer_address;
     /// The run last heard of; 0 when only the platform's list names the node.
-    std::uint64_t run = 0;
+    std::uint64_t start_time_ms = 0;
     /// True when the node has said that it stops: it finishes what it has and
     /// must get nothing new.
     bool leaving = false;
@@ -50,8 +50,8 @@
     /// @param run      when the process started, calendar milliseconds
     /// @param random   seeded
     membership(
-        membership_settings settings, node_instance self, std::uint64_t run,
-        std::mt19937_64 random);
+        membership_settings settings, node_instance self,
+        std::uint64_t start_time_ms, std::mt19937_64 random);
 
     /// A new answer of the platform's list.
     void on_instance_list(instance_list const& list, instant now);
@@ -61,21 +61,21 @@
     void on_probe(probe_message const& message, instant now);
     /// A peer was heard by other words than probes, which is as good as an
     /// answer to one.
-    void on_peer_heard(node_id const& peer, instant now);
+    void on_peer_message(node_id const& peer, instant now);
     /// An engine or service refused work because it is leaving. The report is
     /// spread to all nodes.
-    void report_leaving(endpoint_id const& endpoint, instant now);
+    void report_endpoint_leaving(endpoint_id const& endpoint, instant now);
     /// A direct call to an endpoint succeeded or failed. Failures make it
     /// suspect on this node alone.
     void
     on_endpoint_call(endpoint_id const& endpoint, bool succeeded, instant now);
     /// Somebody else names a node; it takes part from now on. Only where nodes
     /// are met.
-    void introduce(node_id const& node, instant now);
+    void add_known_node(node_id const& node, instant now);
     /// The platform has dealt the parts of the common limits anew.
     /// @param own     those of this node
     /// @param holders the nodes that have any
-    void on_parts_dealt(
+    void on_quota_units_assigned(
         std::vector<std::size_t> const& own, std::vector<node_id> holders,
         instant now);
     /// This node begins a planned stop and says so.
@@ -87,8 +87,8 @@
 
     /// @returns a counter that grows with each change of what is asked below,
     /// so that others recompute only then
-    std::uint64_t changes() const noexcept {
-        return changes_ + endpoints_.changes();
+    std::uint64_t change_count() const noexcept {
+        return change_count_ + endpoints_.change_count();
     }
     /// @returns all nodes that are neither dead nor gone, this one included,
     /// in the order of their names
@@ -96,11 +96,11 @@
     /// @returns the part of a common limit that this node may use, from 0 to 1.
     ///          Only where nodes are met. Where the platform deals no parts it
     ///          goes by the nodes that are known, and may be too much.
-    double share(instant now) const;
+    double quota_share(instant now) const;
     /// @returns how many nodes that are there go before this one in an order
     ///          that all agree on: those with more of a processor first. Few
     ///          nodes do by it what one could do for all.
-    std::size_t rank() const;
+    std::size_t capacity_rank() const;
     /// @returns whom this node takes to be there
     member_digest digest() const;
     /// @returns the node's state; nothing when it is unknown
@@ -116,7 +116,9 @@
     /// @returns the endpoint's data; null when the list never named it
     endpoint_instance const* find(endpoint_id const& endpoint) const;
     /// @returns datagrams that could not be read
-    std::uint64_t broken_datagrams() const noexcept { return broken_; }
+    std::uint64_t malformed_datagrams() const noexcept {
+        return malformed_datagrams_;
+    }
 
 private:
     struct member {
@@ -132,9 +134,9 @@
         instant dead_since;
     };
 
-    member& meet(node_id const& id, met_node const& of);
-    void met(node_id const& from, incarnation at, met_node const& of);
-    met_node own_words() const;
+    member& meet(node_id const& id, node_attributes const& of);
+    void met(node_id const& from, incarnation at, node_attributes const& of);
+    node_attributes own_words() const;
     static bool
     goes_before(node_instance const& left, node_instance const& right);
     void compare(node_id const& with, member_digest theirs, instant now);
@@ -177,10 +179,10 @@
     void on_message(probe const& message, instant now);
     void on_message(probe_ack const& message, instant now);
     void on_message(probe_request const& message, instant now);
-    void on_message(member_ask const& message, instant now);
-    void on_message(member_page const& message, instant now);
-    void on_message(share_ask const& message, instant now);
-    void on_message(share_given const& message, instant now);
+    void on_message(member_list_request const& message, instant now);
+    void on_message(member_list_page const& message, instant now);
+    void on_message(quota_loan_request const& message, instant now);
+    void on_message(quota_loan_reply const& message, instant now);
     void say(event_code code, log_level level, std::string detail);
 
     membership_settings settings_;
@@ -194,7 +196,7 @@
     std::set<node_id> suspects_;
     endpoint_table endpoints_;
     update_queue updates_;
-    probe_rounds rounds_;
+    pending_probes rounds_;
     std::set<node_id> probe_soon_;
     /// Named by the platform, and not yet told that this node is there.
     std::vector<node_id> greet_;
@@ -213,12 +215,12 @@
     mutable std::uint64_t rank_of_ = std::numeric_limits<std::uint64_t>::max();
     mutable std::uint64_t digest_of_ =
         std::numeric_limits<std::uint64_t>::max();
-    limit_shares shares_;
+    quota_shares shares_;
     /// The most nodes that a peer has lately known, and when it said so.
     std::uint32_t most_told_ = 0;
     instant most_told_at_;
-    std::uint64_t changes_ = 0;
-    std::uint64_t broken_ = 0;
+    std::uint64_t change_count_ = 0;
+    std::uint64_t malformed_datagrams_ = 0;
 };
 
 } // namespace camphorpoint
--- a/src/Membership/membership_meeting.cpp
+++ b/src/Membership/membership_meeting.cpp
@@ -22,39 +22,40 @@
 
 } // namespace
 
-membership::member& membership::meet(node_id const& id, met_node const& of) {
+membership::member&
+membership::meet(node_id const& id, node_attributes const& of) {
     auto const [place, added] = members_.try_emplace(id);
     member& who = place->second;
     if (added) {
         who.instance.id = id;
         who.instance.peer_address = id.str();
         order_.insert(std::ranges::lower_bound(order_, id), id);
-        ++changes_;
+        ++change_count_;
     }
     if (!of.domain.empty()) {
         bool const changed =
             who.instance.processor_percent != of.processor_percent;
-        changes_ += changed ? 1 : 0;
+        change_count_ += changed ? 1 : 0;
         who.instance.domain = of.domain;
         who.instance.processor_percent = of.processor_percent;
     }
     return who;
 }
 
-met_node membership::own_words() const {
+node_attributes membership::own_words() const {
     return {self_.domain, self_.processor_percent};
 }
 
-void membership::introduce(node_id const& node, instant /*now*/) {
-    bool const news = settings_.base == base_set::met && node != self_.id &&
-                      !members_.contains(node);
+void membership::add_known_node(node_id const& node, instant /*now*/) {
+    bool const news = settings_.source == member_source::gossip &&
+                      node != self_.id && !members_.contains(node);
     if (news) {
         meet(node, {});
         greet_.push_back(node);
     }
 }
 
-void membership::on_parts_dealt(
+void membership::on_quota_units_assigned(
     std::vector<std::size_t> const& own, std::vector<node_id> holders,
     instant now) {
     shares_.dealt(own, std::move(holders), now);
@@ -64,18 +65,18 @@
     if (auto const due = shares_.ask(now)) {
         actions_.emplace_back(send_probe{
             due->to, peer_address(due->to),
-            share_ask{self_.id, at_, due->number}});
+            quota_loan_request{self_.id, at_, due->number}});
     }
 }
 
-void membership::on_message(share_ask const& message, instant now) {
+void membership::on_message(quota_loan_request const& message, instant now) {
     heard(message.from, message.at);
-    share_given const answer{
+    quota_loan_reply const answer{
         self_.id, at_, message.number, shares_.on_ask(message.from, now)};
     actions_.emplace_back(send_probe{message.from, message.from.str(), answer});
 }
 
-void membership::on_message(share_given const& message, instant now) {
+void membership::on_message(quota_loan_reply const& message, instant now) {
     heard(message.from, message.at);
     shares_.on_given(message.from, message.number, message.amount, now);
 }
@@ -84,7 +85,7 @@
 // once, by probes alone it would take ten seconds until all know all.
 void membership::send_greetings() {
     std::size_t const count =
-        std::min(greet_.size(), settings_.greetings_per_tick);
+        std::min(greet_.size(), settings_.announcements_per_tick);
     for (std::size_t index = 0; index < count; ++index) {
         send_to_member(greet_[index], probe(), 0);
     }
@@ -92,8 +93,9 @@
         greet_.begin(), greet_.begin() + static_cast<std::ptrdiff_t>(count));
 }
 
-void membership::met(node_id const& from, incarnation at, met_node const& of) {
-    if (settings_.base == base_set::met) {
+void membership::met(
+    node_id const& from, incarnation at, node_attributes const& of) {
+    if (settings_.source == member_source::gossip) {
         meet(from, of);
     }
     heard(from, at);
@@ -103,14 +105,14 @@
 // others would take its word for that of its former run, hold it for dead, and
 // tell it nothing more.
 void membership::outlive(incarnation former) {
-    at_ = {former.run + 1, 0};
+    at_ = {former.start_time_ms + 1, 0};
     say(event_code::suspicion_refuted, log_level::warning, "former_run=true");
     tell_self();
 }
 
 member_digest membership::digest() const {
     // Each datagram carries it, and at 1,900 nodes it takes 60 us to add up.
-    if (digest_of_ == changes_) {
+    if (digest_of_ == change_count_) {
         return digest_;
     }
     member_digest result{1, hash_text(self_.id.str(), 0)};
@@ -123,24 +125,24 @@
         }
     }
     digest_ = result;
-    digest_of_ = changes_;
+    digest_of_ = change_count_;
     return result;
 }
 
 std::chrono::milliseconds membership::ask_pause(member_digest theirs) const {
     std::size_t const own = members_.size() + 1;
     bool const lacks_many = theirs.count > own + own / 8;
-    if (lacks_many || times_asked_ < settings_.first_asks) {
-        return settings_.ask_soon;
+    if (lacks_many || times_asked_ < settings_.initial_syncs) {
+        return settings_.initial_sync_interval;
     }
     std::chrono::milliseconds const at_bytes(
-        own * bytes_of_name * 1'000 / settings_.ask_bytes_per_s);
-    return std::max(settings_.ask_pause, at_bytes);
+        own * bytes_of_name * 1'000 / settings_.sync_bytes_per_s);
+    return std::max(settings_.min_sync_interval, at_bytes);
 }
 
 void membership::compare(
     node_id const& with, member_digest theirs, instant now) {
-    if (settings_.base != base_set::met || theirs.count == 0) {
+    if (settings_.source != member_source::gossip || theirs.count == 0) {
         return;
     }
     if (theirs.count >= most_told_ || now >= most_told_at_ + told_counts) {
@@ -159,16 +161,18 @@
     asked_ = now;
     asked_after_ = after;
     actions_.emplace_back(send_probe{
-        of, peer_address(of), member_ask{self_.id, at_, own_words(), after}});
+        of, peer_address(of),
+        member_list_request{self_.id, at_, own_words(), after}});
 }
 
-void membership::on_message(member_ask const& message, instant /*now*/) {
-    if (settings_.base != base_set::met) {
+void membership::on_message(
+    member_list_request const& message, instant /*now*/) {
+    if (settings_.source != member_source::gossip) {
         return;
     }
     met(message.from, message.at, message.self);
-    member_page page{self_.id, at_, own_words(), false, {}};
-    std::size_t room = longest_datagram - page_room - self_.id.str().size() -
+    member_list_page page{self_.id, at_, own_words(), false, {}};
+    std::size_t room = max_datagram_bytes - page_room - self_.id.str().size() -
                        self_.domain.str().size();
     for (auto each = members_.upper_bound(message.after);
          each != members_.end(); ++each) {
@@ -188,8 +192,8 @@
         send_probe{message.from, message.from.str(), std::move(page)});
 }
 
-void membership::on_message(member_page const& message, instant now) {
-    if (settings_.base != base_set::met) {
+void membership::on_message(member_list_page const& message, instant now) {
+    if (settings_.source != member_source::gossip) {
         return;
     }
     met(message.from, message.at, message.self);
@@ -212,7 +216,7 @@
 // in a row of ten pages or more, of which one is lost in most rows on a link
 // that loses one in ten.
 void membership::ask_again(instant now) {
-    bool const silent = asked_after_ && now >= *asked_ + settings_.ack_limit;
+    bool const silent = asked_after_ && now >= *asked_ + settings_.ack_timeout;
     if (!silent) {
         return;
     }
@@ -222,8 +226,8 @@
 }
 
 void membership::forget_dead(instant now) {
-    bool const due = settings_.base == base_set::met &&
-                     now >= dead_looked_at_ + settings_.period;
+    bool const due = settings_.source == member_source::gossip &&
+                     now >= dead_looked_at_ + settings_.probe_period;
     if (!due) {
         return;
     }
@@ -232,13 +236,13 @@
     std::erase_if(members_, [&](auto const& each) {
         member const& who = each.second;
         return who.state == node_state::dead &&
-               now >= who.dead_since + settings_.dead_shares;
+               now >= who.dead_since + settings_.dead_member_retention;
     });
     if (members_.size() != before) {
         std::erase_if(order_, [this](node_id const& each) {
             return !members_.contains(each);
         });
-        ++changes_;
+        ++change_count_;
     }
 }
 
@@ -252,8 +256,8 @@
                left.processor_percent, hash_text(right.id.str(), 0), right.id);
 }
 
-std::size_t membership::rank() const {
-    if (rank_of_ == changes_) {
+std::size_t membership::capacity_rank() const {
+    if (rank_of_ == change_count_) {
         return rank_;
     }
     rank_ = static_cast<std::size_t>(
@@ -263,12 +267,12 @@
                                who.state != node_state::leaving;
             return there && goes_before(who.instance, self_);
         }));
-    rank_of_ = changes_;
+    rank_of_ = change_count_;
     return rank_;
 }
 
-double membership::share(instant now) const {
-    if (settings_.dealt_parts > 0) {
+double membership::quota_share(instant now) const {
+    if (settings_.quota_unit_count > 0) {
         return shares_.own(now);
     }
     std::size_t const told = now < most_told_at_ + told_counts ? most_told_ : 0;
--- a/src/Membership/membership_probes.cpp
+++ b/src/Membership/membership_probes.cpp
@@ -26,12 +26,12 @@
     }
     if (!next_round_) {
         // Spreads the rounds of nodes that started together.
-        auto const period =
-            static_cast<std::uint64_t>(duration(settings_.period).count());
+        auto const period = static_cast<std::uint64_t>(
+            duration(settings_.probe_period).count());
         next_round_ = now + duration(random_() % period);
         return;
     }
-    next_round_ = now + settings_.period;
+    next_round_ = now + settings_.probe_period;
     for (node_id const& each : neighbours()) {
         probe_node(each, now);
     }
@@ -57,13 +57,14 @@
     }
     probe message;
     message.sequence = rounds_.begin(
-        target, now + settings_.ack_limit, now + settings_.period);
+        target, now + settings_.ack_timeout, now + settings_.probe_period);
     send_to_member(target, message, settings_.updates_per_probe);
 }
 
 void membership::run_probes(instant now) {
-    for (probe_rounds::late_probe const& each : rounds_.take_late(now)) {
-        for (node_id const& helper : pick_random(settings_.helpers, false)) {
+    for (pending_probes::late_probe const& each : rounds_.take_late(now)) {
+        for (node_id const& helper :
+             pick_random(settings_.indirect_probers, false)) {
             if (helper == each.target) {
                 continue;
             }
@@ -138,7 +139,7 @@
     std::size_t most_updates) {
     std::size_t const base = encode_probe(message).size() + accusation_room;
     std::size_t const room =
-        longest_datagram - std::min(longest_datagram, base);
+        max_datagram_bytes - std::min(max_datagram_bytes, base);
     message.updates = updates_.take(most_updates, room, members_.size() + 1);
     auto const found = members_.find(to);
     // The accused must hear of it, to refute it.
@@ -154,7 +155,7 @@
     message.from = self_.id;
     message.at = at_;
     message.from_address = self_.peer_address;
-    if (settings_.base == base_set::met) {
+    if (settings_.source == member_source::gossip) {
         message.self = own_words();
         message.digest = digest();
     }
@@ -187,7 +188,7 @@
     answer.sequence = message.sequence;
     answer.on_behalf_of = message.on_behalf_of;
     answer.their_sequence = message.their_sequence;
-    if (settings_.base == base_set::met) {
+    if (settings_.source == member_source::gossip) {
         answer.self = own_words();
         answer.digest = digest();
     }
--- a/src/Membership/membership_updates.cpp
+++ b/src/Membership/membership_updates.cpp
@@ -34,7 +34,7 @@
 
 void membership::apply(membership_update const& update, instant now) {
     if (update.kind == update_kind::endpoint_leaving) {
-        report_leaving(endpoint_id(update.name), now);
+        report_endpoint_leaving(endpoint_id(update.name), now);
         return;
     }
     node_id const id(update.name);
@@ -42,7 +42,7 @@
         apply_to_self(update);
         return;
     }
-    bool const joins = settings_.base == base_set::met &&
+    bool const joins = settings_.source == member_source::gossip &&
                        update.kind == update_kind::node_alive;
     if (joins && !members_.contains(id)) {
         member const& who = meet(id, update.of);
@@ -78,18 +78,20 @@
 // higher incarnation, which beats all that was said. What is said of an
 // earlier run does not concern this one.
 void membership::apply_to_self(membership_update const& update) {
-    if (settings_.base == base_set::met && update.at.run > at_.run) {
+    if (settings_.source == member_source::gossip &&
+        update.at.start_time_ms > at_.start_time_ms) {
         outlive(update.at);
         return;
     }
     bool const concerns = update.kind == update_kind::node_suspect ||
                           update.kind == update_kind::node_dead;
-    if (!concerns || update.at.run != at_.run || update.at < at_) {
+    if (!concerns || update.at.start_time_ms != at_.start_time_ms ||
+        update.at < at_) {
         return;
     }
-    at_.refuted = update.at.refuted + 1;
+    at_.refutations = update.at.refutations + 1;
     say(event_code::suspicion_refuted, log_level::warning,
-        fmt::format("refuted={}", at_.refuted));
+        fmt::format("refuted={}", at_.refutations));
     tell_self();
 }
 
@@ -97,10 +99,10 @@
     if (update.at <= who.at) {
         return;
     }
-    bool const other_run = update.at.run != who.at.run;
+    bool const other_run = update.at.start_time_ms != who.at.start_time_ms;
     // That a listed node lives is no news to the others; were it told on, a
     // cluster's start would fill the probes for half an hour.
-    bool const news = accused(who) || (other_run && who.at.run != 0);
+    bool const news = accused(who) || (other_run && who.at.start_time_ms != 0);
     who.at = update.at;
     who.accusers.clear();
     if (who.state == node_state::leaving && !other_run) {
@@ -110,7 +112,7 @@
         say(event_code::node_returned, log_level::info,
             fmt::format("node={}", who.instance.id.str()));
     }
-    changes_ += other_run ? 1 : 0;
+    change_count_ += other_run ? 1 : 0;
     set_state(who, node_state::live);
     if (news) {
         tell(who);
@@ -124,7 +126,8 @@
         return;
     }
     if (newer) {
-        changes_ += update.at.run != who.at.run ? 1 : 0;
+        change_count_ +=
+            update.at.start_time_ms != who.at.start_time_ms ? 1 : 0;
         who.at = update.at;
         who.accusers.clear();
     }
@@ -132,7 +135,7 @@
     who.accusers.insert(update.accusers.begin(), update.accusers.end());
     bool const began = who.state != node_state::suspect || newer;
     if (began) {
-        who.suspect_until = now + settings_.suspicion;
+        who.suspect_until = now + settings_.suspicion_timeout;
         set_state(who, node_state::suspect);
         say(event_code::node_suspected, log_level::info,
             fmt::format("node={}", who.instance.id.str()));
@@ -189,7 +192,7 @@
     bool const is_out =
         state == node_state::dead || state == node_state::leaving;
     // A suspicion by itself changes nothing that others compute.
-    changes_ += was_out || is_out ? 1 : 0;
+    change_count_ += was_out || is_out ? 1 : 0;
     who.state = state;
     if (state == node_state::suspect) {
         suspects_.insert(who.instance.id);
@@ -203,7 +206,7 @@
     result.kind = kind_of(who.state);
     result.name = who.instance.id.str();
     result.at = who.at;
-    if (settings_.base == base_set::met) {
+    if (settings_.source == member_source::gossip) {
         result.of = {who.instance.domain, who.instance.processor_percent};
     }
     for (node_id const& each : who.accusers) {
@@ -226,7 +229,7 @@
     update_kind const kind =
         leaving_ ? update_kind::node_leaving : update_kind::node_alive;
     membership_update own{kind, self_.id.str(), at_, {}, {}};
-    if (settings_.base == base_set::met) {
+    if (settings_.source == member_source::gossip) {
         own.of = own_words();
     }
     updates_.add(std::move(own));
--- a/src/Membership/probe_message.cpp
+++ b/src/Membership/probe_message.cpp
@@ -32,7 +32,7 @@
 }
 
 std::optional<probe_message> decode_probe(std::string_view datagram) {
-    if (datagram.size() > longest_datagram) {
+    if (datagram.size() > max_datagram_bytes) {
         return std::nullopt;
     }
     probe_message result;
--- a/src/Membership/probe_message.hpp
+++ b/src/Membership/probe_message.hpp
@@ -13,7 +13,7 @@
 namespace camphorpoint {
 
 /// A datagram is never longer, so that it crosses every path unfragmented.
-inline constexpr std::size_t longest_datagram = 1'200;
+inline constexpr std::size_t max_datagram_bytes = 1'200;
 
 /// What an update says.
 enum class update_kind : std::uint8_t {
@@ -25,12 +25,13 @@
 };
 
 /// What a node tells of itself where no list does.
-struct met_node {
+struct node_attributes {
     domain_id domain;
     /// Its processor's share of a core, in percent; 0 when it is not known.
     std::uint32_t processor_percent = 0;
 
-    friend bool operator==(met_node const&, met_node const&) = default;
+    friend bool
+    operator==(node_attributes const&, node_attributes const&) = default;
     template <class Archive>
     void serialize(Archive& archive) {
         archive(domain, processor_percent);
@@ -48,7 +49,7 @@
     /// nobody.
     std::vector<node_id> accusers;
     /// Of a node that was met; empty where the platform's list tells it.
-    met_node of;
+    node_attributes of;
 
     friend bool
     operator==(membership_update const&, membership_update const&) = default;
@@ -81,7 +82,7 @@
     /// Where the answer goes: a new node may not be in the receiver's late
     /// list yet, and must not take silence for death.
     std::string from_address;
-    met_node self;
+    node_attributes self;
     member_digest digest;
     std::uint32_t sequence = 0;
     /// For whom the answer is, when it is an indirect probe.
@@ -102,7 +103,7 @@
     /// Who is alive.
     node_id from;
     incarnation at;
-    met_node self;
+    node_attributes self;
     member_digest digest;
     /// The probe that is answered.
     std::uint32_t sequence = 0;
@@ -134,10 +135,10 @@
 };
 
 /// Whom do you know, in the order of names after this one?
-struct member_ask {
+struct member_list_request {
     node_id from;
     incarnation at;
-    met_node self;
+    node_attributes self;
     node_id after;
 
     template <class Archive>
@@ -147,10 +148,10 @@
 };
 
 /// Some of those that the sender takes to be there.
-struct member_page {
+struct member_list_page {
     node_id from;
     incarnation at;
-    met_node self;
+    node_attributes self;
     /// More follow after the last one named here.
     bool more = false;
     std::vector<membership_update> updates;
@@ -162,7 +163,7 @@
 };
 
 /// May I use some of your part of the limits that all share?
-struct share_ask {
+struct quota_loan_request {
     node_id from;
     incarnation at;
     std::uint32_t number = 0;
@@ -174,7 +175,7 @@
 };
 
 /// So much, in billionths of a limit, for the time of a lease from the ask on.
-struct share_given {
+struct quota_loan_reply {
     node_id from;
     incarnation at;
     /// Of the ask.
@@ -189,8 +190,8 @@
 
 /// All that nodes say to each other by datagram.
 using probe_message = std::variant<
-    probe, probe_ack, probe_request, member_ask, member_page, share_ask,
-    share_given>;
+    probe, probe_ack, probe_request, member_list_request, member_list_page,
+    quota_loan_request, quota_loan_reply>;
 
 /// @returns the datagram's bytes
 std::string encode_probe(probe_message const& message);
--- a/src/Membership/probe_rounds.cpp
+++ b/src/Membership/probe_rounds.cpp
@@ -5,7 +5,7 @@
 namespace camphorpoint {
 
 std::uint32_t
-probe_rounds::begin(node_id const& target, instant ask_at, instant end_at) {
+pending_probes::begin(node_id const& target, instant ask_at, instant end_at) {
     ++last_;
     // Zero marks datagrams that want no answer.
     if (last_ == 0) {
@@ -15,13 +15,13 @@
     return last_;
 }
 
-void probe_rounds::heard(node_id const& target) {
+void pending_probes::heard(node_id const& target) {
     std::erase_if(open_, [&target](auto const& entry) {
         return entry.second.target == target;
     });
 }
 
-std::vector<probe_rounds::late_probe> probe_rounds::take_late(instant now) {
+std::vector<pending_probes::late_probe> pending_probes::take_late(instant now) {
     std::vector<late_probe> result;
     for (auto& [sequence, each] : open_) {
         if (!each.asked && now >= each.ask_at) {
@@ -32,7 +32,7 @@
     return result;
 }
 
-std::vector<node_id> probe_rounds::take_failed(instant now) {
+std::vector<node_id> pending_probes::take_failed(instant now) {
     std::vector<node_id> result;
     std::erase_if(open_, [&](auto const& entry) {
         if (now < entry.second.end_at) {
@@ -44,7 +44,7 @@
     return result;
 }
 
-bool probe_rounds::probing(node_id const& target) const {
+bool pending_probes::probing(node_id const& target) const {
     return std::ranges::any_of(open_, [&target](auto const& entry) {
         return entry.second.target == target;
     });
--- a/src/Membership/probe_rounds.hpp
+++ b/src/Membership/probe_rounds.hpp
@@ -10,7 +10,7 @@
 namespace camphorpoint {
 
 /// The probes that wait for an answer.
-class probe_rounds {
+class pending_probes {
 public:
     /// Begins a direct probe.
     /// @param target whom
--- a/src/Membership/update_queue.cpp
+++ b/src/Membership/update_queue.cpp
@@ -31,8 +31,8 @@
 } // namespace
 
 std::size_t encoded_size(membership_update const& update) noexcept {
-    std::size_t size =
-        sizeof(update.kind) + sizeof(update.at.run) + sizeof(update.at.refuted);
+    std::size_t size = sizeof(update.kind) + sizeof(update.at.start_time_ms) +
+                       sizeof(update.at.refutations);
     size += length_bytes + update.name.size();
     size += length_bytes + update.of.domain.str().size();
     size += sizeof(update.of.processor_percent);
--- a/src/Serving/node_core.cpp
+++ b/src/Serving/node_core.cpp
@@ -93,7 +93,7 @@
 }
 
 void node_core::on(peer_received const& event) {
-    services_.members.on_peer_heard(event.from, clock_.now);
+    services_.members.on_peer_message(event.from, clock_.now);
     on_peer(event.from, event.message);
 }
 
--- a/src/Serving/node_core_settle.cpp
+++ b/src/Serving/node_core_settle.cpp
@@ -92,8 +92,8 @@
     for (membership_action const& each : services_.members.take_actions()) {
         std::visit([this](auto const& one) { outbox_.act(one); }, each);
     }
-    if (services_.members.changes() != members_seen_) {
-        members_seen_ = services_.members.changes();
+    if (services_.members.change_count() != members_seen_) {
+        members_seen_ = services_.members.change_count();
         refresh_members();
     }
 }
--- a/src/Serving/node_core_status.cpp
+++ b/src/Serving/node_core_status.cpp
@@ -50,7 +50,7 @@
     for (live_node const& each : services_.members.live_nodes()) {
         auto const state = services_.members.state_of(each.id);
         result.members.push_back(
-            {each.id, each.run,
+            {each.id, each.start_time_ms,
              std::string(to_string(state.value_or(node_state::live)))});
     }
     return result;
--- a/src/Serving/ownership_router.cpp
+++ b/src/Serving/ownership_router.cpp
@@ -15,7 +15,7 @@
 void ownership_router::refresh_candidates(instant now) {
     std::vector<owner_candidate> live;
     for (live_node const& each : services_.members.live_nodes()) {
-        live.push_back({each.id, each.run, each.leaving});
+        live.push_back({each.id, each.start_time_ms, each.leaving});
     }
     std::vector<resource_id> resources;
     for (endpoint_instance const& each : services_.members.live_endpoints()) {
--- a/src/Settings/node_settings.cpp
+++ b/src/Settings/node_settings.cpp
@@ -107,7 +107,7 @@
             "must be at least twice ownership.poll, or each lease lapses "
             "between two reads");
     }
-    if (all.members.ack_limit >= all.members.period) {
+    if (all.members.ack_timeout >= all.members.probe_period) {
         complain(
             "membership.ack_limit", "must be shorter than membership.period");
     }
--- a/src/Settings/settings_schema.hpp
+++ b/src/Settings/settings_schema.hpp
@@ -179,19 +179,21 @@
     using namespace std::chrono_literals;
     visit.section("membership");
     visit.time(
-        "period", all.period, 10ms, 60'000ms, "how often nodes are probed");
+        "period", all.probe_period, 10ms, 60'000ms,
+        "how often nodes are probed");
     visit.number(
         "neighbours", all.neighbours, 1, 16,
         "neighbours probed each period, beside one random node");
     visit.time(
-        "ack_limit", all.ack_limit, 1ms, 60'000ms,
+        "ack_limit", all.ack_timeout, 1ms, 60'000ms,
         "how long a probe waits before others are asked to probe");
-    visit.number("helpers", all.helpers, 1, 16, "how many others are asked");
+    visit.number(
+        "helpers", all.indirect_probers, 1, 16, "how many others are asked");
     visit.time(
-        "suspicion", all.suspicion, 10ms, 600'000ms,
+        "suspicion", all.suspicion_timeout, 10ms, 600'000ms,
         "how long a suspected node has to refute");
     visit.time(
-        "hold", all.hold, 10ms, 86'400'000ms,
+        "hold", all.leaving_report_lifetime, 10ms, 86'400'000ms,
         "how long a report is believed against the platform's list");
 }
 
--- a/test/members_at_size_test.cpp
+++ b/test/members_at_size_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <vector>
 
-namespace camphorpoint::talk {
+namespace camphorpoint::simulation {
 
 namespace {
 
@@ -19,9 +19,10 @@
 constexpr double control_bytes_per_s = 5'000;
 
 /// @returns the largest sum of shares while the model goes on
-double largest_sum(talk_model& model, duration span) {
+double largest_sum(membership_simulation& model, duration span) {
     double most = 0;
-    model.run(span, [&] { most = std::max(most, model.sum_of_shares()); });
+    model.run(
+        span, [&] { most = std::max(most, model.sum_of_quota_shares()); });
     return most;
 }
 
@@ -32,16 +33,16 @@
 // one another: word of a leaving replica reaches half of the nodes, and by
 // their count of 97 they take twice their share of the slack of second sends.
 TEST_CASE("every node knows every other, whether it holds a partition or not") {
-    talk_model model(200, domains, partitions);
+    membership_simulation model(200, domains, partitions);
     model.run(seconds(5));
-    CHECK(model.know_all() == 200);
-    CHECK(model.sum_of_shares() <= 1.0 + 1e-9);
+    CHECK(model.nodes_with_full_view() == 200);
+    CHECK(model.sum_of_quota_shares() <= 1.0 + 1e-9);
 
     SUBCASE("also when one datagram in ten is lost") {
-        talk_model lossy(200, domains, partitions);
+        membership_simulation lossy(200, domains, partitions);
         lossy.loss = 0.1;
         lossy.run(seconds(10));
-        CHECK(lossy.know_all() == 200);
+        CHECK(lossy.nodes_with_full_view() == 200);
     }
     SUBCASE("a node that comes later is known to all within seconds") {
         model.nodes[150].down = true;
@@ -51,13 +52,13 @@
             std::nullopt);
         model.restart(150, 2);
         model.run(seconds(6));
-        CHECK(model.know_all() == 200);
+        CHECK(model.nodes_with_full_view() == 200);
     }
     SUBCASE("a dead one is known to be dead by all") {
         model.nodes[150].down = true;
         model.run(seconds(9));
         auto const dead =
-            std::ranges::count_if(model.nodes, [&](talk_node const& each) {
+            std::ranges::count_if(model.nodes, [&](simulated_node const& each) {
                 return each.members.state_of(model.nodes[150].self.id) ==
                        node_state::dead;
             });
@@ -70,19 +71,19 @@
 // send more than all were allowed: the replicas, which both reach, are flooded.
 TEST_CASE(
     "nodes that are cut off from each other share no more than there is") {
-    talk_model model(100, domains, partitions);
+    membership_simulation model(100, domains, partitions);
     model.run(seconds(5));
-    model.cut = {domain_id("domain-0"), domain_id("domain-3")};
+    model.isolated_domains = {domain_id("domain-0"), domain_id("domain-3")};
     CHECK(largest_sum(model, seconds(30)) <= 1.0 + 1e-9);
-    model.cut.clear();
+    model.isolated_domains.clear();
     CHECK(largest_sum(model, seconds(20)) <= 1.0 + 1e-9);
-    CHECK(model.know_all() == 100);
+    CHECK(model.nodes_with_full_view() == 100);
 }
 
 // All processes are killed at the same moment and start again. Each knows only
 // whom the platform names, or nobody, and takes a share of that.
 TEST_CASE("after a restart of all no node takes another's share for long") {
-    talk_model model(200, domains, partitions);
+    membership_simulation model(200, domains, partitions);
     model.run(seconds(5));
     for (std::size_t index = 0; index < model.nodes.size(); ++index) {
         model.restart(index, 2);
@@ -90,13 +91,13 @@
     // In the first two seconds a node that has heard nobody takes all.
     model.run(seconds(2));
     CHECK(largest_sum(model, seconds(8)) <= 1.0 + 1e-9);
-    CHECK(model.know_all() == 200);
+    CHECK(model.nodes_with_full_view() == 200);
 }
 
 // The same from the first moment on: a node that has heard nobody yet takes all
 // of the slack of second sends for its own.
 TEST_CASE("from a restart of all on no node takes another's share") {
-    talk_model model(200, domains, partitions);
+    membership_simulation model(200, domains, partitions);
     model.run(seconds(5));
     for (std::size_t index = 0; index < model.nodes.size(); ++index) {
         model.restart(index, 2);
@@ -107,33 +108,33 @@
 // A node that is alone, as on a developer's machine, must be able to send a
 // request again in its first second.
 TEST_CASE("a node that is alone takes all there is") {
-    talk_model model(1, 1, 0);
+    membership_simulation model(1, 1, 0);
     model.run(milliseconds(100));
-    CHECK(model.sum_of_shares() == doctest::Approx(1));
+    CHECK(model.sum_of_quota_shares() == doctest::Approx(1));
 }
 
 // The time of day of a machine jumps back, and its process starts again: its
 // word looks older than that of its former run. Others would hold it for dead
 // for good.
 TEST_CASE("a node whose clock was set back is believed again") {
-    talk_model model(20, domains, partitions);
+    membership_simulation model(20, domains, partitions);
     model.restart(7, 1'000'000);
     model.run(seconds(5));
     model.restart(7, 10);
     model.run(seconds(15));
-    CHECK(model.know_all() == 20);
+    CHECK(model.nodes_with_full_view() == 20);
 }
 
 // A few nodes do for all what one could do: read a list, hold partitions. They
 // must agree who that is, and small ones must not be swamped by it.
 TEST_CASE("nodes agree on their order, those with more of a processor first") {
-    talk_model model(60, domains, partitions);
+    membership_simulation model(60, domains, partitions);
     model.run(seconds(6));
     std::vector<std::size_t> ranks;
-    for (talk_node const& each : model.nodes) {
-        ranks.push_back(each.members.rank());
+    for (simulated_node const& each : model.nodes) {
+        ranks.push_back(each.members.capacity_rank());
         bool const large = each.self.processor_percent > 12;
-        CHECK((each.members.rank() < 6) == large);
+        CHECK((each.members.capacity_rank() < 6) == large);
     }
     std::ranges::sort(ranks);
     for (std::size_t index = 0; index < ranks.size(); ++index) {
@@ -142,12 +143,12 @@
     SUBCASE("the next one takes the place of one that has died") {
         auto const first =
             std::ranges::find_if(model.nodes, [](auto const& each) {
-                return each.members.rank() == 0;
+                return each.members.capacity_rank() == 0;
             });
         first->down = true;
         model.run(seconds(10));
         CHECK(std::ranges::count_if(model.nodes, [](auto const& each) {
-                  return !each.down && each.members.rank() == 0;
+                  return !each.down && each.members.capacity_rank() == 0;
               }) == 1);
     }
 }
@@ -156,12 +157,12 @@
 // a node spends on knowing the others must not depend on how many there are.
 TEST_CASE("to know all costs a node the same at any size") {
     auto const calm = [](std::size_t count) {
-        talk_model model(count, domains, partitions);
+        membership_simulation model(count, domains, partitions);
         model.run(seconds(25));
-        model.forget_counts();
+        model.reset_traffic();
         model.run(seconds(10));
-        REQUIRE(model.know_all() == count);
-        return model.busiest_bytes_per_s();
+        REQUIRE(model.nodes_with_full_view() == count);
+        return model.peak_node_bytes_per_s();
     };
     double const at_100 = calm(100);
     double const at_400 = calm(400);
@@ -170,4 +171,4 @@
     CHECK(at_400 < control_bytes_per_s / 2);
 }
 
-} // namespace camphorpoint::talk
+} // namespace camphorpoint::simulation
--- a/test/membership_test.cpp
+++ b/test/membership_test.cpp
@@ -28,12 +28,12 @@
     REQUIRE(net.count(believes(4, node_state::live)) == 9);
 
     SUBCASE("a dead node is removed within seconds, by several accusers") {
-        std::uint64_t const before = net.at(0).members.changes();
+        std::uint64_t const before = net.at(0).members.change_count();
         net.at(4).dead = true;
         net.run(seconds(8));
         CHECK(net.count(believes(4, node_state::dead)) == 8);
         CHECK(net.at(0).members.live_nodes().size() == 8);
-        CHECK(net.at(0).members.changes() > before);
+        CHECK(net.at(0).members.change_count() > before);
 
         SUBCASE("and the late list does not bring it back") {
             for (int count = 0; count < 90; ++count) {
@@ -49,7 +49,7 @@
             net.run(seconds(8));
             CHECK(net.count(believes(4, node_state::live)) == 9);
             std::vector<live_node> const live = net.at(0).members.live_nodes();
-            CHECK(live.at(4).run == 2);
+            CHECK(live.at(4).start_time_ms == 2);
         }
     }
 
@@ -163,7 +163,7 @@
     auto const leaves = [&](membership const& who) {
         return who.state_of(engine.id) == endpoint_state::leaving;
     };
-    net.at(7).members.report_leaving(engine.id, net.now);
+    net.at(7).members.report_endpoint_leaving(engine.id, net.now);
     CHECK(net.at(7).members.live_endpoints().empty());
     milliseconds taken{};
     while (net.count(leaves) < many && taken < seconds(5)) {
@@ -235,7 +235,7 @@
         wild[4] = '\xff';
         wild[10] = '\xff';
         first.on_datagram(wild, net.now);
-        CHECK(first.broken_datagrams() == 5);
+        CHECK(first.malformed_datagrams() == 5);
     }
 
     SUBCASE("a wave of news fits: half of 120 nodes die at once") {
@@ -245,7 +245,7 @@
             net.at(index).dead = true;
         }
         net.run(seconds(60));
-        CHECK(net.longest <= longest_datagram);
+        CHECK(net.longest <= max_datagram_bytes);
         CHECK(net.count([](membership const& each) {
             return each.live_nodes().size() == 60;
         }) == 60);
@@ -277,7 +277,7 @@
     std::size_t const death = bytes() / 10;
     CHECK(death < 5'000);
     CHECK(net.count(believes(17, node_state::dead)) > many / 2);
-    net.at(7).members.report_leaving(engine, net.now);
+    net.at(7).members.report_endpoint_leaving(engine, net.now);
     net.run(seconds(2));
     CHECK(net.count([&](membership const& who) {
         return who.state_of(engine) == endpoint_state::leaving;
--- a/test/support/talk_model.cpp
+++ b/test/support/talk_model.cpp
@@ -8,14 +8,14 @@
 #include <utility>
 #include <variant>
 
-namespace camphorpoint::talk {
+namespace camphorpoint::simulation {
 
 namespace {
 
 membership_settings met_settings(std::size_t parts) {
     membership_settings settings;
-    settings.base = base_set::met;
-    settings.dealt_parts = parts;
+    settings.source = member_source::gossip;
+    settings.quota_unit_count = parts;
     return settings;
 }
 
@@ -32,13 +32,14 @@
 
 } // namespace
 
-talk_node::talk_node(node_instance which, std::uint64_t run, std::size_t parts)
+simulated_node::simulated_node(
+    node_instance which, std::uint64_t run, std::size_t parts)
     : self(std::move(which))
     , members(
           met_settings(parts), self, run,
           std::mt19937_64(hash_text(self.id.str(), run))) {}
 
-talk_model::talk_model(
+membership_simulation::membership_simulation(
     std::size_t count, std::size_t domains, std::size_t listed,
     std::uint64_t seed)
     : listed_(listed)
@@ -47,18 +48,18 @@
         nodes.emplace_back(instance(index, domains), 1, listed);
         places_[nodes.back().self.id.str()] = index;
     }
-    for (talk_node& each : nodes) {
-        name_holders(each);
+    for (simulated_node& each : nodes) {
+        assign_quota_units(each);
     }
     counted_from_ = now;
 }
 
-void talk_model::name_holders(talk_node& to) {
+void membership_simulation::assign_quota_units(simulated_node& to) {
     std::vector<node_id> holders;
     for (std::size_t index = 0; index < std::min(listed_, nodes.size());
          ++index) {
         holders.push_back(nodes[index].self.id);
-        to.members.introduce(holders.back(), now);
+        to.members.add_known_node(holders.back(), now);
     }
     std::vector<std::size_t> own;
     for (std::size_t part = 0; part < listed_; ++part) {
@@ -66,16 +67,17 @@
             own.push_back(part);
         }
     }
-    to.members.on_parts_dealt(own, std::move(holders), now);
+    to.members.on_quota_units_assigned(own, std::move(holders), now);
 }
 
-void talk_model::restart(std::size_t which, std::uint64_t run) {
+void membership_simulation::restart(std::size_t which, std::uint64_t run) {
     node_instance const self = nodes[which].self;
-    nodes[which] = talk_node(self, run, listed_);
-    name_holders(nodes[which]);
+    nodes[which] = simulated_node(self, run, listed_);
+    assign_quota_units(nodes[which]);
 }
 
-void talk_model::run(duration span, std::function<void()> const& each_step) {
+void membership_simulation::run(
+    duration span, std::function<void()> const& each_step) {
     instant const end = now + span;
     while (now < end) {
         now += step;
@@ -90,29 +92,30 @@
     }
 }
 
-bool talk_model::passes(datagram const& each) {
+bool membership_simulation::passes(datagram const& each) {
     domain_id const& from = nodes[each.from].self.domain;
     domain_id const& to = nodes[each.to].self.domain;
-    bool const parted = from != to && (cut.contains(from) || cut.contains(to));
+    bool const parted = from != to && (isolated_domains.contains(from) ||
+                                       isolated_domains.contains(to));
     bool const lost =
         std::uniform_real_distribution<double>(0, 1)(random_) < loss;
     return !nodes[each.to].down && !parted && !lost;
 }
 
-void talk_model::deliver() {
+void membership_simulation::deliver() {
     std::deque<datagram> arriving;
     arriving.swap(under_way_);
     for (datagram const& each : arriving) {
         if (passes(each)) {
-            talk_node& to = nodes[each.to];
+            simulated_node& to = nodes[each.to];
             to.received_bytes += each.bytes.size() + header_bytes;
             to.members.on_datagram(each.bytes, now);
         }
     }
 }
 
-void talk_model::collect(std::size_t from) {
-    talk_node& node = nodes[from];
+void membership_simulation::collect(std::size_t from) {
+    simulated_node& node = nodes[from];
     for (membership_action const& each : node.members.take_actions()) {
         auto const* const send = std::get_if<send_probe>(&each);
         if (send == nullptr) {
@@ -127,18 +130,18 @@
         ++node.sent.datagrams;
         node.sent.bytes += size;
         bool const across = nodes[to->second].self.domain != node.self.domain;
-        node.sent.bytes_across += across ? size : 0;
+        node.sent.cross_domain_bytes += across ? size : 0;
         under_way_.push_back({from, to->second, std::move(bytes)});
     }
 }
 
-std::size_t talk_model::know_all() const {
+std::size_t membership_simulation::nodes_with_full_view() const {
     auto const running = std::ranges::count_if(
         nodes, [](auto const& each) { return !each.down; });
     return static_cast<std::size_t>(
-        std::ranges::count_if(nodes, [&](talk_node const& each) {
+        std::ranges::count_if(nodes, [&](simulated_node const& each) {
             auto const known =
-                std::ranges::count_if(nodes, [&](talk_node const& other) {
+                std::ranges::count_if(nodes, [&](simulated_node const& other) {
                     auto const state = each.members.state_of(other.self.id);
                     return !other.down && state && *state != node_state::dead;
                 });
@@ -146,31 +149,31 @@
         }));
 }
 
-double talk_model::sum_of_shares() const {
+double membership_simulation::sum_of_quota_shares() const {
     double sum = 0;
-    for (talk_node const& each : nodes) {
+    for (simulated_node const& each : nodes) {
         if (!each.down) {
-            sum += each.members.share(now);
+            sum += each.members.quota_share(now);
         }
     }
     return sum;
 }
 
-void talk_model::forget_counts() {
-    for (talk_node& each : nodes) {
+void membership_simulation::reset_traffic() {
+    for (simulated_node& each : nodes) {
         each.sent = {};
         each.received_bytes = 0;
     }
     counted_from_ = now;
 }
 
-double talk_model::busiest_bytes_per_s() const {
+double membership_simulation::peak_node_bytes_per_s() const {
     std::size_t most = 0;
-    for (talk_node const& each : nodes) {
+    for (simulated_node const& each : nodes) {
         most = std::max(most, each.sent.bytes + each.received_bytes);
     }
     std::chrono::duration<double> const span = now - counted_from_;
     return static_cast<double>(most) / span.count();
 }
 
-} // namespace camphorpoint::talk
+} // namespace camphorpoint::simulation
--- a/test/support/talk_model.hpp
+++ b/test/support/talk_model.hpp
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace camphorpoint::talk {
+namespace camphorpoint::simulation {
 
 /// Virtual time goes on by this. It is also how long a datagram takes: more
 /// than between two domains of a region, which is a few milliseconds.
@@ -20,34 +20,34 @@
 inline constexpr std::size_t header_bytes = 28;
 
 /// What a node has sent.
-struct sent_count {
+struct sent_traffic {
     std::size_t datagrams = 0;
     std::size_t bytes = 0;
     /// Of those, into another failure domain.
-    std::size_t bytes_across = 0;
+    std::size_t cross_domain_bytes = 0;
 };
 
 /// One entry node: the decision objects that talk to other nodes.
-struct talk_node {
-    talk_node(node_instance which, std::uint64_t run, std::size_t parts);
+struct simulated_node {
+    simulated_node(node_instance which, std::uint64_t run, std::size_t parts);
 
     node_instance self;
     membership members;
     bool down = false;
-    sent_count sent;
+    sent_traffic sent;
     std::size_t received_bytes = 0;
 };
 
 /// Many entry nodes and what they say to each other, on virtual time and
 /// without a network: delay, loss, cut domains and restarts.
-class talk_model {
+class membership_simulation {
 public:
     /// @param count   nodes, all started at once
     /// @param domains failure domains, nodes in turn
     /// @param listed  how many of them the platform names to all, as holders of
     ///                as many partitions
     /// @param seed    of which datagrams get lost
-    talk_model(
+    membership_simulation(
         std::size_t count, std::size_t domains, std::size_t listed,
         std::uint64_t seed = 7);
 
@@ -57,24 +57,24 @@
     /// The process of a node starts anew and knows nothing.
     void restart(std::size_t which, std::uint64_t run);
     /// Names the holders to a node, and the partitions that it holds.
-    void name_holders(talk_node& to);
+    void assign_quota_units(simulated_node& to);
 
     /// @returns how many running nodes know all running nodes
-    std::size_t know_all() const;
+    std::size_t nodes_with_full_view() const;
     /// @returns the parts of a common limit that running nodes take for theirs,
     ///          added up
-    double sum_of_shares() const;
+    double sum_of_quota_shares() const;
     /// @returns bytes a second that the busiest node has sent and received
-    ///          since `forget_counts`
-    double busiest_bytes_per_s() const;
-    void forget_counts();
+    ///          since `reset_traffic`
+    double peak_node_bytes_per_s() const;
+    void reset_traffic();
 
-    std::vector<talk_node> nodes;
+    std::vector<simulated_node> nodes;
     instant now{std::chrono::seconds(1'000)};
     /// Part of the datagrams that get lost.
     double loss = 0;
     /// Failure domains that are cut off from the others.
-    std::set<domain_id> cut;
+    std::set<domain_id> isolated_domains;
 
 private:
     struct datagram {
@@ -94,4 +94,4 @@
     instant counted_from_;
 };
 
-} // namespace camphorpoint::talk
+} // namespace camphorpoint::simulation
