--- a/bench/capacity_messages.cpp
+++ b/bench/capacity_messages.cpp
@@ -66,13 +66,13 @@
 }
 
 void print_keys() {
-    print_message("key_ask", key_message<key_ask>());
+    print_message("key_ask", key_message<key_permission_request>());
     key_reply reply;
     reply.request = request_id(some_uuid);
     print_message("key_reply", reply);
-    print_message("key_finished, no answer", key_message<key_finished>());
-    print_message("key_noted", key_noted{request_id(some_uuid), 1});
-    auto const held = key_message<key_held>();
+    print_message("key_finished, no answer", key_message<key_completion>());
+    print_message("key_noted", key_completion_ack{request_id(some_uuid), 1});
+    auto const held = key_message<running_key>();
     print_message("key_heartbeat, of 1", key_heartbeat{{held}});
     print_message("key_heartbeat, of 2", key_heartbeat{{held, held}});
 }
--- a/bench/capacity_work.cpp
+++ b/bench/capacity_work.cpp
@@ -149,7 +149,7 @@
         key_claim claim;
         claim.fencing = {1};
         claim.first = true;
-        owner_.on_shard_taken(shard, claim, clock_);
+        owner_.on_shard_gained(shard, claim, clock_);
     }
 
     void book(std::uint32_t count, std::size_t answer_bytes) {
@@ -173,18 +173,18 @@
     }
 
     void book_one(std::size_t answer_bytes) {
-        key_ask ask;
+        key_permission_request ask;
         ask.request = request_id(fmt::format("request-{:012}", next_));
         ask.attempt = 1;
-        ask.key = mint_key(clock_.wall, random_);
+        ask.key = generate_key(clock_.wall, random_);
         ask.body_digest = next_;
         ask.shard = shard;
         ask.time_left = std::chrono::seconds(30);
         ask.sent = clock_.wall;
         node_id const from(fmt::format("node-{}", next_++ % nodes));
         instant const until = clock_.now + std::chrono::seconds(5);
-        owner_.on_ask(from, ask, until, clock_);
-        key_finished end;
+        owner_.on_permission_request(from, ask, until, clock_);
+        key_completion end;
         end.request = ask.request;
         end.attempt = ask.attempt;
         end.key = ask.key;
@@ -193,11 +193,11 @@
         end.how = outcome::done;
         end.answer.assign(answer_bytes, 'a');
         note_permission(end);
-        owner_.on_finished(from, end, until, clock_);
+        owner_.on_completion(from, end, until, clock_);
         owner_.take_actions();
     }
 
-    void note_permission(key_finished& end) {
+    void note_permission(key_completion& end) {
         for (key_action const& each : owner_.take_actions()) {
             auto const* const send = std::get_if<key_send>(&each);
             auto const* const reply =
@@ -212,7 +212,7 @@
 
     key_owner owner_;
     std::mt19937_64 random_;
-    key_clock clock_{
+    clock_reading clock_{
         wall_time(std::chrono::milliseconds(1'764'000'000'000)),
         instant(hours(1))};
     std::uint64_t next_ = 0;
--- a/src/Keys/entry_keys.cpp
+++ b/src/Keys/entry_keys.cpp
@@ -19,7 +19,8 @@
 
 } // namespace
 
-void entry_keys::on_owner(key_shard shard, node_id const& owner) {
+void entry_key_tracker::on_owner_changed(
+    key_shard shard, node_id const& owner) {
     if (owners_[shard] == owner) {
         return;
     }
@@ -31,7 +32,8 @@
     }
 }
 
-void entry_keys::ask(keyed_request const& request, key_clock const& clock) {
+void entry_key_tracker::request_permission(
+    keyed_request const& request, clock_reading const& clock) {
     open_request each;
     each.request = request;
     each.request.key = canonical_key(request.key);
@@ -41,23 +43,24 @@
         return;
     }
     each.patience_ends =
-        clock.now + (request.idempotent ? settings_.idempotent_patience
-                                        : settings_.owner_patience);
+        clock.now + (request.idempotent ? settings_.idempotent_wait_budget
+                                        : settings_.owner_wait_budget);
     auto const [place, is_new] = open_.try_emplace(request.id, each);
     if (is_new) {
         send_ask(place->second, clock);
     }
 }
 
-void entry_keys::send_ask(open_request& each, key_clock const& clock) {
+void entry_key_tracker::send_ask(
+    open_request& each, clock_reading const& clock) {
     bool const waits = each.now_in == phase::waiting;
-    each.next_ask =
-        clock.now + (waits ? settings_.wait_again : settings_.ask_again);
+    each.next_ask = clock.now + (waits ? settings_.waiting_retry_interval
+                                       : settings_.request_retry_interval);
     node_id const& owner = owners_[each.shard];
     if (owner.empty()) {
         return;
     }
-    key_ask ask;
+    key_permission_request ask;
     ask.request = each.request.id;
     ask.attempt = only_attempt;
     ask.key = each.request.key;
@@ -70,10 +73,10 @@
     actions_.push_back(key_send{owner, std::move(ask)});
 }
 
-void entry_keys::settle(
+void entry_key_tracker::settle(
     open_request const& each, key_verdict verdict, reason why,
     std::string answer) {
-    key_settled settled;
+    key_decision settled;
     settled.request = each.request.id;
     settled.verdict = verdict;
     settled.why = why;
@@ -85,12 +88,13 @@
     actions_.push_back(std::move(settled));
 }
 
-void entry_keys::start(open_request& each) {
+void entry_key_tracker::start(open_request& each) {
     each.now_in = phase::running;
     settle(each, key_verdict::run, reason::none);
 }
 
-void entry_keys::on_reply(key_reply const& reply, key_clock const& clock) {
+void entry_key_tracker::on_reply(
+    key_reply const& reply, clock_reading const& clock) {
     auto const found = open_.find(reply.request);
     if (found == open_.end() || reply.attempt != only_attempt) {
         take_late_permission(reply, clock.now);
@@ -102,8 +106,8 @@
 }
 
 /// @returns true when the request is over
-bool entry_keys::take_reply(
-    open_request& each, key_reply const& reply, key_clock const& clock) {
+bool entry_key_tracker::take_reply(
+    open_request& each, key_reply const& reply, clock_reading const& clock) {
     if (reply.verdict == key_verdict::run) {
         return take_permission(each, reply, clock);
     }
@@ -113,16 +117,17 @@
     if (reply.verdict == key_verdict::wait) {
         each.now_in = phase::waiting;
         each.patience_ends = each.request.deadline;
-        each.next_ask = clock.now + settings_.wait_again;
+        each.next_ask = clock.now + settings_.waiting_retry_interval;
         return false;
     }
     if (reply.verdict == key_verdict::refused && may_ask_again(reply.why)) {
         bool const joined = each.now_in == phase::waiting;
         if (joined) {
             each.now_in = phase::asking;
-            each.patience_ends = clock.now + settings_.owner_patience;
+            each.patience_ends = clock.now + settings_.owner_wait_budget;
         }
-        each.next_ask = joined ? clock.now : clock.now + settings_.ask_again;
+        each.next_ask =
+            joined ? clock.now : clock.now + settings_.request_retry_interval;
         return false;
     }
     remember(each, {}, true, tell::no, clock.now);
@@ -131,8 +136,8 @@
 }
 
 /// @returns true when the request is over
-bool entry_keys::take_permission(
-    open_request& each, key_reply const& reply, key_clock const& clock) {
+bool entry_key_tracker::take_permission(
+    open_request& each, key_reply const& reply, clock_reading const& clock) {
     if (each.now_in == phase::running) {
         // Idempotent work that began without an owner's word is recorded now.
         if (each.permission == 0) {
@@ -148,7 +153,7 @@
         return false;
     }
     // The only permission is in hand and goes unused: nothing ran.
-    key_finished end;
+    key_completion end;
     end.how = outcome::not_run;
     end.why = reason::deadline_passed;
     remember(each, end, true, tell::until_noted, clock.now);
@@ -156,7 +161,8 @@
     return true;
 }
 
-void entry_keys::take_late_permission(key_reply const& reply, instant now) {
+void entry_key_tracker::take_late_permission(
+    key_reply const& reply, instant now) {
     // The request was given up here before its permission came: without a word
     // the key would stay unknown, though nothing ran. What is remembered is how
     // the request ended here, so saying it again is true at any time.
@@ -170,7 +176,7 @@
     send_end(found->second, now);
 }
 
-void entry_keys::on_noted(key_noted const& noted) {
+void entry_key_tracker::on_completion_ack(key_completion_ack const& noted) {
     unnoted_.erase(noted.request);
     auto const found = ended_.find(noted.request);
     if (found != ended_.end() && !found->second.withdrawn) {
@@ -178,14 +184,14 @@
     }
 }
 
-void entry_keys::ended(
+void entry_key_tracker::complete(
     request_id const& id, outcome how, reason why, std::string answer,
-    key_clock const& clock) {
+    clock_reading const& clock) {
     auto const found = open_.find(id);
     if (found == open_.end() || found->second.now_in != phase::running) {
         return;
     }
-    key_finished end;
+    key_completion end;
     end.how = how;
     end.why = why;
     end.answer = std::move(answer);
@@ -196,20 +202,21 @@
     open_.erase(found);
 }
 
-void entry_keys::withdraw(request_id const& id, key_clock const& clock) {
+void entry_key_tracker::withdraw(
+    request_id const& id, clock_reading const& clock) {
     auto const found = open_.find(id);
     if (found == open_.end() || found->second.now_in == phase::running) {
         return;
     }
-    key_finished end;
+    key_completion end;
     end.how = outcome::not_run;
     end.why = reason::caller_gone;
     remember(found->second, end, true, tell::until_noted, clock.now);
     open_.erase(found);
 }
 
-void entry_keys::remember(
-    open_request const& each, key_finished end, bool withdrawn, tell owner,
+void entry_key_tracker::remember(
+    open_request const& each, key_completion end, bool withdrawn, tell owner,
     instant now) {
     end.request = each.request.id;
     end.attempt = only_attempt;
@@ -227,7 +234,7 @@
     }
     ended_request& kept = ended_[each.request.id];
     kept.end = std::move(end);
-    kept.forget_at = now + settings_.keep_ended;
+    kept.forget_at = now + settings_.completion_retention;
     kept.withdrawn = withdrawn;
     ended_order_.push_back(each.request.id);
     if (owner == tell::until_noted) {
@@ -236,7 +243,7 @@
     }
 }
 
-void entry_keys::send_end(ended_request& each, instant now) {
+void entry_key_tracker::send_end(ended_request& each, instant now) {
     each.next_send = now + settings_.heartbeat_period;
     node_id const& owner = owners_[each.end.shard];
     if (!owner.empty()) {
@@ -244,7 +251,7 @@
     }
 }
 
-void entry_keys::tick(key_clock const& clock) {
+void entry_key_tracker::tick(clock_reading const& clock) {
     for (auto place = open_.begin(); place != open_.end();) {
         bool const over = tick_open(place->second, clock);
         place = over ? open_.erase(place) : std::next(place);
@@ -256,12 +263,13 @@
     }
 }
 
-std::vector<key_action> entry_keys::take_actions() {
+std::vector<key_action> entry_key_tracker::take_actions() {
     return std::exchange(actions_, {});
 }
 
 /// @returns true when the request is over
-bool entry_keys::tick_open(open_request& each, key_clock const& clock) {
+bool entry_key_tracker::tick_open(
+    open_request& each, clock_reading const& clock) {
     if (each.now_in == phase::running) {
         return false;
     }
@@ -275,14 +283,15 @@
 }
 
 /// @returns true when the request is over
-bool entry_keys::give_up(open_request& each, key_clock const& clock) {
+bool entry_key_tracker::give_up(
+    open_request& each, clock_reading const& clock) {
     bool const in_time = clock.now < each.request.deadline;
     if (each.request.idempotent && in_time) {
         start(each);
         return false;
     }
     bool const joined = each.now_in == phase::waiting;
-    key_finished end;
+    key_completion end;
     end.why = reason::deadline_passed;
     remember(each, end, true, tell::until_noted, clock.now);
     // Not "not run": this request did not run here, but an earlier one with
@@ -293,7 +302,7 @@
     return true;
 }
 
-void entry_keys::tick_ended(instant now) {
+void entry_key_tracker::tick_ended(instant now) {
     for (request_id const& id : unnoted_) {
         ended_request& each = ended_.at(id);
         if (now >= each.next_send) {
@@ -316,7 +325,7 @@
     }
 }
 
-void entry_keys::send_heartbeats() {
+void entry_key_tracker::send_heartbeats() {
     std::map<node_id, key_heartbeat> beats;
     for (auto const& [id, each] : open_) {
         node_id const& owner = owners_[each.shard];
@@ -324,7 +333,7 @@
             owner.empty()) {
             continue;
         }
-        key_held held;
+        running_key held;
         held.request = id;
         held.attempt = only_attempt;
         held.key = each.request.key;
--- a/src/Keys/entry_keys.hpp
+++ b/src/Keys/entry_keys.hpp
@@ -26,29 +26,30 @@
 /// The entry node's side of idempotency keys: asks the owner of the key's shard
 /// for leave to run, asks again while no answer comes, names running keys to
 /// their owners, and tells them how each one ended.
-class entry_keys {
+class entry_key_tracker {
 public:
-    explicit entry_keys(entry_key_settings settings)
+    explicit entry_key_tracker(entry_key_settings settings)
         : settings_(settings) {}
 
     /// The owner of a shard is now known to be another; an empty id when none.
-    void on_owner(key_shard shard, node_id const& owner);
-    /// Asks for leave to run a request. A key_settled follows.
-    void ask(keyed_request const& request, key_clock const& clock);
+    void on_owner_changed(key_shard shard, node_id const& owner);
+    /// Asks for leave to run a request. A key_decision follows.
+    void request_permission(
+        keyed_request const& request, clock_reading const& clock);
     /// An owner's answer has come.
-    void on_reply(key_reply const& reply, key_clock const& clock);
+    void on_reply(key_reply const& reply, clock_reading const& clock);
     /// An owner has noted an end.
-    void on_noted(key_noted const& noted);
+    void on_completion_ack(key_completion_ack const& noted);
     /// A request with verdict `run` has ended.
     /// @param how not_run only while no byte can have reached an endpoint
-    void ended(
+    void complete(
         request_id const& id, outcome how, reason why, std::string answer,
-        key_clock const& clock);
+        clock_reading const& clock);
     /// The request's caller has gone, or its time is over, before the verdict.
     /// It will not run, whatever reply still comes.
-    void withdraw(request_id const& id, key_clock const& clock);
+    void withdraw(request_id const& id, clock_reading const& clock);
     /// Time has passed.
-    void tick(key_clock const& clock);
+    void tick(clock_reading const& clock);
 
     /// @returns what is to be done, in order; empties the list
     std::vector<key_action> take_actions();
@@ -69,7 +70,7 @@
         log_offset fencing;
     };
     struct ended_request {
-        key_finished end;
+        key_completion end;
         instant next_send;
         instant forget_at;
         /// True when it never ran here, and never will.
@@ -78,22 +79,22 @@
     /// Whether the owner has to be told of an end.
     enum class tell : std::uint8_t { no, until_noted };
 
-    void send_ask(open_request& each, key_clock const& clock);
+    void send_ask(open_request& each, clock_reading const& clock);
     void send_end(ended_request& each, instant now);
     void settle(
         open_request const& each, key_verdict verdict, reason why,
         std::string answer = {});
     void start(open_request& each);
-    bool give_up(open_request& each, key_clock const& clock);
+    bool give_up(open_request& each, clock_reading const& clock);
     bool take_reply(
-        open_request& each, key_reply const& reply, key_clock const& clock);
+        open_request& each, key_reply const& reply, clock_reading const& clock);
     bool take_permission(
-        open_request& each, key_reply const& reply, key_clock const& clock);
+        open_request& each, key_reply const& reply, clock_reading const& clock);
     void take_late_permission(key_reply const& reply, instant now);
     void remember(
-        open_request const& each, key_finished end, bool withdrawn, tell owner,
-        instant now);
-    bool tick_open(open_request& each, key_clock const& clock);
+        open_request const& each, key_completion end, bool withdrawn,
+        tell owner, instant now);
+    bool tick_open(open_request& each, clock_reading const& clock);
     void tick_ended(instant now);
     void send_heartbeats();
 
--- a/src/Keys/key_action.hpp
+++ b/src/Keys/key_action.hpp
@@ -15,16 +15,16 @@
 struct key_send {
     node_id to;
     std::variant<
-        key_ask, key_reply, key_finished, key_noted, key_heartbeat,
-        key_handover>
+        key_permission_request, key_reply, key_completion, key_completion_ack,
+        key_heartbeat, key_handover>
         message;
 };
 
 /// What an entry node may do with a request that bears a key. It is given once
 /// for each request.
-struct key_settled {
+struct key_decision {
     request_id request;
-    /// run: start it, and tell entry_keys::ended how it ended; any other
+    /// run: start it, and tell entry_key_tracker::ended how it ended; any other
     /// verdict is the request's last word. `wait` does not occur.
     key_verdict verdict = key_verdict::refused;
     reason why = reason::none;
@@ -33,14 +33,14 @@
 };
 
 /// Tell the operator that a peer's calendar clock is too far from this node's.
-struct key_clocks_apart {
+struct key_clock_skew {
     node_id peer;
     /// How far the peer's clock is ahead; below zero when it is behind.
     std::chrono::milliseconds ahead{};
 };
 
 /// All that the decisions about keys can ask for.
-using key_action = std::variant<key_send, key_settled, key_clocks_apart>;
+using key_action = std::variant<key_send, key_decision, key_clock_skew>;
 
 /// @returns the outcome that a request ends with under a final verdict
 constexpr outcome outcome_of(key_verdict verdict) noexcept {
--- a/src/Keys/key_clock.hpp
+++ b/src/Keys/key_clock.hpp
@@ -9,7 +9,7 @@
 /// late monotonic time, so that a lapsed authority is noticed. Read the other
 /// way round, a paused owner could take a key that is newer than its
 /// successor's takeover, and both would let it run.
-struct key_clock {
+struct clock_reading {
     wall_time wall;
     instant now;
 };
--- a/src/Keys/key_memory.hpp
+++ b/src/Keys/key_memory.hpp
@@ -13,7 +13,7 @@
         , most_answer_bytes_(most_answer_bytes) {}
 
     /// @returns false when no further record may be made
-    bool has_room() const noexcept { return records_ < most_records_; }
+    bool has_capacity() const noexcept { return records_ < most_records_; }
     /// @returns true while more answers are kept than may be
     bool answers_over() const noexcept {
         return answer_bytes_ > most_answer_bytes_;
--- a/src/Keys/key_messages.hpp
+++ b/src/Keys/key_messages.hpp
@@ -14,7 +14,7 @@
 namespace camphorpoint {
 
 /// Entry node to a shard's owner: may the work under this key run?
-struct key_ask {
+struct key_permission_request {
     request_id request;
     std::uint32_t attempt = 0;
     idempotency_key key;
@@ -67,7 +67,7 @@
 
 /// Entry node to owner: the work under a key has ended, or was not begun.
 /// Sent again until the owner has noted it.
-struct key_finished {
+struct key_completion {
     request_id request;
     std::uint32_t attempt = 0;
     idempotency_key key;
@@ -86,7 +86,7 @@
 };
 
 /// Owner to entry node: the end of this request stands in the table.
-struct key_noted {
+struct key_completion_ack {
     request_id request;
     std::uint32_t attempt = 0;
 
@@ -95,7 +95,7 @@
 };
 
 /// One key whose work an entry node is running.
-struct key_held {
+struct running_key {
     request_id request;
     std::uint32_t attempt = 0;
     idempotency_key key;
@@ -112,7 +112,7 @@
 /// Entry node to owner, every second while it runs any: the keys that it runs.
 /// One that is not named for a while becomes unknown.
 struct key_heartbeat {
-    std::vector<key_held> held;
+    std::vector<running_key> held;
 
     template <class Archive>
     void serialize(Archive& archive);
@@ -138,7 +138,7 @@
 inline constexpr std::size_t handover_part_bytes = 65'536;
 
 template <class Archive>
-void key_ask::serialize(Archive& archive) {
+void key_permission_request::serialize(Archive& archive) {
     auto left = time_left.count();
     auto wall = sent.time_since_epoch().count();
     archive(request, attempt, key, body_digest, shard, idempotent, left, wall);
@@ -156,19 +156,19 @@
 }
 
 template <class Archive>
-void key_finished::serialize(Archive& archive) {
+void key_completion::serialize(Archive& archive) {
     archive(
         request, attempt, key, body_digest, shard, idempotent, permission,
         fencing, how, why, answer);
 }
 
 template <class Archive>
-void key_noted::serialize(Archive& archive) {
+void key_completion_ack::serialize(Archive& archive) {
     archive(request, attempt);
 }
 
 template <class Archive>
-void key_held::serialize(Archive& archive) {
+void running_key::serialize(Archive& archive) {
     archive(
         request, attempt, key, body_digest, shard, idempotent, permission,
         fencing);
--- a/src/Keys/key_owner.cpp
+++ b/src/Keys/key_owner.cpp
@@ -10,8 +10,8 @@
 
 } // namespace
 
-void key_owner::on_shard_taken(
-    key_shard shard, key_claim const& claim, key_clock const& clock) {
+void key_owner::on_shard_gained(
+    key_shard shard, key_claim const& claim, clock_reading const& clock) {
     auto const old = tables_.find(shard);
     bool const continues =
         old != tables_.end() && claim.previous == old->second.fencing();
@@ -38,9 +38,9 @@
     claims_.erase(shard);
 }
 
-void key_owner::on_ask(
-    node_id const& from, key_ask const& ask, instant authority_until,
-    key_clock const& clock) {
+void key_owner::on_permission_request(
+    node_id const& from, key_permission_request const& ask,
+    instant authority_until, clock_reading const& clock) {
     auto const found = tables_.find(ask.shard);
     if (found == tables_.end()) {
         refuse(from, ask, reason::owner_unreachable);
@@ -56,9 +56,9 @@
     send_replies(table);
 }
 
-void key_owner::on_finished(
-    node_id const& from, key_finished const& end, instant authority_until,
-    key_clock const& clock) {
+void key_owner::on_completion(
+    node_id const& from, key_completion const& end, instant authority_until,
+    clock_reading const& clock) {
     auto const found = tables_.find(end.shard);
     if (found == tables_.end()) {
         return;
@@ -66,14 +66,16 @@
     key_table& table = found->second;
     bool const may_decide = clock.now < authority_until;
     if (table.finish(from, end, may_decide, clock)) {
-        actions_.push_back(key_send{from, key_noted{end.request, end.attempt}});
+        actions_.push_back(
+            key_send{from, key_completion_ack{end.request, end.attempt}});
     }
     send_replies(table);
 }
 
 void key_owner::on_heartbeat(
-    node_id const& from, key_heartbeat const& beat, key_clock const& clock) {
-    for (key_held const& each : beat.held) {
+    node_id const& from, key_heartbeat const& beat,
+    clock_reading const& clock) {
+    for (running_key const& each : beat.held) {
         auto const found = tables_.find(each.shard);
         if (found != tables_.end()) {
             found->second.heard(from, each, clock);
@@ -81,7 +83,8 @@
     }
 }
 
-void key_owner::on_handover(key_handover const& part, key_clock const& clock) {
+void key_owner::on_handover(
+    key_handover const& part, clock_reading const& clock) {
     staged_table& staged = staged_[part.shard];
     if (part.fencing < staged.fencing) {
         return;
@@ -96,7 +99,7 @@
     adopt_staged(part.shard, clock);
 }
 
-void key_owner::adopt_staged(key_shard shard, key_clock const& clock) {
+void key_owner::adopt_staged(key_shard shard, clock_reading const& clock) {
     auto const claim = claims_.find(shard);
     auto const staged = staged_.find(shard);
     if (claim == claims_.end() || staged == staged_.end()) {
@@ -148,7 +151,7 @@
     }
 }
 
-void key_owner::tick(key_clock const& clock) {
+void key_owner::tick(clock_reading const& clock) {
     for (auto& [shard, table] : tables_) {
         table.tick(clock);
         send_replies(table);
@@ -160,7 +163,8 @@
 }
 
 bool key_owner::clocks_agree(
-    node_id const& from, key_ask const& ask, key_clock const& clock) {
+    node_id const& from, key_permission_request const& ask,
+    clock_reading const& clock) {
     // A node whose calendar clock is off (time synchronisation failed) breaks
     // the bound of the takeover check; it would show as a second run after a
     // crash. An ask that was long on its way looks the same, and comes again.
@@ -170,12 +174,13 @@
     }
     if (!warned_ || clock.now - *warned_ >= between_clock_warnings) {
         warned_ = clock.now;
-        actions_.push_back(key_clocks_apart{from, ahead});
+        actions_.push_back(key_clock_skew{from, ahead});
     }
     return false;
 }
 
-void key_owner::refuse(node_id const& to, key_ask const& ask, reason why) {
+void key_owner::refuse(
+    node_id const& to, key_permission_request const& ask, reason why) {
     key_reply said;
     said.request = ask.request;
     said.attempt = ask.attempt;
--- a/src/Keys/key_owner.hpp
+++ b/src/Keys/key_owner.hpp
@@ -26,7 +26,7 @@
 };
 
 /// The key shards that this node owns: it gives each key's permission to run
-/// once, and answers repeats from memory. Its counterpart is entry_keys.
+/// once, and answers repeats from memory. Its counterpart is entry_key_tracker.
 /// docs/design/at-most-once.md argues why no key runs twice.
 class key_owner {
 public:
@@ -38,26 +38,27 @@
     key_owner& operator=(key_owner const&) = delete;
 
     /// A claim of this node on a shard took effect.
-    void on_shard_taken(
-        key_shard shard, key_claim const& claim, key_clock const& clock);
+    void on_shard_gained(
+        key_shard shard, key_claim const& claim, clock_reading const& clock);
     /// Another node's claim on the shard took effect.
     void on_shard_lost(key_shard shard);
 
     /// Answers an ask.
     /// @param authority_until when this node's authority over the shard ends;
     ///        the epoch when it has none
-    void on_ask(
-        node_id const& from, key_ask const& ask, instant authority_until,
-        key_clock const& clock);
+    void on_permission_request(
+        node_id const& from, key_permission_request const& ask,
+        instant authority_until, clock_reading const& clock);
     /// Notes how the work under a key ended, and answers who waited for it.
-    void on_finished(
-        node_id const& from, key_finished const& end, instant authority_until,
-        key_clock const& clock);
+    void on_completion(
+        node_id const& from, key_completion const& end, instant authority_until,
+        clock_reading const& clock);
     /// Notes which keys an entry node still runs.
     void on_heartbeat(
-        node_id const& from, key_heartbeat const& beat, key_clock const& clock);
+        node_id const& from, key_heartbeat const& beat,
+        clock_reading const& clock);
     /// Takes a part of a table that a holder hands over to this node.
-    void on_handover(key_handover const& part, key_clock const& clock);
+    void on_handover(key_handover const& part, clock_reading const& clock);
     /// Closes a shard: it gives nothing more under its present claim.
     /// @returns its table in parts; the composer sends them with the ownership
     ///          lane's offer, or as messages before the release is appended
@@ -69,7 +70,7 @@
     /// Closes a shard for good, and sends its table as messages.
     void hand_over(key_shard shard, node_id const& successor);
     /// Time has passed.
-    void tick(key_clock const& clock);
+    void tick(clock_reading const& clock);
 
     /// @returns what is to be done, in order; empties the list
     std::vector<key_action> take_actions();
@@ -87,9 +88,11 @@
     };
 
     bool clocks_agree(
-        node_id const& from, key_ask const& ask, key_clock const& clock);
-    void adopt_staged(key_shard shard, key_clock const& clock);
-    void refuse(node_id const& to, key_ask const& ask, reason why);
+        node_id const& from, key_permission_request const& ask,
+        clock_reading const& clock);
+    void adopt_staged(key_shard shard, clock_reading const& clock);
+    void
+    refuse(node_id const& to, key_permission_request const& ask, reason why);
     void send_replies(key_table& table);
 
     key_settings settings_;
--- a/src/Keys/key_settings.hpp
+++ b/src/Keys/key_settings.hpp
@@ -25,7 +25,7 @@
     /// Requests that may wait for one running key.
     std::size_t most_waiters = 16;
     /// A running key that no heartbeat names for so long becomes unknown.
-    std::chrono::milliseconds entry_silence{5'000};
+    std::chrono::milliseconds entry_timeout{5'000};
     /// What callers are told to wait before they ask again.
     std::chrono::milliseconds retry_after{1'000};
 };
@@ -33,18 +33,18 @@
 /// How an entry node asks.
 struct entry_key_settings {
     /// An unanswered ask is sent again after this.
-    std::chrono::milliseconds ask_again{200};
+    std::chrono::milliseconds request_retry_interval{200};
     /// A joined request asks again after this, in case its owner changed.
-    std::chrono::milliseconds wait_again{1'000};
+    std::chrono::milliseconds waiting_retry_interval{1'000};
     /// Without an owner's word for so long, the request gets its final answer.
-    std::chrono::milliseconds owner_patience{3'000};
+    std::chrono::milliseconds owner_wait_budget{3'000};
     /// Idempotent work runs without an owner's word after this.
-    std::chrono::milliseconds idempotent_patience{500};
+    std::chrono::milliseconds idempotent_wait_budget{500};
     /// How often running keys are named to their owners.
     std::chrono::milliseconds heartbeat_period{1'000};
     /// How long an end is sent again to an owner that does not note it, and
     /// how long a withdrawn request is remembered.
-    std::chrono::milliseconds keep_ended{600'000};
+    std::chrono::milliseconds completion_retention{600'000};
     /// Ended requests remembered at the most.
     std::size_t most_ended = 10'000;
     /// What callers are told to wait before they ask again.
--- a/src/Keys/key_table.cpp
+++ b/src/Keys/key_table.cpp
@@ -50,8 +50,8 @@
 }
 
 void key_table::ask(
-    node_id const& from, key_ask const& ask, bool may_decide,
-    key_clock const& clock) {
+    node_id const& from, key_permission_request const& ask, bool may_decide,
+    clock_reading const& clock) {
     bool const long_key = ask.key.str().size() > settings_.longest_key;
     if (long_key || (!ask.idempotent && !parse_key_time(ask.key))) {
         reply(from, ask, key_verdict::refused, reason::key_invalid);
@@ -73,8 +73,8 @@
 }
 
 void key_table::ask_known(
-    entry& known, node_id const& from, key_ask const& ask, bool may_decide,
-    key_clock const& clock) {
+    entry& known, node_id const& from, key_permission_request const& ask,
+    bool may_decide, clock_reading const& clock) {
     key_record const& record = known.record;
     if (record.body_digest != ask.body_digest) {
         reply(from, ask, key_verdict::refused, reason::key_reused);
@@ -92,8 +92,8 @@
 }
 
 void key_table::ask_undone(
-    entry& known, node_id const& from, key_ask const& ask,
-    key_clock const& clock) {
+    entry& known, node_id const& from, key_permission_request const& ask,
+    clock_reading const& clock) {
     key_record const& record = known.record;
     bool const repeat = record.idempotent && ask.idempotent;
     if (record.state == key_state::running) {
@@ -111,7 +111,8 @@
 }
 
 void key_table::ask_new(
-    node_id const& from, key_ask const& ask, key_clock const& clock) {
+    node_id const& from, key_permission_request const& ask,
+    clock_reading const& clock) {
     reason const problem =
         ask.idempotent ? reason::none : time_problem(ask, clock);
     if (problem == reason::key_too_new) {
@@ -134,8 +135,8 @@
     }
 }
 
-reason
-key_table::time_problem(key_ask const& ask, key_clock const& clock) const {
+reason key_table::time_problem(
+    key_permission_request const& ask, clock_reading const& clock) const {
     wall_time const made = *parse_key_time(ask.key);
     // Bounds what a holder can have taken: nothing above its own clock plus
     // this limit. The takeover check below relies on it.
@@ -158,7 +159,8 @@
 }
 
 void key_table::give(
-    entry& known, node_id const& from, key_ask const& ask, instant now) {
+    entry& known, node_id const& from, key_permission_request const& ask,
+    instant now) {
     key_record& record = known.record;
     record.state = key_state::running;
     record.idempotent = record.idempotent && ask.idempotent;
@@ -174,8 +176,8 @@
 }
 
 void key_table::join(
-    entry& known, node_id const& from, key_ask const& ask,
-    key_clock const& clock) {
+    entry& known, node_id const& from, key_permission_request const& ask,
+    clock_reading const& clock) {
     std::erase_if(known.waiters, [&](waiter const& each) {
         bool const same =
             each.request == ask.request && each.attempt == ask.attempt;
@@ -191,8 +193,8 @@
 }
 
 bool key_table::finish(
-    node_id const& from, key_finished const& end, bool may_decide,
-    key_clock const& clock) {
+    node_id const& from, key_completion const& end, bool may_decide,
+    clock_reading const& clock) {
     if (!may_decide || closed_) {
         // The successor has to know it: only its word ends the resending.
         return false;
@@ -207,7 +209,8 @@
 }
 
 void key_table::finish_new(
-    node_id const& from, key_finished const& end, key_clock const& clock) {
+    node_id const& from, key_completion const& end,
+    clock_reading const& clock) {
     if (end.permission == 0 || end.how == outcome::not_run) {
         return;
     }
@@ -229,8 +232,8 @@
 }
 
 void key_table::finish_known(
-    entry& known, node_id const& from, key_finished const& end,
-    key_clock const& clock) {
+    entry& known, node_id const& from, key_completion const& end,
+    clock_reading const& clock) {
     std::erase_if(known.waiters, [&](waiter const& each) {
         return each.request == end.request && each.attempt == end.attempt;
     });
@@ -251,14 +254,14 @@
     }
 }
 
-void key_table::release(entry& known, key_clock const& clock) {
+void key_table::release(entry& known, clock_reading const& clock) {
     known.record.state = key_state::not_run;
     running_.erase(known.record.key);
     while (!known.waiters.empty()) {
         waiter const next = known.waiters.front();
         known.waiters.erase(known.waiters.begin());
         if (next.until > clock.now) {
-            key_ask again;
+            key_permission_request again;
             again.request = next.request;
             again.attempt = next.attempt;
             again.idempotent = known.record.idempotent;
@@ -289,7 +292,7 @@
             reply_done(each.entry, each.request, each.attempt, known);
             continue;
         }
-        key_ask ask;
+        key_permission_request ask;
         ask.request = each.request;
         ask.attempt = each.attempt;
         // Idempotent work may run again: its entry node asks anew.
@@ -327,7 +330,7 @@
 }
 
 void key_table::heard(
-    node_id const& from, key_held const& held, key_clock const& clock) {
+    node_id const& from, running_key const& held, clock_reading const& clock) {
     auto const found = entries_.find(held.key);
     if (found != entries_.end()) {
         key_record& record = found->second.record;
@@ -354,11 +357,11 @@
     }
 }
 
-void key_table::tick(key_clock const& clock) {
+void key_table::tick(clock_reading const& clock) {
     std::vector<idempotency_key> silent;
     for (idempotency_key const& key : running_) {
         instant const heard = entries_.at(key).last_heard;
-        if (clock.now - heard > settings_.entry_silence) {
+        if (clock.now - heard > settings_.entry_timeout) {
             silent.push_back(key);
         }
     }
@@ -391,7 +394,7 @@
 auto key_table::make_entry(
     idempotency_key const& key, std::uint64_t digest, bool idempotent,
     wall_time now) -> entry* {
-    if (!memory_.has_room()) {
+    if (!memory_.has_capacity()) {
         return nullptr;
     }
     memory_.add_records(1);
--- a/src/Keys/key_table.hpp
+++ b/src/Keys/key_table.hpp
@@ -44,24 +44,25 @@
     /// Answers an ask; the reply is put to the others.
     /// @param may_decide true while this node's authority holds
     void
-    ask(node_id const& from, key_ask const& ask, bool may_decide,
-        key_clock const& clock);
+    ask(node_id const& from, key_permission_request const& ask, bool may_decide,
+        clock_reading const& clock);
     /// Notes an end.
     /// @returns true when it need not be sent again
     bool finish(
-        node_id const& from, key_finished const& end, bool may_decide,
-        key_clock const& clock);
+        node_id const& from, key_completion const& end, bool may_decide,
+        clock_reading const& clock);
     /// Notes that an entry node runs a key.
-    void
-    heard(node_id const& from, key_held const& held, key_clock const& clock);
+    void heard(
+        node_id const& from, running_key const& held,
+        clock_reading const& clock);
     /// Lets silent entry nodes' keys become unknown; forgets old records.
-    void tick(key_clock const& clock);
+    void tick(clock_reading const& clock);
 
     /// Takes over another holder's records, but for those it knows itself.
     /// @param bound up to when the other holder itself knew nothing
     void import_records(
         std::vector<key_record> const& records, wall_time bound,
-        key_clock const& clock);
+        clock_reading const& clock);
     /// @returns the whole table in parts of bounded size
     std::vector<key_handover> export_parts() const;
 
@@ -89,25 +90,29 @@
     using entry_map = std::map<idempotency_key, entry>;
 
     void ask_known(
-        entry& known, node_id const& from, key_ask const& ask, bool may_decide,
-        key_clock const& clock);
+        entry& known, node_id const& from, key_permission_request const& ask,
+        bool may_decide, clock_reading const& clock);
     void ask_undone(
-        entry& known, node_id const& from, key_ask const& ask,
-        key_clock const& clock);
-    void
-    ask_new(node_id const& from, key_ask const& ask, key_clock const& clock);
+        entry& known, node_id const& from, key_permission_request const& ask,
+        clock_reading const& clock);
+    void ask_new(
+        node_id const& from, key_permission_request const& ask,
+        clock_reading const& clock);
     void join(
-        entry& known, node_id const& from, key_ask const& ask,
-        key_clock const& clock);
-    reason time_problem(key_ask const& ask, key_clock const& clock) const;
-    void
-    give(entry& known, node_id const& from, key_ask const& ask, instant now);
+        entry& known, node_id const& from, key_permission_request const& ask,
+        clock_reading const& clock);
+    reason time_problem(
+        key_permission_request const& ask, clock_reading const& clock) const;
+    void give(
+        entry& known, node_id const& from, key_permission_request const& ask,
+        instant now);
     void finish_new(
-        node_id const& from, key_finished const& end, key_clock const& clock);
+        node_id const& from, key_completion const& end,
+        clock_reading const& clock);
     void finish_known(
-        entry& known, node_id const& from, key_finished const& end,
-        key_clock const& clock);
-    void release(entry& known, key_clock const& clock);
+        entry& known, node_id const& from, key_completion const& end,
+        clock_reading const& clock);
+    void release(entry& known, clock_reading const& clock);
     void complete(entry& known, std::string const& answer);
     void merge(entry& known, key_record const& other);
     void answer_waiters(entry& known);
@@ -119,8 +124,9 @@
         idempotency_key const& key, std::uint64_t digest, bool idempotent,
         wall_time now);
     void send(node_id const& to, key_reply const& reply);
-    void
-    reply(node_id const& to, key_ask const& ask, key_verdict what, reason why);
+    void reply(
+        node_id const& to, key_permission_request const& ask, key_verdict what,
+        reason why);
     void reply_done(
         node_id const& to, request_id const& request, std::uint32_t attempt,
         entry const& known);
--- a/src/Keys/key_table_handover.cpp
+++ b/src/Keys/key_table_handover.cpp
@@ -8,7 +8,7 @@
 
 void key_table::import_records(
     std::vector<key_record> const& records, wall_time bound,
-    key_clock const& clock) {
+    clock_reading const& clock) {
     for (key_record const& each : records) {
         auto const [place, is_new] = entries_.try_emplace(each.key);
         if (!is_new) {
--- a/src/Keys/key_table_replies.cpp
+++ b/src/Keys/key_table_replies.cpp
@@ -8,7 +8,8 @@
 }
 
 void key_table::reply(
-    node_id const& to, key_ask const& ask, key_verdict what, reason why) {
+    node_id const& to, key_permission_request const& ask, key_verdict what,
+    reason why) {
     key_reply said;
     said.request = ask.request;
     said.attempt = ask.attempt;
--- a/src/Keys/key_time.cpp
+++ b/src/Keys/key_time.cpp
@@ -84,7 +84,7 @@
     return wall_time(std::chrono::milliseconds(time));
 }
 
-idempotency_key mint_key(wall_time time, std::mt19937_64& random) {
+idempotency_key generate_key(wall_time time, std::mt19937_64& random) {
     constexpr std::uint64_t variant_bits = 0x8000'0000'0000'0000ULL;
     constexpr std::uint64_t variant_mask = 0x3fff'ffff'ffff'ffffULL;
     auto const stamp =
--- a/src/Keys/key_time.hpp
+++ b/src/Keys/key_time.hpp
@@ -32,6 +32,6 @@
 /// @param time   the node's calendar clock
 /// @param random seeded generator
 /// @returns the key
-idempotency_key mint_key(wall_time time, std::mt19937_64& random);
+idempotency_key generate_key(wall_time time, std::mt19937_64& random);
 
 } // namespace camphorpoint
--- a/src/Serving/key_router.cpp
+++ b/src/Serving/key_router.cpp
@@ -25,45 +25,51 @@
 }
 
 void key_router::on_message(
-    node_id const& from, key_ask const& ask, key_clock const& clock) {
-    services_.shards.on_ask(
+    node_id const& from, key_permission_request const& ask,
+    clock_reading const& clock) {
+    services_.shards.on_permission_request(
         from, ask, authority_until(ask.shard, clock.now), clock);
 }
 
 void key_router::on_message(
-    node_id const& /*from*/, key_reply const& reply, key_clock const& clock) {
+    node_id const& /*from*/, key_reply const& reply,
+    clock_reading const& clock) {
     services_.keys.on_reply(reply, clock);
 }
 
 void key_router::on_message(
-    node_id const& from, key_finished const& end, key_clock const& clock) {
-    services_.shards.on_finished(
+    node_id const& from, key_completion const& end,
+    clock_reading const& clock) {
+    services_.shards.on_completion(
         from, end, authority_until(end.shard, clock.now), clock);
 }
 
 void key_router::on_message(
-    node_id const& /*from*/, key_noted const& noted,
-    key_clock const& /*clock*/) {
-    services_.keys.on_noted(noted);
+    node_id const& /*from*/, key_completion_ack const& noted,
+    clock_reading const& /*clock*/) {
+    services_.keys.on_completion_ack(noted);
 }
 
 void key_router::on_message(
-    node_id const& from, key_heartbeat const& beat, key_clock const& clock) {
+    node_id const& from, key_heartbeat const& beat,
+    clock_reading const& clock) {
     services_.shards.on_heartbeat(from, beat, clock);
 }
 
 void key_router::on_message(
-    node_id const& /*from*/, key_handover const& part, key_clock const& clock) {
+    node_id const& /*from*/, key_handover const& part,
+    clock_reading const& clock) {
     services_.shards.on_handover(part, clock);
 }
 
-void key_router::gained(ownership_gained const& claim, key_clock const& clock) {
+void key_router::gained(
+    ownership_gained const& claim, clock_reading const& clock) {
     key_claim taken;
     taken.fencing = claim.fencing;
     taken.previous = claim.previous;
     taken.handed_over = claim.planned;
     taken.first = claim.first;
-    services_.shards.on_shard_taken(shard_of(claim.resource), taken, clock);
+    services_.shards.on_shard_gained(shard_of(claim.resource), taken, clock);
 }
 
 void key_router::lost(resource_id const& shard) {
@@ -77,31 +83,31 @@
 void key_router::refresh_owners() {
     for (std::uint32_t shard = 0; shard < key_shard_count; ++shard) {
         auto const known = services_.owning.owner_of(key_shard_resource(shard));
-        services_.keys.on_owner(
+        services_.keys.on_owner_changed(
             static_cast<key_shard>(shard),
             known ? known->owner.node : node_id());
     }
 }
 
-void key_router::on_tick(key_clock const& clock) {
+void key_router::on_tick(clock_reading const& clock) {
     services_.shards.tick(clock);
     services_.keys.tick(clock);
 }
 
-std::vector<key_settled> key_router::pump() {
+std::vector<key_decision> key_router::pump() {
     std::vector<key_action> actions = services_.shards.take_actions();
     std::vector<key_action> const entry = services_.keys.take_actions();
     actions.insert(actions.end(), entry.begin(), entry.end());
-    std::vector<key_settled> settled;
+    std::vector<key_decision> settled;
     for (key_action const& each : actions) {
         if (auto const* const send = std::get_if<key_send>(&each)) {
             std::visit(
                 [&](auto const& one) { outbox_.send(send->to, one); },
                 send->message);
-        } else if (auto const* const done = std::get_if<key_settled>(&each)) {
+        } else if (auto const* const done = std::get_if<key_decision>(&each)) {
             settled.push_back(*done);
         } else {
-            auto const& apart = std::get<key_clocks_apart>(each);
+            auto const& apart = std::get<key_clock_skew>(each);
             outbox_.act(log_event{
                 event_code::key_clocks_differ, log_level::warning,
                 fmt::format(
--- a/src/Serving/key_router.hpp
+++ b/src/Serving/key_router.hpp
@@ -16,29 +16,35 @@
         : services_(services)
         , outbox_(outbox) {}
 
-    void
-    on_message(node_id const& from, key_ask const& ask, key_clock const& clock);
     void on_message(
-        node_id const& from, key_reply const& reply, key_clock const& clock);
+        node_id const& from, key_permission_request const& ask,
+        clock_reading const& clock);
     void on_message(
-        node_id const& from, key_finished const& end, key_clock const& clock);
+        node_id const& from, key_reply const& reply,
+        clock_reading const& clock);
     void on_message(
-        node_id const& from, key_noted const& noted, key_clock const& clock);
+        node_id const& from, key_completion const& end,
+        clock_reading const& clock);
     void on_message(
-        node_id const& from, key_heartbeat const& beat, key_clock const& clock);
+        node_id const& from, key_completion_ack const& noted,
+        clock_reading const& clock);
     void on_message(
-        node_id const& from, key_handover const& part, key_clock const& clock);
+        node_id const& from, key_heartbeat const& beat,
+        clock_reading const& clock);
+    void on_message(
+        node_id const& from, key_handover const& part,
+        clock_reading const& clock);
 
-    void gained(ownership_gained const& claim, key_clock const& clock);
+    void gained(ownership_gained const& claim, clock_reading const& clock);
     void lost(resource_id const& shard);
     /// Closes the shard and sends its table.
     void hand_over(resource_id const& shard, node_id const& successor);
     /// Owners may have changed: tells the entry side who owns each shard.
     void refresh_owners();
-    void on_tick(key_clock const& clock);
+    void on_tick(clock_reading const& clock);
     /// Carries out what was decided.
     /// @returns what the request tracker must be told
-    std::vector<key_settled> pump();
+    std::vector<key_decision> pump();
 
 private:
     instant authority_until(key_shard shard, instant now) const;
--- a/src/Serving/node_core.hpp
+++ b/src/Serving/node_core.hpp
@@ -94,7 +94,7 @@
     request_services surroundings_;
     request_tracker<request_services> requests_;
     heartbeat_sender heartbeats_;
-    key_clock clock_;
+    clock_reading clock_;
     std::uint64_t members_seen_ = 0;
     bool ready_ = false;
     bool drained_ = false;
--- a/src/Serving/node_core_settle.cpp
+++ b/src/Serving/node_core_settle.cpp
@@ -34,8 +34,9 @@
                                  load_cancelled>) {
             loads_.on_message(from, each, clock_.now);
         } else if constexpr (is_one_of<
-                                 Message, key_ask, key_reply, key_finished,
-                                 key_noted, key_heartbeat, key_handover>) {
+                                 Message, key_permission_request, key_reply,
+                                 key_completion, key_completion_ack,
+                                 key_heartbeat, key_handover>) {
             keys_.on_message(from, each, clock_);
         } else if constexpr (is_one_of<
                                  Message, replica_crash_message,
@@ -74,8 +75,8 @@
         more = grants_.pump(clock_.now) || more;
         more = loads_.pump(clock_.now) || more;
         more = pump_plain() || more;
-        std::vector<key_settled> const settled = keys_.pump();
-        for (key_settled const& each : settled) {
+        std::vector<key_decision> const settled = keys_.pump();
+        for (key_decision const& each : settled) {
             requests_.on_key_settled(each, clock_.now);
         }
         more = more || !settled.empty();
--- a/src/Serving/node_services.hpp
+++ b/src/Serving/node_services.hpp
@@ -35,7 +35,7 @@
     change_publisher publisher;
     checkpoint_writer checkpoints;
     key_owner shards;
-    entry_keys keys;
+    entry_key_tracker keys;
     placement<> choice;
     retry_budget retries;
     /// Contents that end the endpoints which run them.
--- a/src/Serving/ownership_router.cpp
+++ b/src/Serving/ownership_router.cpp
@@ -32,7 +32,7 @@
 }
 
 void ownership_router::gained(
-    ownership_gained const& claim, key_clock const& clock) {
+    ownership_gained const& claim, clock_reading const& clock) {
     switch (claim.resource.kind) {
     case resource_kind::replica:
         grants_.gained(claim, clock.now);
@@ -78,7 +78,7 @@
 }
 
 void ownership_router::carry_out(
-    ownership_action const& action, key_clock const& clock) {
+    ownership_action const& action, clock_reading const& clock) {
     if (auto const* const read = std::get_if<control_read>(&action)) {
         outbox_.act(read_log{log_stream::control, read->from});
     } else if (
@@ -108,7 +108,7 @@
     }
 }
 
-bool ownership_router::pump(key_clock const& clock) {
+bool ownership_router::pump(clock_reading const& clock) {
     std::vector<ownership_action> const actions =
         services_.owning.take_actions();
     for (ownership_action const& each : actions) {
--- a/src/Serving/ownership_router.hpp
+++ b/src/Serving/ownership_router.hpp
@@ -26,11 +26,11 @@
     void refresh_candidates(instant now);
     /// Carries out what was decided.
     /// @returns true when there was anything
-    bool pump(key_clock const& clock);
+    bool pump(clock_reading const& clock);
 
 private:
-    void carry_out(ownership_action const& action, key_clock const& clock);
-    void gained(ownership_gained const& claim, key_clock const& clock);
+    void carry_out(ownership_action const& action, clock_reading const& clock);
+    void gained(ownership_gained const& claim, clock_reading const& clock);
     void lost(ownership_lost const& loss, instant now);
     void hand_over(handover_wanted const& wanted, instant now);
 
--- a/src/Serving/peer_message.hpp
+++ b/src/Serving/peer_message.hpp
@@ -16,9 +16,10 @@
 using peer_message = std::variant<
     grant_request, grant_issued, grant_refused, grant_cancelled, grant_released,
     grant_heartbeat, handover_offer, handover_accepted, holder_stopped,
-    config_ask, config_records, config_state, key_ask, key_reply, key_finished,
-    key_noted, key_heartbeat, key_handover, load_request, load_allowed,
-    load_denied, load_result, load_cancelled, replica_crash_message,
-    request_success_message, quarantine_message, quarantine_sync_request>;
+    config_ask, config_records, config_state, key_permission_request, key_reply,
+    key_completion, key_completion_ack, key_heartbeat, key_handover,
+    load_request, load_allowed, load_denied, load_result, load_cancelled,
+    replica_crash_message, request_success_message, quarantine_message,
+    quarantine_sync_request>;
 
 } // namespace camphorpoint
--- a/src/Serving/request_services.cpp
+++ b/src/Serving/request_services.cpp
@@ -157,7 +157,7 @@
     asked.body_digest = request.asked.body_digest;
     asked.idempotent = request.what.idempotent;
     asked.deadline = request.deadline;
-    services_.keys.ask(asked, clock_);
+    services_.keys.request_permission(asked, clock_);
 }
 
 void request_services::withdraw_key(request_id const& id, instant /*now*/) {
@@ -167,7 +167,7 @@
 void request_services::key_ended(
     request_id const& id, outcome how, reason why, std::string const& answer,
     instant /*now*/) {
-    services_.keys.ended(id, how, why, answer, clock_);
+    services_.keys.complete(id, how, why, answer, clock_);
 }
 
 std::optional<duration>
--- a/src/Serving/request_services.hpp
+++ b/src/Serving/request_services.hpp
@@ -29,7 +29,7 @@
     void start_draining() noexcept { draining_ = true; }
     bool draining() const noexcept { return draining_; }
     /// Sets the clocks of the event that is being handled.
-    void set_clock(key_clock clock) noexcept { clock_ = clock; }
+    void set_clock(clock_reading clock) noexcept { clock_ = clock; }
 
     admission admit(profile_name const& name, instant now);
     route choose(live_request const& request, instant now);
@@ -61,7 +61,7 @@
     node_services& services_;
     node_outbox& outbox_;
     content_router& contents_;
-    key_clock clock_;
+    clock_reading clock_;
     bool draining_ = false;
     /// Requests that run on a replica without a grant of its owner.
     std::map<endpoint_id, std::uint32_t> without_grant_;
--- a/src/Serving/request_tracker.hpp
+++ b/src/Serving/request_tracker.hpp
@@ -48,7 +48,7 @@
     /// The caller closed its connection.
     void on_caller_gone(request_id const& id, instant now);
     /// The decision about the request's key has come.
-    void on_key_settled(key_settled const& settled, instant now);
+    void on_key_settled(key_decision const& settled, instant now);
     /// An owner's word.
     /// @param from the node that sent it
     void on_grant(node_id const& from, grant_issued const& given, instant now);
--- a/src/Serving/request_tracker_routing.hpp
+++ b/src/Serving/request_tracker_routing.hpp
@@ -70,7 +70,7 @@
 
 template <request_environment Environment>
 void request_tracker<Environment>::on_key_settled(
-    key_settled const& settled, instant now) {
+    key_decision const& settled, instant now) {
     live_request* const request = find_live(settled.request);
     if (request == nullptr || request->phase != request_phase::key_asked) {
         count(count_reason::kind::dropped, reason::late_answer);
--- a/test/keys_entry_test.cpp
+++ b/test/keys_entry_test.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-struct three_nodes : keys_world {
+struct three_nodes : key_simulation {
     three_nodes() {
         add("a");
         add("b");
@@ -82,7 +82,7 @@
     world.ask("b", "first", key);
     world.deliver();
     world.end("b", "first", outcome::done, "booked");
-    REQUIRE(world.lose<key_finished>() == 1);
+    REQUIRE(world.lose<key_completion>() == 1);
     world.live(milliseconds(1'200));
     world.ask("c", "second", key);
     world.deliver();
--- a/test/keys_property_test.cpp
+++ b/test/keys_property_test.cpp
@@ -127,8 +127,8 @@
             break;
         case happening::believe:
             // An old view: it asks one that no longer owns, or not yet.
-            world_.at(node).entry->on_owner(
-                keys_world::shard, names_[each.second % names_.size()]);
+            world_.at(node).entry->on_owner_changed(
+                key_simulation::shard, names_[each.second % names_.size()]);
             break;
         case happening::renew:
             world_.renew();
@@ -221,7 +221,7 @@
             node.entry->withdraw(id, world_.clock(node));
         }
     }
-    keys_world::granted take(step const& each) {
+    key_simulation::granted take(step const& each) {
         auto const place = each.amount % world_.grants.size();
         auto granted = world_.grants[place];
         world_.grants.erase(
@@ -247,12 +247,12 @@
         }
     }
 
-    keys_world world_;
+    key_simulation world_;
     std::array<node_id, 3> names_{node_id("a"), node_id("b"), node_id("c")};
     std::array<idempotency_key, 3> keys_;
     std::uint32_t asked_ = 0;
     std::map<request_id, std::string> asked_at_;
-    std::vector<keys_world::granted> running_;
+    std::vector<key_simulation::granted> running_;
     std::set<idempotency_key> done_;
     std::set<request_id> checked_;
 };
--- a/test/keys_takeover_test.cpp
+++ b/test/keys_takeover_test.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-struct three_nodes : keys_world {
+struct three_nodes : key_simulation {
     three_nodes() {
         add("a");
         add("b");
@@ -40,7 +40,7 @@
         CHECK(world.settled_of("second").retry_after > milliseconds(0));
     }
     SUBCASE("the successor says unknown") {
-        world.lose<key_finished>();
+        world.lose<key_completion>();
         world.claim("b");
         world.ask("b", "second", key);
         world.deliver();
@@ -97,21 +97,21 @@
 }
 
 TEST_CASE("the first owner ever knows that nothing ran") {
-    keys_world world;
+    key_simulation world;
     node_id const name("b");
     world.add("b");
-    key_clock const clock = world.clock(world.at("b"));
+    clock_reading const clock = world.clock(world.at("b"));
     key_claim claim;
     claim.fencing = log_offset{1};
     claim.first = true;
     key_owner& owner = *world.at("b").owner;
-    owner.on_shard_taken(keys_world::shard, claim, clock);
-    key_ask ask;
+    owner.on_shard_gained(key_simulation::shard, claim, clock);
+    key_permission_request ask;
     ask.request = request_id("one");
     ask.key = world.key_made();
-    ask.shard = keys_world::shard;
+    ask.shard = key_simulation::shard;
     ask.sent = clock.wall;
-    owner.on_ask(name, ask, clock.now + milliseconds(1), clock);
+    owner.on_permission_request(name, ask, clock.now + milliseconds(1), clock);
     auto const actions = owner.take_actions();
     REQUIRE(actions.size() == 1);
     auto const& said =
@@ -154,7 +154,8 @@
         world.live(milliseconds(2'000));
         world.renew();
         world.at("a").paused = false;
-        world.at("c").entry->on_owner(keys_world::shard, node_id("a"));
+        world.at("c").entry->on_owner_changed(
+            key_simulation::shard, node_id("a"));
         idempotency_key const fresh = world.key_made();
         world.ask("b", "at successor", fresh);
         world.ask("c", "at old owner", fresh);
@@ -170,7 +171,8 @@
         world.at("a").paused = true;
         world.claim("b");
         world.at("a").paused = false;
-        world.at("c").entry->on_owner(keys_world::shard, node_id("a"));
+        world.at("c").entry->on_owner_changed(
+            key_simulation::shard, node_id("a"));
         world.end("c", "first", outcome::done, "booked");
         world.deliver();
         world.tell_owner();
@@ -228,12 +230,12 @@
     }
     SUBCASE("aborted: it goes on, and knows what it knew") {
         key_owner& owner = *world.at("a").owner;
-        CHECK(owner.close_and_export(keys_world::shard).size() == 1);
+        CHECK(owner.close_and_export(key_simulation::shard).size() == 1);
         idempotency_key const other = world.key_made();
         world.ask("c", "other", other);
         world.deliver();
         CHECK_FALSE(world.has_settled("other"));
-        owner.reopen(keys_world::shard);
+        owner.reopen(key_simulation::shard);
         world.live(milliseconds(300));
         CHECK(world.settled_of("other").verdict == key_verdict::run);
         world.ask("b", "second", key);
@@ -300,7 +302,7 @@
 // The takeover check would compare times of different clocks. Bookings through
 // it are not run, and the operator sees the warning.
 TEST_CASE("a node's calendar clock is wrong") {
-    keys_world world;
+    key_simulation world;
     world.add("a");
     world.add("b", std::chrono::minutes(-1));
     world.claim("a");
@@ -320,7 +322,7 @@
 // node with a slow one: for it the key must be too old already, or it would
 // run as if it were new.
 TEST_CASE("retention ends on two clocks that are apart") {
-    keys_world world;
+    key_simulation world;
     world.add("a", milliseconds(250));
     world.add("b", milliseconds(-250));
     world.claim("a");
--- a/test/keys_test.cpp
+++ b/test/keys_test.cpp
@@ -40,16 +40,16 @@
     SUBCASE("a minted key bears the node's time, and no two are the same") {
         std::mt19937_64 random(1);
         wall_time const time(milliseconds(1'800'000'000'123));
-        idempotency_key const first = mint_key(time, random);
+        idempotency_key const first = generate_key(time, random);
         CHECK(parse_key_time(first) == time);
-        CHECK(first != mint_key(time, random));
+        CHECK(first != generate_key(time, random));
         CHECK(canonical_key(first) == first);
     }
     SUBCASE("shards are used evenly") {
         std::mt19937_64 random(1);
         std::map<key_shard, int> counts;
         for (int index = 0; index < 25'600; ++index) {
-            ++counts[key_shard_of(mint_key(wall_time(), random))];
+            ++counts[key_shard_of(generate_key(wall_time(), random))];
         }
         CHECK(counts.size() == key_shard_count);
         for (auto const& [shard, count] : counts) {
@@ -59,7 +59,7 @@
 }
 
 TEST_CASE("a caller repeats a booking through another node") {
-    keys_world world;
+    key_simulation world;
     world.add("a");
     world.add("b");
     world.add("c");
@@ -114,7 +114,7 @@
 }
 
 TEST_CASE("keys that are not taken") {
-    keys_world world;
+    key_simulation world;
     world.add("a");
     world.add("b");
     world.claim("a");
@@ -142,7 +142,8 @@
     }
     SUBCASE("idempotent work needs no time in its key") {
         idempotency_key key;
-        for (int index = 0; key_shard_of(key) != keys_world::shard; ++index) {
+        for (int index = 0; key_shard_of(key) != key_simulation::shard;
+             ++index) {
             key = idempotency_key("summary-" + std::to_string(index));
         }
         world.ask("b", "one", key, true);
@@ -161,7 +162,7 @@
     settings.most_records = 3;
     settings.longest_answer = 100;
     settings.most_answer_bytes = 150;
-    keys_world world(settings);
+    key_simulation world(settings);
     world.add("a");
     world.add("b");
     world.claim("a");
@@ -213,7 +214,7 @@
 }
 
 TEST_CASE("a handover goes in parts of bounded size") {
-    keys_world world;
+    key_simulation world;
     world.add("a");
     world.add("b");
     world.claim("a");
--- a/test/keys_world.hpp
+++ b/test/keys_world.hpp
@@ -16,11 +16,11 @@
 
 /// A few nodes that share one key shard, with messages that a test delivers,
 /// loses or holds back. Counts the runs of each key.
-class keys_world {
+class key_simulation {
 public:
     using message = std::variant<
-        key_ask, key_reply, key_finished, key_noted, key_heartbeat,
-        key_handover>;
+        key_permission_request, key_reply, key_completion, key_completion_ack,
+        key_heartbeat, key_handover>;
     struct letter {
         node_id from;
         node_id to;
@@ -28,7 +28,7 @@
     };
     struct node {
         std::optional<key_owner> owner;
-        std::optional<entry_keys> entry;
+        std::optional<entry_key_tracker> entry;
         instant authority_until{};
         std::chrono::milliseconds skew{};
         bool paused = false;
@@ -40,7 +40,7 @@
         idempotency_key key;
     };
 
-    explicit keys_world(key_settings settings = {})
+    explicit key_simulation(key_settings settings = {})
         : settings_(settings) {}
 
     node& add(std::string const& name, std::chrono::milliseconds skew = {}) {
@@ -51,8 +51,8 @@
         return made;
     }
     node& at(std::string const& name) { return nodes_.at(node_id(name)); }
-    key_clock clock(node const& each) const { return clock(each.skew); }
-    key_clock clock(std::chrono::milliseconds skew) const {
+    clock_reading clock(node const& each) const { return clock(each.skew); }
+    clock_reading clock(std::chrono::milliseconds skew) const {
         auto const passed =
             std::chrono::duration_cast<std::chrono::milliseconds>(
                 now_.time_since_epoch());
@@ -64,7 +64,7 @@
     idempotency_key key_made(std::chrono::milliseconds offset = {}) {
         idempotency_key key;
         do {
-            key = mint_key(wall() + offset, random_);
+            key = generate_key(wall() + offset, random_);
         } while (key_shard_of(key) != shard);
         return key;
     }
@@ -108,7 +108,7 @@
         }
         claim.handed_over = handed_over;
         holder_ = node_id(name);
-        taker.owner->on_shard_taken(shard, claim, clock(taker));
+        taker.owner->on_shard_gained(shard, claim, clock(taker));
         taker.authority_until = now_ + authority;
         if (tell_at_once) {
             tell_owner();
@@ -119,7 +119,7 @@
     /// A node reads the log, and learns who owns the shard.
     void learn(std::string const& name) {
         node& each = at(name);
-        each.entry->on_owner(shard, *holder_);
+        each.entry->on_owner_changed(shard, *holder_);
         if (node_id(name) != *holder_) {
             each.owner->on_shard_lost(shard);
         }
@@ -161,14 +161,14 @@
             request_id(request), key, digest, idempotent, now_ + time};
         keys_[asked.id] = key;
         node& each = at(entry);
-        each.entry->ask(asked, clock(each));
+        each.entry->request_permission(asked, clock(each));
         collect();
     }
     void
     end(std::string const& entry, std::string const& request, outcome how,
         std::string const& answer = {}) {
         node& each = at(entry);
-        each.entry->ended(
+        each.entry->complete(
             request_id(request), how, reason::none, answer, clock(each));
         collect();
     }
@@ -201,7 +201,7 @@
         });
     }
 
-    key_settled const& settled_of(std::string const& request) const {
+    key_decision const& settled_of(std::string const& request) const {
         return settled.at(request_id(request));
     }
     bool has_settled(std::string const& request) const {
@@ -212,7 +212,7 @@
     static constexpr key_shard shard = 7;
     static constexpr std::chrono::milliseconds authority{3'000};
     std::vector<letter> letters;
-    std::map<request_id, key_settled> settled;
+    std::map<request_id, key_decision> settled;
     /// Requests that a verdict let run, in order.
     std::vector<granted> grants;
     std::map<idempotency_key, std::uint32_t> runs;
@@ -227,15 +227,18 @@
 
 private:
     void receive(node& to, letter const& taken) {
-        key_clock const time = clock(to);
-        if (auto const* ask = std::get_if<key_ask>(&taken.what)) {
-            to.owner->on_ask(taken.from, *ask, to.authority_until, time);
+        clock_reading const time = clock(to);
+        if (auto const* ask =
+                std::get_if<key_permission_request>(&taken.what)) {
+            to.owner->on_permission_request(
+                taken.from, *ask, to.authority_until, time);
         } else if (auto const* reply = std::get_if<key_reply>(&taken.what)) {
             to.entry->on_reply(*reply, time);
-        } else if (auto const* end = std::get_if<key_finished>(&taken.what)) {
-            to.owner->on_finished(taken.from, *end, to.authority_until, time);
-        } else if (auto const* noted = std::get_if<key_noted>(&taken.what)) {
-            to.entry->on_noted(*noted);
+        } else if (auto const* end = std::get_if<key_completion>(&taken.what)) {
+            to.owner->on_completion(taken.from, *end, to.authority_until, time);
+        } else if (
+            auto const* noted = std::get_if<key_completion_ack>(&taken.what)) {
+            to.entry->on_completion_ack(*noted);
         } else if (auto const* beat = std::get_if<key_heartbeat>(&taken.what)) {
             to.owner->on_heartbeat(taken.from, *beat, time);
         } else if (auto const* part = std::get_if<key_handover>(&taken.what)) {
@@ -252,14 +255,14 @@
         for (key_action const& each : actions) {
             if (auto const* send = std::get_if<key_send>(&each)) {
                 letters.push_back({from, send->to, send->message});
-            } else if (auto const* end = std::get_if<key_settled>(&each)) {
+            } else if (auto const* end = std::get_if<key_decision>(&each)) {
                 on_settled(from, *end);
             } else {
                 ++clock_warnings;
             }
         }
     }
-    void on_settled(node_id const& entry, key_settled const& end) {
+    void on_settled(node_id const& entry, key_decision const& end) {
         settled[end.request] = end;
         if (end.verdict == key_verdict::run) {
             idempotency_key const& key = keys_.at(end.request);
--- a/test/serving_tracker_test.cpp
+++ b/test/serving_tracker_test.cpp
@@ -38,7 +38,7 @@
         tracker.on_grant(node_id("owner"), given, now);
     }
     void leave() {
-        key_settled settled;
+        key_decision settled;
         settled.request = id;
         settled.verdict = key_verdict::run;
         tracker.on_key_settled(settled, now);
@@ -395,7 +395,7 @@
     CHECK(one.around.told.empty());
 
     SUBCASE("a repeat gets the kept answer and runs nothing") {
-        key_settled kept;
+        key_decision kept;
         kept.request = one.id;
         kept.verdict = key_verdict::answer;
         kept.answer = "booked";
--- a/test/support/cluster.cpp
+++ b/test/support/cluster.cpp
@@ -187,7 +187,7 @@
 }
 
 idempotency_key cluster::new_key() {
-    return mint_key(wall(), random_);
+    return generate_key(wall(), random_);
 }
 
 void cluster::publish(profile next, std::uint64_t base_revision) {
