--- a/bench/preset.cpp
+++ b/bench/preset.cpp
@@ -59,7 +59,7 @@
     preset result = common_preset();
     result.name = "inventarwerk";
     result.engines = 18;
-    result.target_filling = 0.75;
+    result.target_batch_utilization = 0.75;
     result.domains = {"graz-a", "graz-b", "leoben"};
     result.domain_latency = microseconds(500);
     result.store = {5.0, 2};
--- a/bench/preset.hpp
+++ b/bench/preset.hpp
@@ -95,8 +95,8 @@
     std::vector<work_class> classes;
     std::vector<burst> bursts;
     /// Between version changes.
-    /// placement_settings::target_filling of the product's policy.
-    double target_filling = 0;
+    /// placement_settings::target_batch_utilization of the product's policy.
+    double target_batch_utilization = 0;
     std::chrono::seconds version_change_every{};
     std::chrono::seconds warm_up{};
     std::chrono::seconds measured{};
--- a/bench/product_policy.cpp
+++ b/bench/product_policy.cpp
@@ -114,7 +114,7 @@
         placement_settings settings;
         settings.domain = domain_ids_[world_.domain_of(index)];
         settings.nodes = workload.nodes;
-        settings.target_filling = workload.target_filling;
+        settings.target_batch_utilization = workload.target_batch_utilization;
         settings.load_time = std::chrono::duration_cast<milliseconds>(
             workload.store.load_time());
         nodes_.push_back({std::make_unique<placement<>>(settings), {}});
--- a/src/Limits/delay_limit.hpp
+++ b/src/Limits/delay_limit.hpp
@@ -7,8 +7,8 @@
 
 namespace camphorpoint {
 
-/// Settings of delay_limit.
-struct delay_settings {
+/// Settings of delay_based_limit.
+struct delay_based_limit_settings {
     double least = 0.25;
     double most = 512.0;
     /// The limit before anything was measured.
@@ -31,10 +31,10 @@
 /// algorithms for congestion avoidance in computer networks", Computer Networks
 /// and ISDN Systems 17(1), 1989; L. Brakmo, L. Peterson, "TCP Vegas", IEEE JSAC
 /// 13(8), 1995, for latency as the signal.
-class delay_limit {
+class delay_based_limit {
 public:
-    explicit delay_limit(
-        std::uint32_t capacity, delay_settings const& settings = {})
+    explicit delay_based_limit(
+        std::uint32_t capacity, delay_based_limit_settings const& settings = {})
         : settings_(settings)
         , estimate_(capacity == 0 ? settings.assumed : capacity) {}
 
@@ -68,7 +68,7 @@
         dropped_ = false;
     }
 
-    delay_settings settings_;
+    delay_based_limit_settings settings_;
     double estimate_;
     double best_ = 0.0;
     double sum_ = 0.0;
@@ -77,6 +77,6 @@
     bool dropped_ = false;
 };
 
-static_assert(concurrency_limiter<delay_limit>);
+static_assert(concurrency_limiter<delay_based_limit>);
 
 } // namespace camphorpoint
--- a/src/Limits/endpoint_health.hpp
+++ b/src/Limits/endpoint_health.hpp
@@ -57,7 +57,7 @@
     }
     /// A request ended that says nothing of the endpoint, such as a
     /// cancelled one.
-    void on_neutral() noexcept { probing_ = false; }
+    void on_inconclusive() noexcept { probing_ = false; }
     /// @returns when the next probe may go out
     instant skip_until() const noexcept { return skip_until_; }
 
--- a/src/Limits/retry_budget.hpp
+++ b/src/Limits/retry_budget.hpp
@@ -17,14 +17,14 @@
 /// How many retries are allowed, and how they are spread.
 struct retry_settings {
     /// Retries allowed for each request.
-    double ratio = 0.1;
+    double retries_per_request = 0.1;
     /// Retries a second that are allowed however few requests there are, so
     /// that a quiet caller may retry at all.
-    double floor_per_second = 0.5;
+    double min_retries_per_second = 0.5;
     /// The most that a budget saves up, in retries.
-    double most_saved = 10.0;
+    double max_saved_retries = 10.0;
     /// Budgets kept, of callers' groups and of endpoints each.
-    std::size_t most_groups = 4'096;
+    std::size_t max_budgets = 4'096;
     /// The first retry waits up to this, each further one up to twice as long.
     std::chrono::milliseconds first_backoff{25};
     /// No retry waits longer.
@@ -38,18 +38,19 @@
 public:
     /// Starts with one retry saved, so that a first failure may be retried.
     token_bucket(retry_settings const& settings, instant now)
-        : tokens_(std::min(1.0, settings.most_saved))
+        : tokens_(std::min(1.0, settings.max_saved_retries))
         , filled_(now) {}
 
     /// A request (not a retry) was made.
     void deposit(retry_settings const& settings) noexcept {
-        tokens_ = std::min(settings.most_saved, tokens_ + settings.ratio);
+        tokens_ = std::min(
+            settings.max_saved_retries, tokens_ + settings.retries_per_request);
     }
     /// @returns true when one retry may be taken now
     bool has(retry_settings const& settings, instant now) noexcept {
         std::chrono::duration<double> const passed = now - filled_;
-        double const grown = passed.count() * settings.floor_per_second;
-        tokens_ = std::min(settings.most_saved, tokens_ + grown);
+        double const grown = passed.count() * settings.min_retries_per_second;
+        tokens_ = std::min(settings.max_saved_retries, tokens_ + grown);
         filled_ = now;
         return tokens_ >= 1.0;
     }
@@ -73,7 +74,7 @@
             used_.splice(used_.begin(), used_, found->second);
             return used_.front().bucket;
         }
-        if (places_.size() >= settings.most_groups) {
+        if (places_.size() >= settings.max_budgets) {
             places_.erase(used_.back().name);
             used_.pop_back();
         }
@@ -97,8 +98,8 @@
 /// when a failure domain falls: each failed request would come back as several,
 /// and the endpoints left would fail under them too. It holds since retries are
 /// paid from what requests put in: over any span, retries are at most
-/// ratio * requests + floor * seconds + most_saved, for each endpoint and for
-/// each caller's group.
+/// ratio * requests + floor * seconds + max_saved_retries, for each endpoint
+/// and for each caller's group.
 class retry_budget {
 public:
     explicit retry_budget(retry_settings const& settings)
--- a/src/Limits/service_messages.hpp
+++ b/src/Limits/service_messages.hpp
@@ -19,7 +19,7 @@
     instant deadline;
     /// Not to be tried again here, such as where the last attempt failed;
     /// empty when any will do.
-    endpoint_id avoid;
+    endpoint_id avoid_endpoint;
 };
 
 /// A replica of a plain service, as the instance list has it.
@@ -34,7 +34,7 @@
 };
 
 /// How a dispatched request ended, as far as the endpoint is concerned.
-enum class service_end : std::uint8_t {
+enum class service_outcome : std::uint8_t {
     completed,
     /// It refused for overload.
     overloaded,
@@ -66,15 +66,15 @@
 /// Bounds of a service_router.
 struct service_settings {
     /// The longest that a request of each urgency class is queued.
-    std::array<std::chrono::milliseconds, urgency_count> longest_wait{
+    std::array<std::chrono::milliseconds, urgency_count> max_queue_time{
         std::chrono::milliseconds(5), std::chrono::milliseconds(5),
         std::chrono::milliseconds(200), std::chrono::milliseconds(1'000)};
     /// Requests queued at the most, over all classes.
-    std::size_t most_queued = 1'024;
+    std::size_t max_queued = 1'024;
     /// Service time that is assumed before any was measured.
-    std::chrono::milliseconds assumed_time{10};
+    std::chrono::milliseconds initial_service_time{10};
     /// The least that a refused caller is told to wait.
-    std::chrono::milliseconds least_retry_after{100};
+    std::chrono::milliseconds min_retry_after{100};
 };
 
 } // namespace camphorpoint
--- a/src/Limits/service_router.hpp
+++ b/src/Limits/service_router.hpp
@@ -45,7 +45,7 @@
     /// @returns true when it was queued: it does not run
     bool withdraw(request_id const& id);
     /// A dispatched request has ended.
-    void on_ended(request_id const& id, service_end how, instant now);
+    void on_finished(request_id const& id, service_outcome how, instant now);
     /// Refuses what has waited long enough, dispatches what can go.
     void on_tick(instant now);
 
@@ -97,7 +97,7 @@
             (each.in_flight + 1.0) / std::max(1.0, each.limiter.limit());
         return each.facts.domain == own_ ? share : share + away_penalty;
     }
-    replica* choose(endpoint_id const& avoid, instant now);
+    replica* choose(endpoint_id const& avoid_endpoint, instant now);
     void dispatch(service_request const& request, duration queued, instant now);
     void refuse(
         request_id const& id, reason why,
@@ -160,7 +160,7 @@
         refuse(request.id, reason::deadline_unreachable, come_back(now));
         return;
     }
-    if (queue_.empty() && choose(request.avoid, now) != nullptr) {
+    if (queue_.empty() && choose(request.avoid_endpoint, now) != nullptr) {
         dispatch(request, {}, now);
         return;
     }
@@ -174,7 +174,7 @@
     std::size_t const ahead = queue_.ahead_of(request.how_urgent) + 1;
     duration const wait = service_time() * ahead / total_limit(now);
     auto const place = static_cast<std::size_t>(request.how_urgent);
-    if (wait > settings_.longest_wait[place]) {
+    if (wait > settings_.max_queue_time[place]) {
         refuse(request.id, reason::limit_reached, come_back(now));
         return;
     }
@@ -182,7 +182,7 @@
         refuse(request.id, reason::deadline_unreachable, come_back(now));
         return;
     }
-    if (queue_.size() >= settings_.most_queued) {
+    if (queue_.size() >= settings_.max_queued) {
         auto const worse = queue_.pop_below(request.how_urgent);
         refuse(
             worse ? worse->request.id : request.id, reason::queue_full,
@@ -202,8 +202,8 @@
 }
 
 template <concurrency_limiter Limiter>
-void service_router<Limiter>::on_ended(
-    request_id const& id, service_end how, instant now) {
+void service_router<Limiter>::on_finished(
+    request_id const& id, service_outcome how, instant now) {
     auto const found = running_.find(id);
     if (found == running_.end()) {
         return;
@@ -213,19 +213,20 @@
     replica& each = replicas_.at(ended.endpoint);
     duration const latency = now - ended.since;
     bool const dropped =
-        how == service_end::overloaded || how == service_end::timed_out;
-    if (how == service_end::completed || dropped) {
+        how == service_outcome::overloaded || how == service_outcome::timed_out;
+    if (how == service_outcome::completed || dropped) {
         each.limiter.on_sample({latency, each.in_flight, dropped});
     }
-    if (how == service_end::completed) {
+    if (how == service_outcome::completed) {
         double const time = static_cast<double>(latency.count());
         double const weight = mean_time_ == 0.0 ? 1.0 : time_weight;
         mean_time_ += (time - mean_time_) * weight;
         each.health.on_success();
-    } else if (how == service_end::not_sent || how == service_end::failed) {
+    } else if (
+        how == service_outcome::not_sent || how == service_outcome::failed) {
         each.health.on_failure(health_, now, random_);
     } else {
-        each.health.on_neutral();
+        each.health.on_inconclusive();
     }
     --each.in_flight;
     if (each.facts.leaving && each.in_flight == 0) {
@@ -252,13 +253,13 @@
         return reason::deadline_unreachable;
     }
     auto const place = static_cast<std::size_t>(each.request.how_urgent);
-    bool const long_wait = now - each.since > settings_.longest_wait[place];
+    bool const long_wait = now - each.since > settings_.max_queue_time[place];
     return long_wait ? reason::limit_reached : reason::none;
 }
 
 template <concurrency_limiter Limiter>
-auto service_router<Limiter>::choose(endpoint_id const& avoid, instant now)
-    -> replica* {
+auto service_router<Limiter>::choose(
+    endpoint_id const& avoid_endpoint, instant now) -> replica* {
     if (total_in_flight() >= total_limit(now)) {
         return nullptr;
     }
@@ -268,7 +269,7 @@
         if (!can_take(each, now)) {
             continue;
         }
-        if (id == avoid) {
+        if (id == avoid_endpoint) {
             avoided = &each;
         } else {
             free.push_back(&each);
@@ -286,7 +287,7 @@
 template <concurrency_limiter Limiter>
 void service_router<Limiter>::dispatch(
     service_request const& request, duration queued, instant now) {
-    replica* const chosen = choose(request.avoid, now);
+    replica* const chosen = choose(request.avoid_endpoint, now);
     assert(chosen != nullptr && "a replica must be free before a dispatch");
     ++chosen->in_flight;
     chosen->health.on_dispatch(health_);
@@ -315,7 +316,7 @@
 
 template <concurrency_limiter Limiter>
 duration service_router<Limiter>::service_time() const {
-    return mean_time_ == 0.0 ? duration(settings_.assumed_time)
+    return mean_time_ == 0.0 ? duration(settings_.initial_service_time)
                              : duration(static_cast<std::int64_t>(mean_time_));
 }
 
@@ -354,7 +355,7 @@
     duration const backlog = service_time() * queue_.size() / total_limit(now);
     auto const time =
         std::chrono::duration_cast<std::chrono::milliseconds>(backlog);
-    return std::max(settings_.least_retry_after, time);
+    return std::max(settings_.min_retry_after, time);
 }
 
 } // namespace camphorpoint
--- a/src/Placement/placement.hpp
+++ b/src/Placement/placement.hpp
@@ -84,7 +84,8 @@
 
     adapter_entry&
     entry_of(adapter_ref const& adapter, model_id const& model, instant now);
-    std::size_t copies(adapter_entry const& entry, instant now) const;
+    std::size_t
+    target_replica_count(adapter_entry const& entry, instant now) const;
     /// Replicas that the model's demand fills, of those that are usable.
     std::size_t needed_replicas(model_id const& model, instant now);
     /// @param at   place in the adapter's candidates
@@ -92,7 +93,8 @@
     placement_candidate describe(
         adapter_entry const& entry, std::size_t at, std::size_t rank,
         endpoint_id const* prefix_home, instant now) const;
-    double busy(internal::known_endpoint const& each, instant now) const;
+    double
+    batch_utilization(internal::known_endpoint const& each, instant now) const;
     duration aged_wait(internal::known_endpoint const& each, instant now) const;
     double residency(
         adapter_entry const& entry, std::size_t at, std::size_t rank,
--- a/src/Placement/placement_decisions.hpp
+++ b/src/Placement/placement_decisions.hpp
@@ -31,13 +31,14 @@
 template <placement_policy Policy>
 placement<Policy>::placement(placement_settings const& settings)
     : settings_(settings)
-    , prefixes_(settings.prefix_limit, settings.prefix_memory)
+    , prefixes_(settings.max_prefix_hints, settings.prefix_hint_lifetime)
     , service_time_(settings.service_time)
     , usual_service_(
           std::chrono::duration<double>(settings.service_time).count())
     , load_time_(settings.load_time) {
-    assert(settings.candidates > 0 && "a request needs a replica to ask at");
-    assert(settings.queue_memory.count() > 0 && "a half-life is positive");
+    assert(
+        settings.max_candidates > 0 && "a request needs a replica to ask at");
+    assert(settings.queue_half_life.count() > 0 && "a half-life is positive");
 }
 
 template <placement_policy Policy>
@@ -71,15 +72,15 @@
         // Versions of an adapter share their replicas: their owners can then
         // warm the newer one before the older is let go.
         std::uint64_t const key = hash_text(adapter.id.str());
-        entry.candidates = endpoints_.top(model, key, settings_.candidates);
+        entry.candidates = endpoints_.top(model, key, settings_.max_candidates);
         entry.generation = generation;
     }
     return entry;
 }
 
 template <placement_policy Policy>
-std::size_t
-placement<Policy>::copies(adapter_entry const& entry, instant now) const {
+std::size_t placement<Policy>::target_replica_count(
+    adapter_entry const& entry, instant now) const {
     if (entry.candidates.empty()) {
         return 1;
     }
@@ -90,7 +91,7 @@
     double const running =
         everywhere * std::chrono::duration<double>(service_time_).count();
     double const needed =
-        std::ceil(running / (settings_.share_per_copy * batch));
+        std::ceil(running / (settings_.replication_batch_fraction * batch));
     return std::max<std::size_t>(1, static_cast<std::size_t>(needed));
 }
 
@@ -108,12 +109,12 @@
         return extra;
     }
     double const left =
-        internal::remaining(now - *each.heard, settings_.queue_memory);
+        internal::remaining(now - *each.heard, settings_.queue_half_life);
     return internal::scaled(each.wait + extra, left);
 }
 
 template <placement_policy Policy>
-double placement<Policy>::busy(
+double placement<Policy>::batch_utilization(
     internal::known_endpoint const& each, instant now) const {
     // Replicas of which nothing is known are taken as this busy.
     constexpr double unknown = 0.6;
@@ -123,7 +124,7 @@
     double const limit = std::max(1U, each.about.batch_limit);
     double const told = std::min(1.0, (each.running + each.sent_since) / limit);
     double const left =
-        internal::remaining(now - *each.heard, settings_.queue_memory);
+        internal::remaining(now - *each.heard, settings_.queue_half_life);
     return unknown + (told - unknown) * left;
 }
 
@@ -140,7 +141,7 @@
         return guess;
     }
     double const left =
-        internal::remaining(now - hint->heard, settings_.residency_memory);
+        internal::remaining(now - hint->heard, settings_.residency_half_life);
     double const told = hint->resident ? 1.0 : 0.0;
     return guess + (told - guess) * left;
 }
@@ -152,7 +153,7 @@
     model_demand& demand = models_[model];
     demand.asks.add(now);
     choices_.add(now);
-    if (settings_.target_filling <= 0) {
+    if (settings_.target_batch_utilization <= 0) {
         return usable;
     }
     if (demand.needed == 0) {
@@ -174,8 +175,8 @@
     double const once = std::min(1.0, demand_.per_second(now) / choices);
     double const rate = once * demand.asks.per_second(now) *
                         static_cast<double>(settings_.nodes);
-    double const wanted =
-        rate * usual_service_ / (settings_.target_filling * batch_limit_);
+    double const wanted = rate * usual_service_ /
+                          (settings_.target_batch_utilization * batch_limit_);
     // More at once when they are needed, fewer only one by one: each replica
     // that comes or goes moves some adapters.
     constexpr std::chrono::seconds lower_every{5};
@@ -199,7 +200,7 @@
     result.rank = rank;
     result.wait = aged_wait(each, now);
     result.load = load_time_;
-    result.busy = busy(each, now);
+    result.batch_utilization = batch_utilization(each, now);
     result.residency = residency(entry, at, rank, now);
     result.prefix_cached = prefix_home && *prefix_home == each.about.id;
     result.same_domain = each.about.domain == settings_.domain;
@@ -212,7 +213,7 @@
     std::uint64_t prefix_hash, std::vector<endpoint_id> const& excluded,
     instant now) {
     adapter_entry const& entry = entry_of(adapter, model, now);
-    placement_demand const demand{how_urgent, copies(entry, now)};
+    placement_demand const demand{how_urgent, target_replica_count(entry, now)};
     endpoint_id const* const prefix_home =
         prefix_hash == 0 ? nullptr : prefixes_.find(prefix_hash, now);
     std::optional<internal::endpoint_index> best;
--- a/src/Placement/placement_policy.cpp
+++ b/src/Placement/placement_policy.cpp
@@ -6,7 +6,7 @@
     placement_candidate const& each, placement_demand const& demand) const {
     // Copies that the demand calls for cost a plain load; more than that push
     // out other adapters for nothing.
-    bool const called_for = each.rank < demand.copies;
+    bool const called_for = each.rank < demand.target_replica_count;
     double const weight = called_for ? 1.0 : load_weight;
     double const missing = weight * (1.0 - each.residency);
     auto const load = duration(static_cast<duration::rep>(
@@ -17,9 +17,9 @@
     duration cost = each.wait + load;
     cost += std::chrono::duration_cast<duration>(
         std::chrono::duration<double>(order) * (1.0 - each.residency));
-    double const squared = each.busy * each.busy;
+    double const squared = each.batch_utilization * each.batch_utilization;
     cost += std::chrono::duration_cast<duration>(
-        std::chrono::duration<double>(utilization) * squared * squared);
+        std::chrono::duration<double>(full_batch_cost) * squared * squared);
     if (each.prefix_cached) {
         cost -= prefix_saving;
     }
--- a/src/Placement/placement_policy.hpp
+++ b/src/Placement/placement_policy.hpp
@@ -17,7 +17,7 @@
     /// Expected wait for a load.
     duration load{};
     /// How full its batch is, from 0 to 1, aged.
-    double busy = 0;
+    double batch_utilization = 0;
     /// How sure it is that the adapter is resident, from 0 to 1.
     double residency = 0;
     /// True when the prompt's prefix was cached there of late.
@@ -32,7 +32,7 @@
 struct placement_demand {
     urgency how_urgent = urgency::normal;
     /// Copies that the measured demand needs.
-    std::size_t copies = 1;
+    std::size_t target_replica_count = 1;
 };
 
 /// Says what a candidate costs; the cheapest is chosen, the earlier rank wins
@@ -53,7 +53,7 @@
     static constexpr std::chrono::microseconds distance{500};
     /// What a full batch costs: requests that come next would wait. Less full
     /// batches cost far less, by the fourth power.
-    static constexpr std::chrono::milliseconds utilization{400};
+    static constexpr std::chrono::milliseconds full_batch_cost{400};
     /// Each place further down the order of an adapter that is not resident.
     static constexpr std::chrono::milliseconds rank_cost{20};
     /// A load elsewhere costs the store a load and some other adapter its
--- a/src/Serving/node_core_settle.cpp
+++ b/src/Serving/node_core_settle.cpp
@@ -164,7 +164,8 @@
             }
             std::string const address = surroundings_.address_of(go->endpoint);
             if (!requests_.on_dispatch(*go, address, clock_.now)) {
-                service.on_ended(go->id, service_end::cancelled, clock_.now);
+                service.on_finished(
+                    go->id, service_outcome::cancelled, clock_.now);
             }
         }
     }
--- a/src/Serving/request_services.cpp
+++ b/src/Serving/request_services.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-service_end service_end_of(attempt_end how) {
+service_outcome service_end_of(attempt_end how) {
     switch (how) {
     case attempt_end::completed:
-        return service_end::completed;
+        return service_outcome::completed;
     case attempt_end::not_sent:
-        return service_end::not_sent;
+        return service_outcome::not_sent;
     case attempt_end::refused_not_loaded:
     case attempt_end::refused_busy:
-        return service_end::overloaded;
+        return service_outcome::overloaded;
     case attempt_end::timed_out:
-        return service_end::timed_out;
+        return service_outcome::timed_out;
     case attempt_end::cancelled:
-        return service_end::cancelled;
+        return service_outcome::cancelled;
     default:
-        return service_end::failed;
+        return service_outcome::failed;
     }
 }
 
@@ -202,7 +202,7 @@
     if (request.what.kind == endpoint_kind::service) {
         auto const service = services_.plain.find(request.what.model);
         if (service != services_.plain.end()) {
-            service->second.on_ended(
+            service->second.on_finished(
                 request.asked.id, service_end_of(end.how), now);
         }
         return counted_elsewhere;
@@ -225,7 +225,8 @@
     asked.id = request.asked.id;
     asked.how_urgent = request.what.how_urgent;
     asked.deadline = request.deadline;
-    asked.avoid = request.tried.empty() ? endpoint_id() : request.tried.back();
+    asked.avoid_endpoint =
+        request.tried.empty() ? endpoint_id() : request.tried.back();
     if (service != services_.plain.end()) {
         service->second.submit(asked, now);
         return;
--- a/test/limits_retry_test.cpp
+++ b/test/limits_retry_test.cpp
@@ -33,9 +33,9 @@
         }
     }
     double const attempts = static_cast<double>(requests + retries);
-    double const floor_part = 4 * (settings.floor_per_second * 60 + 1);
-    double const bound =
-        1.0 + settings.ratio + floor_part / static_cast<double>(requests);
+    double const floor_part = 4 * (settings.min_retries_per_second * 60 + 1);
+    double const bound = 1.0 + settings.retries_per_request +
+                         floor_part / static_cast<double>(requests);
     CHECK(attempts / static_cast<double>(requests) <= bound);
     CHECK(attempts / static_cast<double>(requests) < 1.12);
     CHECK(budget.allowed() == retries);
@@ -46,7 +46,7 @@
 
 TEST_CASE("retries in ordinary times") {
     retry_settings settings;
-    settings.most_groups = 4;
+    settings.max_budgets = 4;
     retry_budget budget(settings);
     instant const now{};
     endpoint_id const to("e");
--- a/test/limits_router_test.cpp
+++ b/test/limits_router_test.cpp
@@ -22,8 +22,10 @@
         router.submit({request_id(id), how_urgent, now + time, {}}, now);
         collect();
     }
-    void end(std::string const& id, service_end how = service_end::completed) {
-        router.on_ended(request_id(id), how, now);
+    void
+    end(std::string const& id,
+        service_outcome how = service_outcome::completed) {
+        router.on_finished(request_id(id), how, now);
         collect();
     }
     void pass(milliseconds time) {
@@ -177,7 +179,8 @@
         world.submit(id);
         bool const near = world.sent[id] == "near";
         to_near += near ? 1 : 0;
-        world.end(id, near ? service_end::failed : service_end::completed);
+        world.end(
+            id, near ? service_outcome::failed : service_outcome::completed);
         world.pass(milliseconds(10));
     }
     // Three failures, then a probe after each skip of 0.25 to 0.5 s, then up
@@ -214,14 +217,14 @@
 // The capacity of a service halves for 30 s and comes back; nobody says so. Too
 // many requests would queue on its replicas, where nothing can shed them.
 TEST_CASE("scans do not queue when capacity shifts") {
-    service_simulation<delay_limit>::setup setup;
+    service_simulation<delay_based_limit>::setup setup;
     SUBCASE("through 3 nodes") {
         setup.nodes = 3;
     }
     SUBCASE("through 9 nodes") {
         setup.nodes = 9;
     }
-    service_simulation<delay_limit> simulation(setup);
+    service_simulation<delay_based_limit> simulation(setup);
     simulation.run(seconds(10));
     phase_result const calm = simulation.run(seconds(20));
     simulation.set_workers(4);
@@ -233,8 +236,8 @@
 
     CHECK(calm.p99_ms() < 20.0);
     CHECK(back.p99_ms() < 20.0);
-    CHECK(calm.share_refused() < 0.01);
-    CHECK(back.share_refused() < 0.01);
+    CHECK(calm.refused_fraction() < 0.01);
+    CHECK(back.refused_fraction() < 0.01);
     // 1,800 a second meet a capacity of 1,500.
     CHECK(half.p99_ms() < 22.0);
     CHECK(half.completed > 25 * 1'200);
--- a/test/limits_simulation.hpp
+++ b/test/limits_simulation.hpp
@@ -28,7 +28,7 @@
         std::size_t const place = waits.size() * 99 / 100;
         return std::chrono::duration<double, std::milli>(waits[place]).count();
     }
-    double share_refused() const {
+    double refused_fraction() const {
         return arrived == 0 ? 0.0 : double(refused) / arrived;
     }
 };
@@ -180,7 +180,7 @@
         replica& each = replicas_[ended.replica];
         --each.busy;
         begin(each);
-        nodes_[ended.node].on_ended(id, service_end::completed, now_);
+        nodes_[ended.node].on_finished(id, service_outcome::completed, now_);
         act(ended.node);
     }
 
--- a/test/spare_replicas_test.cpp
+++ b/test/spare_replicas_test.cpp
@@ -19,8 +19,8 @@
 /// One entry node before 18 replicas, with requests that come evenly.
 class steady_demand {
 public:
-    explicit steady_demand(double target_filling)
-        : placement_(settings_with(target_filling)) {
+    explicit steady_demand(double target_batch_utilization)
+        : placement_(settings_with(target_batch_utilization)) {
         std::vector<placement_endpoint> list;
         constexpr int replicas = 18;
         for (int index = 0; index < replicas; ++index) {
@@ -56,11 +56,11 @@
     }
 
 private:
-    static placement_settings settings_with(double target_filling) {
+    static placement_settings settings_with(double target_batch_utilization) {
         placement_settings result;
-        result.target_filling = target_filling;
+        result.target_batch_utilization = target_batch_utilization;
         // All are looked at, so that none is used for want of another.
-        result.candidates = 18;
+        result.max_candidates = 18;
         return result;
     }
 
