--- a/src/Node/attempt_runner.cpp
+++ b/src/Node/attempt_runner.cpp
@@ -74,7 +74,8 @@
     if (!may_run) {
         // That nobody waits any more says nothing of the endpoint.
         bool const unwanted = attempt->caller == nullptr || attempt->cancelled;
-        end.how = unwanted ? attempt_end::cancelled : attempt_end::not_sent;
+        end.how =
+            unwanted ? attempt_result::cancelled : attempt_result::not_sent;
     } else {
         try {
             if (attempt->what.kind == endpoint_kind::engine) {
@@ -84,7 +85,7 @@
             }
         } catch (std::exception const&) {
             // Out of memory, as a rule. Whether the request ran isn't known.
-            end.how = attempt_end::cut;
+            end.how = attempt_result::truncated;
         }
     }
     end.id = attempt->what.id;
@@ -133,7 +134,7 @@
     attempt_ended end;
     end.how = got.how;
     end.status = got.status;
-    if (got.how == attempt_end::completed && what.keep_answer) {
+    if (got.how == attempt_result::completed && what.return_answer) {
         end.answer = attempt->caller->whole_answer();
     }
     co_return end;
@@ -154,9 +155,9 @@
     attempt_ended end;
     end.how = got.how;
     end.status = got.status;
-    if (got.how == attempt_end::completed) {
+    if (got.how == attempt_result::completed) {
         attempt->caller->put_answer(std::move(got.answer));
-        end.answer = what.keep_answer ? attempt->caller->whole_answer() : "";
+        end.answer = what.return_answer ? attempt->caller->whole_answer() : "";
     }
     co_return end;
 }
--- a/src/Node/ports_driver.cpp
+++ b/src/Node/ports_driver.cpp
@@ -260,7 +260,7 @@
         std::string to = address->second;
         result = co_await engines_.order(std::move(what), std::move(to));
     }
-    handle(order_ended{number, result});
+    handle(command_ended{number, result});
 }
 
 void ports_driver::carry_out(send_peer& action) {
--- a/src/Node/serving_setup.cpp
+++ b/src/Node/serving_setup.cpp
@@ -19,7 +19,7 @@
     result.self.domain = settings.domain;
     result.self.peer_address = text_of(settings.peer_address);
     result.self.caller_address = text_of(settings.caller_address);
-    result.run = run;
+    result.start_time_ms = run;
     result.seed = seed;
     result.requests = settings.requests;
     result.ownership = settings.ownership;
--- a/src/Ports/caller_call.cpp
+++ b/src/Ports/caller_call.cpp
@@ -45,7 +45,7 @@
     } else if (start.from_token != received_) {
         return false;
     }
-    keep_text_ = start.keep_answer || form_ == answer_form::whole;
+    keep_text_ = start.return_answer || form_ == answer_form::whole;
     position_.endpoint = start.endpoint;
     position_.adapter = start.adapter;
     position_.engine_request = start.engine_id;
--- a/src/Ports/caller_interface.cpp
+++ b/src/Ports/caller_interface.cpp
@@ -117,7 +117,7 @@
     events_(std::move(event));
     co_await call->deliver(exchange);
     if (!call->finished()) {
-        events_(caller_gone{call->id()});
+        events_(caller_disconnected{call->id()});
     }
 }
 
--- a/src/Ports/engine_http.cpp
+++ b/src/Ports/engine_http.cpp
@@ -51,32 +51,32 @@
     return request;
 }
 
-attempt_end end_of_status(int status, bool resumed) {
+attempt_result end_of_status(int status, bool resumed) {
     switch (status) {
     case status_conflict:
-        return attempt_end::refused_not_loaded;
+        return attempt_result::refused_not_loaded;
     case status_unavailable:
-        return attempt_end::refused_busy;
+        return attempt_result::refused_busy;
     default:
         // The engine no longer keeps the stream: it has run, and its rest
         // cannot be had.
-        return resumed && status == status_not_found ? attempt_end::cut
-                                                     : attempt_end::failed;
+        return resumed && status == status_not_found ? attempt_result::truncated
+                                                     : attempt_result::failed;
     }
 }
 
 /// @returns how an attempt ends whose answer goes wrong at an event
-attempt_end end_of(stream_verdict verdict) {
-    return verdict == stream_verdict::mismatch ? attempt_end::mismatch
-                                               : attempt_end::cut;
+attempt_result end_of(stream_verdict verdict) {
+    return verdict == stream_verdict::mismatch ? attempt_result::mismatch
+                                               : attempt_result::truncated;
 }
 
-attempt_end end_of_loss(
-    http_call const& call, engine_request const& request, attempt_end loss) {
+attempt_result end_of_loss(
+    http_call const& call, engine_request const& request, attempt_result loss) {
     if (call.cancelled()) {
-        return attempt_end::cancelled;
+        return attempt_result::cancelled;
     }
-    return boot_clock::now() >= request.deadline ? attempt_end::timed_out
+    return boot_clock::now() >= request.deadline ? attempt_result::timed_out
                                                  : loss;
 }
 
@@ -169,8 +169,8 @@
         parse_address(request.address), std::move(message), times);
     if (opened != call_result::answered) {
         end.how = opened == call_result::not_sent
-                      ? attempt_end::not_sent
-                      : end_of_loss(call, request, attempt_end::cut);
+                      ? attempt_result::not_sent
+                      : end_of_loss(call, request, attempt_result::truncated);
         co_return end;
     }
     end.status = call.status();
@@ -186,7 +186,7 @@
     http_call& call, engine_request const& request, engine_sink sink) {
     engine_stream_end end;
     end.status = status_ok;
-    end.how = attempt_end::cut;
+    end.how = attempt_result::truncated;
     engine_stream stream(request.id, request.adapter, request.from_token);
     event_stream_reader reader;
     // What ends the call behind the last chunk takes nothing from the answer.
@@ -205,7 +205,7 @@
                               verdict == stream_verdict::last;
             if (!good) {
                 call.cancel();
-                end.how = whole ? attempt_end::completed : end_of(verdict);
+                end.how = whole ? attempt_result::completed : end_of(verdict);
                 co_return end;
             }
             end.tokens = stream.next_token();
@@ -213,19 +213,20 @@
                 stream.next_token(), event->data, stream.text()};
             if (!co_await sink(checked)) {
                 call.cancel();
-                end.how = attempt_end::cancelled;
+                end.how = attempt_result::cancelled;
                 co_return end;
             }
             whole = verdict == stream_verdict::last;
         }
         if (reader.pending_bytes() > largest_event) {
             call.cancel();
-            end.how = whole ? attempt_end::completed : attempt_end::cut;
+            end.how =
+                whole ? attempt_result::completed : attempt_result::truncated;
             co_return end;
         }
     }
-    end.how = whole ? attempt_end::completed
-                    : end_of_loss(call, request, attempt_end::cut);
+    end.how = whole ? attempt_result::completed
+                    : end_of_loss(call, request, attempt_result::truncated);
     co_return end;
 }
 
--- a/src/Ports/engine_http.hpp
+++ b/src/Ports/engine_http.hpp
@@ -57,7 +57,7 @@
 
 /// How a stream ended.
 struct engine_stream_end {
-    attempt_end how = attempt_end::not_sent;
+    attempt_result how = attempt_result::not_sent;
     /// Tokens of the whole answer that the sink has taken or was offered.
     std::uint32_t tokens = 0;
     int status = 0;
--- a/src/Ports/service_http.cpp
+++ b/src/Ports/service_http.cpp
@@ -14,12 +14,12 @@
 constexpr int status_ok = 200;
 constexpr int status_unavailable = 503;
 
-attempt_end end_of_loss(http_call const& call, instant deadline) {
+attempt_result end_of_loss(http_call const& call, instant deadline) {
     if (call.cancelled()) {
-        return attempt_end::cancelled;
+        return attempt_result::cancelled;
     }
-    return boot_clock::now() >= deadline ? attempt_end::timed_out
-                                         : attempt_end::cut;
+    return boot_clock::now() >= deadline ? attempt_result::timed_out
+                                         : attempt_result::truncated;
 }
 
 http_request message_of(service_call const& wanted) {
@@ -49,24 +49,25 @@
     service_call_end end;
     if (got.how != call_result::answered) {
         end.how = got.how == call_result::not_sent
-                      ? attempt_end::not_sent
+                      ? attempt_result::not_sent
                       : end_of_loss(call, request.deadline);
         co_return end;
     }
     end.status = got.response.status;
     if (end.status != status_ok) {
-        end.how = end.status == status_unavailable ? attempt_end::refused_busy
-                                                   : attempt_end::failed;
+        end.how = end.status == status_unavailable
+                      ? attempt_result::refused_busy
+                      : attempt_result::failed;
         co_return end;
     }
     auto const answer = parse_json_object(got.response.body);
     // A late answer to an earlier call on the same connection bears that call's
     // id; it is dropped.
     if (!answer || json_text(*answer, "id") != request.id.str()) {
-        end.how = attempt_end::mismatch;
+        end.how = attempt_result::mismatch;
         co_return end;
     }
-    end.how = attempt_end::completed;
+    end.how = attempt_result::completed;
     end.answer = std::move(got.response.body);
     co_return end;
 }
--- a/src/Ports/service_http.hpp
+++ b/src/Ports/service_http.hpp
@@ -27,7 +27,7 @@
 
 /// How a call ended.
 struct service_call_end {
-    attempt_end how = attempt_end::not_sent;
+    attempt_result how = attempt_result::not_sent;
     /// The whole answer; empty unless completed.
     std::string answer;
     int status = 0;
--- a/src/Serving/content_router.cpp
+++ b/src/Serving/content_router.cpp
@@ -54,7 +54,7 @@
 
 } // namespace
 
-content_router::content_router(
+quarantine_router::quarantine_router(
     serving_settings const& settings, node_services& services,
     node_outbox& outbox)
     : services_(services)
@@ -64,7 +64,7 @@
 
 // Rendezvous hashing: a node that comes or goes moves only what it counts.
 std::vector<node_id>
-content_router::counters_of(request_fingerprint content) const {
+quarantine_router::counters_of(request_fingerprint content) const {
     std::vector<std::pair<std::uint64_t, node_id>> ranked;
     for (live_node const& each : services_.members.live_nodes()) {
         std::uint64_t const weight =
@@ -82,7 +82,7 @@
     return result;
 }
 
-std::vector<node_id> content_router::some_others(std::size_t most) {
+std::vector<node_id> quarantine_router::some_others(std::size_t most) {
     std::vector<node_id> others;
     for (live_node const& each : services_.members.live_nodes()) {
         if (each.id != outbox_.self()) {
@@ -96,7 +96,7 @@
     return chosen;
 }
 
-std::uint64_t content_router::start_of(std::uint64_t endpoint, instant now) {
+std::uint64_t quarantine_router::start_of(std::uint64_t endpoint, instant now) {
     if (ends_.size() >= most_remembered && !ends_.contains(endpoint)) {
         ends_.erase(std::ranges::min_element(
             ends_, {}, [](auto const& each) { return each.second.newest; }));
@@ -109,7 +109,8 @@
     return combine_hashes(endpoint, seen.starts);
 }
 
-void content_router::count_end(replica_crash_message const& end, instant now) {
+void quarantine_router::count_end(
+    replica_crash_message const& end, instant now) {
     std::uint64_t const start = start_of(end.endpoint, now);
     request_fingerprint const content{end.fingerprint};
     auto const word = services_.quarantine.record_crash(content, start, now);
@@ -124,7 +125,7 @@
     spread(*word);
 }
 
-bool content_router::on_broken(
+bool quarantine_router::on_broken(
     request_fingerprint content, endpoint_id const& at, instant now) {
     if (told_.size() < most_remembered || told_.contains(content)) {
         told_[content] = now;
@@ -141,7 +142,7 @@
     return others;
 }
 
-void content_router::on_served(request_fingerprint content, instant now) {
+void quarantine_router::on_served(request_fingerprint content, instant now) {
     clear(content, now);
     // Few contents have had an end, so that a run which ends well costs no
     // message.
@@ -155,7 +156,7 @@
     }
 }
 
-void content_router::clear(request_fingerprint content, instant /*now*/) {
+void quarantine_router::clear(request_fingerprint content, instant /*now*/) {
     auto const word = services_.quarantine.record_success(content);
     if (!word) {
         return;
@@ -168,23 +169,23 @@
     spread(*word);
 }
 
-void content_router::spread(quarantine_update const& word) {
+void quarantine_router::spread(quarantine_update const& word) {
     for (node_id const& each : some_others(spread_to)) {
         outbox_.send(each, quarantine_message{{wire_of(word)}});
     }
 }
 
-void content_router::on_message(
+void quarantine_router::on_message(
     node_id const& /*from*/, replica_crash_message const& told, instant now) {
     count_end(told, now);
 }
 
-void content_router::on_message(
+void quarantine_router::on_message(
     node_id const& /*from*/, request_success_message const& told, instant now) {
     clear(request_fingerprint{told.fingerprint}, now);
 }
 
-void content_router::on_message(
+void quarantine_router::on_message(
     node_id const& from, quarantine_message const& told, instant now) {
     for (quarantine_entry const& each : told.entries) {
         quarantine_update const word = word_of(each);
@@ -203,7 +204,7 @@
     }
 }
 
-void content_router::on_message(
+void quarantine_router::on_message(
     node_id const& from, quarantine_sync_request const& /*asked*/,
     instant now) {
     quarantine_message all;
@@ -217,7 +218,7 @@
 }
 
 // Guards against a node that begins anew and runs what all others hold.
-void content_router::refresh_members() {
+void quarantine_router::refresh_members() {
     if (asks_left_ == 0) {
         return;
     }
@@ -227,7 +228,7 @@
     }
 }
 
-void content_router::on_tick(instant now) {
+void quarantine_router::on_tick(instant now) {
     if (now < next_round_) {
         return;
     }
--- a/src/Serving/content_router.hpp
+++ b/src/Serving/content_router.hpp
@@ -24,9 +24,9 @@
 /// compared with one node a second.
 /// Reference: A. Demers et al., "Epidemic algorithms for replicated database
 /// maintenance", PODC 1987.
-class content_router {
+class quarantine_router {
 public:
-    content_router(
+    quarantine_router(
         serving_settings const& settings, node_services& services,
         node_outbox& outbox);
 
--- a/src/Serving/grant_router.cpp
+++ b/src/Serving/grant_router.cpp
@@ -70,8 +70,8 @@
     }
 }
 
-void grant_router::on_order_ended(order_ended const& end, instant now) {
-    auto const found = orders_.find(end.order);
+void grant_router::on_command_ended(command_ended const& end, instant now) {
+    auto const found = orders_.find(end.command);
     if (found == orders_.end()) {
         return;
     }
--- a/src/Serving/grant_router.hpp
+++ b/src/Serving/grant_router.hpp
@@ -40,7 +40,7 @@
     void
     on_message(node_id const& from, load_denied const& message, instant now);
     void on_report(engine_report const& report, instant now);
-    void on_order_ended(order_ended const& end, instant now);
+    void on_command_ended(command_ended const& end, instant now);
 
     void gained(ownership_gained const& claim, instant now);
     void lost(resource_id const& replica, instant now);
--- a/src/Serving/heartbeat_sender.hpp
+++ b/src/Serving/heartbeat_sender.hpp
@@ -37,7 +37,7 @@
             }
         }
         std::erase_if(last_used_, [&](auto const& each) {
-            return now - each.second > settings_.heartbeat_after_last;
+            return now - each.second > settings_.idle_owner_heartbeat_period;
         });
         for (auto const& [owner, used] : last_used_) {
             outbox_.send(owner, std::move(beats[owner]));
--- a/src/Serving/node_action.hpp
+++ b/src/Serving/node_action.hpp
@@ -37,7 +37,7 @@
     /// The whole attempt is cut off here.
     instant deadline;
     /// True when the whole answer is wanted in attempt_ended.
-    bool keep_answer = false;
+    bool return_answer = false;
 };
 
 /// Stop an attempt and close its connection.
--- a/src/Serving/node_core.cpp
+++ b/src/Serving/node_core.cpp
@@ -38,8 +38,8 @@
     requests_.on_resume(event, clock_.now);
 }
 
-void node_core::on(caller_gone const& event) {
-    requests_.on_caller_gone(event.id, clock_.now);
+void node_core::on(caller_disconnected const& event) {
+    requests_.on_caller_disconnected(event.id, clock_.now);
 }
 
 void node_core::on(attempt_progress const& event) {
@@ -88,8 +88,8 @@
     grants_.on_report(event, clock_.now);
 }
 
-void node_core::on(order_ended const& event) {
-    grants_.on_order_ended(event, clock_.now);
+void node_core::on(command_ended const& event) {
+    grants_.on_command_ended(event, clock_.now);
 }
 
 void node_core::on(peer_received const& event) {
--- a/src/Serving/node_core.hpp
+++ b/src/Serving/node_core.hpp
@@ -54,7 +54,7 @@
 private:
     void on(caller_request const& event);
     void on(caller_resume const& event);
-    void on(caller_gone const& event);
+    void on(caller_disconnected const& event);
     void on(attempt_progress const& event);
     void on(attempt_ended const& event);
     void on(log_batch const& event);
@@ -62,7 +62,7 @@
     void on(log_append_ended const& event);
     void on(instance_list const& event);
     void on(engine_report const& event);
-    void on(order_ended const& event);
+    void on(command_ended const& event);
     void on(peer_received const& event);
     void on(peer_unreachable const& event);
     void on(publish_request const& event);
@@ -90,7 +90,7 @@
     key_router keys_;
     ownership_router ownership_;
     config_router config_;
-    content_router contents_;
+    quarantine_router contents_;
     request_services surroundings_;
     request_tracker<request_services> requests_;
     heartbeat_sender heartbeats_;
--- a/src/Serving/node_event.hpp
+++ b/src/Serving/node_event.hpp
@@ -45,12 +45,12 @@
 };
 
 /// The caller closed its connection.
-struct caller_gone {
+struct caller_disconnected {
     request_id id;
 };
 
 /// How sending one request to one endpoint ended.
-enum class attempt_end : std::uint8_t {
+enum class attempt_result : std::uint8_t {
     completed,
     /// No byte can have left: the deadline of the grant had passed, or no
     /// connection was made.
@@ -62,7 +62,7 @@
     /// The answer bore another adapter, version or id; it was dropped.
     mismatch,
     /// The stream broke off, or was shorter than announced.
-    cut,
+    truncated,
     /// An error status after the request was taken.
     failed,
     timed_out,
@@ -80,7 +80,7 @@
 struct attempt_ended {
     request_id id;
     std::uint32_t attempt = 0;
-    attempt_end how = attempt_end::completed;
+    attempt_result how = attempt_result::completed;
     /// Tokens that reached the caller, over all attempts.
     std::uint32_t tokens = 0;
     /// Tokens that came from the engine whole, over all attempts, also those
@@ -104,8 +104,8 @@
 };
 
 /// An order has ended.
-struct order_ended {
-    std::uint64_t order = 0;
+struct command_ended {
+    std::uint64_t command = 0;
     order_result how = order_result::done;
 };
 
@@ -141,10 +141,10 @@
 
 /// All that can happen to a node's decisions.
 using node_event = std::variant<
-    caller_request, caller_resume, caller_gone, attempt_progress, attempt_ended,
-    log_batch, log_read_failed, log_append_ended, instance_list, engine_report,
-    order_ended, peer_received, peer_unreachable, publish_request, tick,
-    drain_started, probe_received>;
+    caller_request, caller_resume, caller_disconnected, attempt_progress,
+    attempt_ended, log_batch, log_read_failed, log_append_ended, instance_list,
+    engine_report, command_ended, peer_received, peer_unreachable,
+    publish_request, tick, drain_started, probe_received>;
 
 /// How often a node's decisions see a tick.
 inline constexpr std::chrono::milliseconds tick_period{20};
--- a/src/Serving/node_services.cpp
+++ b/src/Serving/node_services.cpp
@@ -25,10 +25,11 @@
 
 node_services::node_services(serving_settings const& settings)
     : members(
-          settings.members, settings.self, settings.run,
+          settings.members, settings.self, settings.start_time_ms,
           generator(settings, stream::members))
     , owning(
-          settings.ownership, node_run{settings.self.id, settings.run},
+          settings.ownership,
+          node_run{settings.self.id, settings.start_time_ms},
           generator(settings, stream::owning))
     , follower(
           settings.self.id, settings.configuration,
--- a/src/Serving/request_environment.hpp
+++ b/src/Serving/request_environment.hpp
@@ -65,28 +65,28 @@
     /// Where an endpoint is; empty when it is not known.
     { environment.address_of(endpoint) } -> std::same_as<std::string>;
     /// Takes one repeat of a request from its retry budgets.
-    { environment.take_retry(request, now) } -> std::same_as<bool>;
+    { environment.try_consume_retry(request, now) } -> std::same_as<bool>;
     /// Sends to the replica's owner; false when it is known to be out of reach.
-    { environment.tell_owner(endpoint, message, now) } -> std::same_as<bool>;
+    { environment.send_to_owner(endpoint, message, now) } -> std::same_as<bool>;
     /// Asks for leave to run a request under its key.
-    environment.ask_key(request, now);
+    environment.request_key(request, now);
     /// The request will not run, whatever leave still comes.
-    environment.withdraw_key(id, now);
+    environment.cancel_key_request(id, now);
     /// A request that got leave has ended.
-    environment.key_ended(id, how, why, answer, now);
+    environment.on_keyed_request_ended(id, how, why, answer, now);
     /// An attempt has ended: for limits, retry budgets and placement.
     /// True when other nodes count the end under the request's content, and may
     /// say that it is held.
-    { environment.attempt_over(request, end, now) } -> std::same_as<bool>;
+    { environment.record_attempt_end(request, end, now) } -> std::same_as<bool>;
     /// For how long the request's content is not run; nothing when it may run.
     {
-        environment.held_for(request, now)
+        environment.quarantined_for(request, now)
         } -> std::same_as<std::optional<duration>>;
     /// Hands a plain service's request to the service's limits; a dispatch or
     /// a refusal follows as an event.
     environment.submit_service(request, now);
     /// Takes it back; it was not dispatched.
-    environment.withdraw_service(request);
+    environment.cancel_service_request(request);
     environment.act(action);
 };
 
--- a/src/Serving/request_services.cpp
+++ b/src/Serving/request_services.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-service_outcome service_end_of(attempt_end how) {
+service_outcome service_end_of(attempt_result how) {
     switch (how) {
-    case attempt_end::completed:
+    case attempt_result::completed:
         return service_outcome::completed;
-    case attempt_end::not_sent:
+    case attempt_result::not_sent:
         return service_outcome::not_sent;
-    case attempt_end::refused_not_loaded:
-    case attempt_end::refused_busy:
+    case attempt_result::refused_not_loaded:
+    case attempt_result::refused_busy:
         return service_outcome::overloaded;
-    case attempt_end::timed_out:
+    case attempt_result::timed_out:
         return service_outcome::timed_out;
-    case attempt_end::cancelled:
+    case attempt_result::cancelled:
         return service_outcome::cancelled;
     default:
         return service_outcome::failed;
@@ -40,9 +40,10 @@
 }
 
 // The endpoint answered, whatever it said.
-bool answered(attempt_end how) {
-    return how == attempt_end::completed || how == attempt_end::refused_busy ||
-           how == attempt_end::refused_not_loaded;
+bool answered(attempt_result how) {
+    return how == attempt_result::completed ||
+           how == attempt_result::refused_busy ||
+           how == attempt_result::refused_not_loaded;
 }
 
 } // namespace
@@ -135,12 +136,13 @@
     return found == nullptr ? std::string() : found->address;
 }
 
-bool request_services::take_retry(live_request const& request, instant now) {
+bool request_services::try_consume_retry(
+    live_request const& request, instant now) {
     return services_.retries.try_retry(
         request.endpoint, request.asked.caller_group, now);
 }
 
-bool request_services::tell_owner(
+bool request_services::send_to_owner(
     endpoint_id const& replica, owner_message const& message, instant /*now*/) {
     node_id const owner = services_.reachable_owner(replica_resource(replica));
     if (owner.empty()) {
@@ -150,7 +152,8 @@
     return true;
 }
 
-void request_services::ask_key(live_request const& request, instant /*now*/) {
+void request_services::request_key(
+    live_request const& request, instant /*now*/) {
     keyed_request asked;
     asked.id = request.asked.id;
     asked.key = canonical_key(*request.asked.key);
@@ -160,18 +163,19 @@
     services_.keys.request_permission(asked, clock_);
 }
 
-void request_services::withdraw_key(request_id const& id, instant /*now*/) {
+void request_services::cancel_key_request(
+    request_id const& id, instant /*now*/) {
     services_.keys.withdraw(id, clock_);
 }
 
-void request_services::key_ended(
+void request_services::on_keyed_request_ended(
     request_id const& id, outcome how, reason why, std::string const& answer,
     instant /*now*/) {
     services_.keys.complete(id, how, why, answer, clock_);
 }
 
-std::optional<duration>
-request_services::held_for(live_request const& request, instant now) const {
+std::optional<duration> request_services::quarantined_for(
+    live_request const& request, instant now) const {
     auto const content = content_of(request);
     return content ? services_.quarantine.quarantined_for(*content, now)
                    : std::nullopt;
@@ -185,17 +189,17 @@
     if (!content || request.phase == request_phase::closing) {
         return false;
     }
-    if (end.how == attempt_end::completed) {
+    if (end.how == attempt_result::completed) {
         contents_.on_served(*content, now);
     }
-    return end.how == attempt_end::cut &&
+    return end.how == attempt_result::truncated &&
            contents_.on_broken(*content, request.endpoint, now);
 }
 
-bool request_services::attempt_over(
+bool request_services::record_attempt_end(
     live_request const& request, attempt_ended const& end, instant now) {
     bool const counted_elsewhere = note_content(request, end, now);
-    if (end.how != attempt_end::cancelled) {
+    if (end.how != attempt_result::cancelled) {
         services_.members.on_endpoint_call(
             request.endpoint, answered(end.how), now);
     }
@@ -207,7 +211,7 @@
         }
         return counted_elsewhere;
     }
-    if (end.how == attempt_end::completed) {
+    if (end.how == attempt_result::completed) {
         services_.choice.on_served(now - request.admitted);
     }
     auto const alone = without_grant_.find(request.endpoint);
@@ -238,7 +242,7 @@
     made.first->second.submit(asked, now);
 }
 
-void request_services::withdraw_service(live_request const& request) {
+void request_services::cancel_service_request(live_request const& request) {
     auto const service = services_.plain.find(request.what.model);
     if (service != services_.plain.end()) {
         service->second.withdraw(request.asked.id);
--- a/src/Serving/request_services.hpp
+++ b/src/Serving/request_services.hpp
@@ -19,7 +19,7 @@
 public:
     request_services(
         serving_settings const& settings, node_services& services,
-        node_outbox& outbox, content_router& contents)
+        node_outbox& outbox, quarantine_router& contents)
         : settings_(settings)
         , services_(services)
         , outbox_(outbox)
@@ -34,20 +34,20 @@
     admission admit(profile_name const& name, instant now);
     route choose(live_request const& request, instant now);
     std::string address_of(endpoint_id const& endpoint) const;
-    bool take_retry(live_request const& request, instant now);
-    bool tell_owner(
+    bool try_consume_retry(live_request const& request, instant now);
+    bool send_to_owner(
         endpoint_id const& replica, owner_message const& message, instant now);
-    void ask_key(live_request const& request, instant now);
-    void withdraw_key(request_id const& id, instant now);
-    void key_ended(
+    void request_key(live_request const& request, instant now);
+    void cancel_key_request(request_id const& id, instant now);
+    void on_keyed_request_ended(
         request_id const& id, outcome how, reason why,
         std::string const& answer, instant now);
-    bool attempt_over(
+    bool record_attempt_end(
         live_request const& request, attempt_ended const& end, instant now);
     std::optional<duration>
-    held_for(live_request const& request, instant now) const;
+    quarantined_for(live_request const& request, instant now) const;
     void submit_service(live_request const& request, instant now);
-    void withdraw_service(live_request const& request);
+    void cancel_service_request(live_request const& request);
     void act(node_action const& action) { outbox_.act(action); }
 
 private:
@@ -60,7 +60,7 @@
     serving_settings const& settings_;
     node_services& services_;
     node_outbox& outbox_;
-    content_router& contents_;
+    quarantine_router& contents_;
     clock_reading clock_;
     bool draining_ = false;
     /// Requests that run on a replica without a grant of its owner.
--- a/src/Serving/request_tracker.hpp
+++ b/src/Serving/request_tracker.hpp
@@ -46,7 +46,7 @@
     /// A caller asks for the rest of a stream that was cut.
     void on_resume(caller_resume const& asked, instant now);
     /// The caller closed its connection.
-    void on_caller_gone(request_id const& id, instant now);
+    void on_caller_disconnected(request_id const& id, instant now);
     /// The decision about the request's key has come.
     void on_key_settled(key_decision const& settled, instant now);
     /// An owner's word.
@@ -106,12 +106,12 @@
     void
     never_ran(live_request& request, attempt_ended const& end, instant now);
     void broken(
-        live_request& request, attempt_ended const& end, bool word_comes,
+        live_request& request, attempt_ended const& end, bool reported_to_peers,
         instant now);
     bool resume_later(live_request& request, instant now);
     void resume(live_request& request);
     void repeat_or_end(
-        live_request& request, attempt_ended const& end, bool word_comes,
+        live_request& request, attempt_ended const& end, bool reported_to_peers,
         instant now);
     bool
     may_repeat(live_request const& request, attempt_ended const& end) const;
--- a/src/Serving/request_tracker_attempts.hpp
+++ b/src/Serving/request_tracker_attempts.hpp
@@ -11,21 +11,21 @@
 namespace internal {
 
 /// @returns why a request ends whose attempt ended so
-constexpr reason reason_of(attempt_end how) noexcept {
+constexpr reason reason_of(attempt_result how) noexcept {
     switch (how) {
-    case attempt_end::not_sent:
+    case attempt_result::not_sent:
         return reason::endpoint_unreachable;
-    case attempt_end::refused_not_loaded:
+    case attempt_result::refused_not_loaded:
         return reason::not_loaded;
-    case attempt_end::refused_busy:
+    case attempt_result::refused_busy:
         return reason::limit_reached;
-    case attempt_end::mismatch:
+    case attempt_result::mismatch:
         return reason::answer_mismatch;
-    case attempt_end::cut:
+    case attempt_result::truncated:
         return reason::answer_cut;
-    case attempt_end::timed_out:
+    case attempt_result::timed_out:
         return reason::deadline_passed;
-    case attempt_end::cancelled:
+    case attempt_result::cancelled:
         return reason::caller_gone;
     default:
         return reason::endpoint_failed;
@@ -33,10 +33,10 @@
 }
 
 /// @returns true when the endpoint cannot have run any of it
-constexpr bool never_ran(attempt_end how) noexcept {
-    return how == attempt_end::not_sent ||
-           how == attempt_end::refused_not_loaded ||
-           how == attempt_end::refused_busy;
+constexpr bool never_ran(attempt_result how) noexcept {
+    return how == attempt_result::not_sent ||
+           how == attempt_result::refused_not_loaded ||
+           how == attempt_result::refused_busy;
 }
 
 /// @returns true when the endpoint says that the request itself is wrong, so
@@ -125,21 +125,22 @@
     request->tokens = std::max(request->tokens, end.tokens);
     request->received =
         std::max({request->received, end.received, request->tokens});
-    bool const word_comes = environment_.attempt_over(*request, end, now);
+    bool const reported_to_peers =
+        environment_.record_attempt_end(*request, end, now);
     if (request->phase == request_phase::closing) {
-        if (end.how == attempt_end::completed) {
+        if (end.how == attempt_result::completed) {
             count(count_reason::kind::dropped, reason::late_answer);
         }
         release(*request, true, now);
         forget(*request);
         return;
     }
-    if (end.how == attempt_end::completed) {
+    if (end.how == attempt_result::completed) {
         completed(*request, end, now);
     } else if (internal::never_ran(end.how) && !request->resumed) {
         never_ran(*request, end, now);
     } else {
-        broken(*request, end, word_comes, now);
+        broken(*request, end, reported_to_peers, now);
     }
 }
 
@@ -158,7 +159,7 @@
 template <request_environment Environment>
 void request_tracker<Environment>::never_ran(
     live_request& request, attempt_ended const& end, instant now) {
-    if (end.how == attempt_end::refused_not_loaded) {
+    if (end.how == attempt_result::refused_not_loaded) {
         // The owner thought otherwise, learns it from the release, and loads:
         // the same replica may well be the next best.
         release(request, false, now);
@@ -180,15 +181,15 @@
 
 template <request_environment Environment>
 void request_tracker<Environment>::broken(
-    live_request& request, attempt_ended const& end, bool word_comes,
+    live_request& request, attempt_ended const& end, bool reported_to_peers,
     instant now) {
     request.may_have_run = true;
-    bool const lost_stream = end.how == attempt_end::cut ||
+    bool const lost_stream = end.how == attempt_result::truncated ||
                              (request.resumed && internal::never_ran(end.how));
     if (lost_stream && resume_later(request, now)) {
         return;
     }
-    repeat_or_end(request, end, word_comes, now);
+    repeat_or_end(request, end, reported_to_peers, now);
 }
 
 // The grant is kept meanwhile: the engine may still be running the stream, and
@@ -197,10 +198,10 @@
 bool request_tracker<Environment>::resume_later(
     live_request& request, instant now) {
     if (request.what.kind != endpoint_kind::engine || request.received == 0 ||
-        request.detached || request.resumes == settings_.most_resumes) {
+        request.detached || request.resumes == settings_.max_resumes) {
         return false;
     }
-    auto const pause = settings_.resume_pause * (1U << request.resumes);
+    auto const pause = settings_.resume_backoff * (1U << request.resumes);
     if (now + pause >= request.deadline) {
         return false;
     }
@@ -220,8 +221,8 @@
 template <request_environment Environment>
 bool request_tracker<Environment>::may_repeat(
     live_request const& request, attempt_ended const& end) const {
-    bool const takes_long =
-        end.how == attempt_end::timed_out || end.how == attempt_end::cancelled;
+    bool const takes_long = end.how == attempt_result::timed_out ||
+                            end.how == attempt_result::cancelled;
     // Tokens that the caller has can't be taken back, and a second run words
     // its answer differently: joined they are an answer that nobody gave.
     return request.what.idempotent && request.tokens == 0 && !takes_long &&
@@ -230,23 +231,25 @@
 
 template <request_environment Environment>
 void request_tracker<Environment>::repeat_or_end(
-    live_request& request, attempt_ended const& end, bool word_comes,
+    live_request& request, attempt_ended const& end, bool reported_to_peers,
     instant now) {
     release(request, true, now);
     reason why = internal::reason_of(end.how);
     request.phase = request_phase::routing;
     if (may_repeat(request, end)) {
-        if (environment_.take_retry(request, now)) {
+        if (environment_.try_consume_retry(request, now)) {
             count(count_reason::kind::retry, why);
             request.resumed = false;
             request.received = 0;
             request.resumes = 0;
             request.refusal = why;
             request.tried.push_back(request.endpoint);
-            if (word_comes) {
+            if (reported_to_peers) {
                 enter(
                     request, request_phase::repeat_wait,
-                    std::min(now + settings_.word_of_counts, request.deadline));
+                    std::min(
+                        now + settings_.quarantine_decision_timeout,
+                        request.deadline));
                 return;
             }
             seek(request, now);
--- a/src/Serving/request_tracker_ending.hpp
+++ b/src/Serving/request_tracker_ending.hpp
@@ -22,11 +22,11 @@
     ended.tokens = request.received;
     ended.adapter_was_loaded = adapter_was_loaded;
     request.grant.reset();
-    environment_.tell_owner(ended.replica, ended, now);
+    environment_.send_to_owner(ended.replica, ended, now);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::on_caller_gone(
+void request_tracker<Environment>::on_caller_disconnected(
     request_id const& id, instant now) {
     live_request* const request = find_live(id);
     if (request == nullptr || request->phase == request_phase::closing) {
@@ -65,8 +65,8 @@
         attempt_ended silent;
         silent.id = request.asked.id;
         silent.attempt = request.attempt;
-        silent.how = attempt_end::cancelled;
-        environment_.attempt_over(request, silent, now);
+        silent.how = attempt_result::cancelled;
+        environment_.record_attempt_end(request, silent, now);
         release(request, true, now);
         forget(request);
         return;
@@ -93,7 +93,7 @@
     live_request& request, instant now) {
     switch (request.phase) {
     case request_phase::key_asked:
-        environment_.withdraw_key(request.asked.id, now);
+        environment_.cancel_key_request(request.asked.id, now);
         request.asked.key.reset();
         forget(request);
         return;
@@ -112,7 +112,7 @@
     default:
         environment_.act(cancel_attempt{
             request.asked.id, request.attempt, request.resumable_by_caller});
-        enter(request, request_phase::closing, now + settings_.close_wait);
+        enter(request, request_phase::closing, now + settings_.close_timeout);
     }
 }
 
@@ -134,7 +134,8 @@
     bool const leave_taken =
         request.asked.key && request.phase != request_phase::key_asked;
     if (leave_taken) {
-        environment_.key_ended(request.asked.id, how, why, answer, now);
+        environment_.on_keyed_request_ended(
+            request.asked.id, how, why, answer, now);
     }
     stop_attempt(request, now);
 }
--- a/src/Serving/request_tracker_routing.hpp
+++ b/src/Serving/request_tracker_routing.hpp
@@ -12,13 +12,13 @@
 template <request_environment Environment>
 reason request_tracker<Environment>::check(caller_request const& asked) const {
     if (asked.deadline && (asked.deadline->count() <= 0 ||
-                           *asked.deadline > settings_.longest_deadline)) {
+                           *asked.deadline > settings_.max_deadline)) {
         return reason::deadline_invalid;
     }
     if (live_.contains(asked.id)) {
         return reason::already_running;
     }
-    if (live_.size() >= settings_.most_requests) {
+    if (live_.size() >= settings_.max_requests) {
         return reason::limit_reached;
     }
     return reason::none;
@@ -62,7 +62,7 @@
         now + asked.deadline.value_or(request.what.default_deadline);
     if (asked.key) {
         enter(request, request_phase::key_asked, request.deadline);
-        environment_.ask_key(request, now);
+        environment_.request_key(request, now);
         return;
     }
     seek(request, now);
@@ -90,11 +90,11 @@
 void request_tracker<Environment>::seek(live_request& request, instant now) {
     request.phase = request_phase::routing;
     while (now < request.deadline) {
-        if (auto const held = environment_.held_for(request, now)) {
+        if (auto const held = environment_.quarantined_for(request, now)) {
             give_up_held(request, *held, now);
             return;
         }
-        if (request.asks == settings_.most_asks) {
+        if (request.asks == settings_.max_grant_requests) {
             give_up_seeking(request, reason::no_endpoint, {}, now);
             return;
         }
@@ -138,7 +138,7 @@
     ask.expected_tokens = request.asked.expected_tokens;
     ask.prefix_hash = request.asked.prefix_hash;
     ask.configuration = request.configuration;
-    if (!environment_.tell_owner(request.endpoint, ask, now)) {
+    if (!environment_.send_to_owner(request.endpoint, ask, now)) {
         return false;
     }
     enter(request, request_phase::asking, request.deadline);
@@ -196,7 +196,7 @@
                             held->grant->attempt == given.attempt;
         if (!in_use) {
             count(count_reason::kind::dropped, reason::late_answer);
-            environment_.tell_owner(
+            environment_.send_to_owner(
                 given.replica,
                 grant_cancelled{given.request, given.attempt, given.replica},
                 now);
@@ -218,7 +218,7 @@
         return;
     }
     // It may have been held while this request waited for its grant.
-    if (auto const held = environment_.held_for(*request, now)) {
+    if (auto const held = environment_.quarantined_for(*request, now)) {
         withdraw_ask(*request, now);
         request->phase = request_phase::routing;
         give_up_held(*request, *held, now);
@@ -254,7 +254,7 @@
     if (request == nullptr || request->phase != request_phase::asking) {
         return false;
     }
-    if (auto const held = environment_.held_for(*request, now)) {
+    if (auto const held = environment_.quarantined_for(*request, now)) {
         request->phase = request_phase::routing;
         give_up_held(*request, *held, now);
         return false;
@@ -310,10 +310,10 @@
     taken_back.replica = request.endpoint;
     request.grant.reset();
     if (request.what.kind == endpoint_kind::service) {
-        environment_.withdraw_service(request);
+        environment_.cancel_service_request(request);
         return;
     }
-    environment_.tell_owner(request.endpoint, taken_back, now);
+    environment_.send_to_owner(request.endpoint, taken_back, now);
 }
 
 template <request_environment Environment>
@@ -339,7 +339,7 @@
     order.engine_id = request.engine_id;
     order.send_before = send_before;
     order.deadline = request.deadline;
-    order.keep_answer = request.asked.key.has_value();
+    order.return_answer = request.asked.key.has_value();
     enter(request, request_phase::sent, request.deadline);
     environment_.act(order);
 }
--- a/src/Serving/serving_settings.hpp
+++ b/src/Serving/serving_settings.hpp
@@ -27,27 +27,27 @@
     /// Requests that one entry node carries at once. A request takes about
     /// 1 KB here, so the bound keeps them under 16 MB; at the design size 33
     /// requests a second of 30 s each are 1,000.
-    std::size_t most_requests = 16'384;
+    std::size_t max_requests = 16'384;
     /// A longer deadline is an error of the caller.
-    std::chrono::milliseconds longest_deadline{3'600'000};
+    std::chrono::milliseconds max_deadline{3'600'000};
     /// Replicas asked for one request. More would multiply the asks just when
     /// all queues are full.
-    std::uint32_t most_asks = 4;
+    std::uint32_t max_grant_requests = 4;
     /// Resumes of one stream in a row without a new token.
-    std::uint32_t most_resumes = 3;
+    std::uint32_t max_resumes = 3;
     /// Pause before the first resume; doubled before each further one.
-    std::chrono::milliseconds resume_pause{50};
+    std::chrono::milliseconds resume_backoff{50};
     /// How long a request whose endpoint has ended waits for the word of the
     /// nodes that count the ends of its content.
-    std::chrono::milliseconds word_of_counts{20};
+    std::chrono::milliseconds quarantine_decision_timeout{20};
     /// How long the end of a cancelled attempt is waited for before its grant
     /// is let go all the same.
-    std::chrono::milliseconds close_wait{5'000};
+    std::chrono::milliseconds close_timeout{5'000};
     /// How often owners are told what runs on their replicas.
     std::chrono::milliseconds heartbeat_period{1'000};
     /// How long an owner on whose replicas nothing runs any more still gets
     /// heartbeats: they repair a lost release.
-    std::chrono::milliseconds heartbeat_after_last{10'000};
+    std::chrono::milliseconds idle_owner_heartbeat_period{10'000};
     /// When a caller should come back, where nothing better is known.
     std::chrono::milliseconds retry_after{1'000};
 };
@@ -60,7 +60,7 @@
     node_instance self;
     /// When the process started, in milliseconds of the calendar clock: tells
     /// this run from the node's earlier ones.
-    std::uint64_t run = 0;
+    std::uint64_t start_time_ms = 0;
     /// Of all random choices.
     std::uint64_t seed = 1;
     /// The weight store that all replicas load from.
--- a/src/Settings/settings_schema.hpp
+++ b/src/Settings/settings_schema.hpp
@@ -58,21 +58,22 @@
     using namespace std::chrono_literals;
     visit.section("limits");
     visit.number(
-        "most_requests", all.most_requests, 1, 1'000'000,
+        "most_requests", all.max_requests, 1, 1'000'000,
         "requests that this node carries at once");
     visit.time(
-        "longest_deadline", all.longest_deadline, 1ms, 86'400'000ms,
+        "longest_deadline", all.max_deadline, 1ms, 86'400'000ms,
         "a longer deadline is refused");
     visit.number(
-        "most_asks", all.most_asks, 1, 64, "replicas asked for one request");
+        "most_asks", all.max_grant_requests, 1, 64,
+        "replicas asked for one request");
     visit.number(
-        "most_resumes", all.most_resumes, 0, 100,
+        "most_resumes", all.max_resumes, 0, 100,
         "resumes of one stream in a row without a new token");
     visit.time(
-        "resume_pause", all.resume_pause, 1ms, 60'000ms,
+        "resume_pause", all.resume_backoff, 1ms, 60'000ms,
         "pause before the first resume; it doubles");
     visit.time(
-        "close_wait", all.close_wait, 1ms, 600'000ms,
+        "close_wait", all.close_timeout, 1ms, 600'000ms,
         "how long a cancelled attempt's end is waited for");
     visit.time(
         "retry_after", all.retry_after, 1ms, 600'000ms,
--- a/test/fuzz/oracle.cpp
+++ b/test/fuzz/oracle.cpp
@@ -97,7 +97,7 @@
         made.idempotent = asked->profile != profile_name("booking");
         posts_.emplace(asked->id, made);
     }
-    if (auto const* const gone = std::get_if<caller_gone>(&event)) {
+    if (auto const* const gone = std::get_if<caller_disconnected>(&event)) {
         auto const found = posts_.find(gone->id);
         if (found != posts_.end()) {
             found->second.gone = true;
--- a/test/fuzz/world.cpp
+++ b/test/fuzz/world.cpp
@@ -92,7 +92,8 @@
         if (!posted_.empty()) {
             std::size_t const which =
                 posted_.size() - 1 - what.which % posted_.size();
-            all.bring(posted_at_[which], caller_gone{posted_[which].id});
+            all.bring(
+                posted_at_[which], caller_disconnected{posted_[which].id});
         }
         return;
     }
--- a/test/node/node_test.cpp
+++ b/test/node/node_test.cpp
@@ -203,7 +203,7 @@
                           std::vector<node_action>& out) {
         if (auto const* request = std::get_if<caller_request>(&event)) {
             start_attempt start = attempt_on(engine, request->id);
-            start.keep_answer = request->key.has_value();
+            start.return_answer = request->key.has_value();
             out.emplace_back(start);
         }
         if (auto const* rest = std::get_if<caller_resume>(&event)) {
@@ -212,7 +212,7 @@
             out.emplace_back(start);
         }
         if (auto const* end = std::get_if<attempt_ended>(&event)) {
-            bool const whole = end->how == attempt_end::completed;
+            bool const whole = end->how == attempt_result::completed;
             out.emplace_back(finished(
                 end->id, whole ? outcome::done : outcome::unknown,
                 whole ? reason::none : reason::answer_cut));
@@ -296,7 +296,7 @@
             };
         node.ask_caller(
             completions, "", R"({"model":"audit-note","stream":true})");
-        CHECK(node.core.last<attempt_ended>()->how == attempt_end::not_sent);
+        CHECK(node.core.last<attempt_ended>()->how == attempt_result::not_sent);
         CHECK(engine.requests.size() == 1);
     }
 }
@@ -423,7 +423,7 @@
             start.address = "127.0.0.1:" + std::to_string(slow.port());
             out.emplace_back(start);
         }
-        if (auto const* gone = std::get_if<caller_gone>(&event)) {
+        if (auto const* gone = std::get_if<caller_disconnected>(&event)) {
             out.emplace_back(cancel_attempt{gone->id, 1, keep});
         }
     };
@@ -441,7 +441,7 @@
         return node.core.last<attempt_ended>() != nullptr &&
                (keep || !engine.requests.empty());
     }));
-    CHECK(node.core.last<attempt_ended>()->how == attempt_end::cancelled);
+    CHECK(node.core.last<attempt_ended>()->how == attempt_result::cancelled);
     if (keep) {
         // A DELETE would have left before these calls were made.
         node.ask_operator("GET /healthz");
@@ -479,7 +479,7 @@
     });
     REQUIRE(loop.run_until(
         [&] { return node.core.last<attempt_ended>() != nullptr; }));
-    CHECK(node.core.last<attempt_ended>()->how != attempt_end::not_sent);
+    CHECK(node.core.last<attempt_ended>()->how != attempt_result::not_sent);
     CHECK(engine.requests.empty());
 }
 
--- a/test/ports/crossed_answers_test.cpp
+++ b/test/ports/crossed_answers_test.cpp
@@ -57,7 +57,7 @@
     raw_server server_;
 };
 
-attempt_end run_engine(loopback& loop, std::string const& text) {
+attempt_result run_engine(loopback& loop, std::string const& text) {
     crossing_server server(loop, text);
     http_pool pool;
     engine_http port(loop.executor(), pool, std::chrono::milliseconds(5'000));
@@ -78,7 +78,7 @@
     return end.how;
 }
 
-attempt_end run_service(loopback& loop, std::string const& text) {
+attempt_result run_service(loopback& loop, std::string const& text) {
     crossing_server server(loop, text);
     http_pool pool;
     service_http port;
@@ -103,18 +103,18 @@
     SUBCASE("before an engine's answer") {
         CHECK(
             run_engine(loop, stray + answer_with(whole_stream())) ==
-            attempt_end::completed);
+            attempt_result::completed);
     }
     SUBCASE("in place of an engine's answer") {
-        CHECK(run_engine(loop, stray) == attempt_end::cut);
+        CHECK(run_engine(loop, stray) == attempt_result::truncated);
     }
     SUBCASE("before a service's answer") {
         CHECK(
             run_service(loop, stray + answer_with(R"({"id":"r1"})")) ==
-            attempt_end::completed);
+            attempt_result::completed);
     }
     SUBCASE("in place of a service's answer") {
-        CHECK(run_service(loop, stray) == attempt_end::cut);
+        CHECK(run_service(loop, stray) == attempt_result::truncated);
     }
 }
 
--- a/test/ports/engine_http_test.cpp
+++ b/test/ports/engine_http_test.cpp
@@ -121,7 +121,7 @@
 
     SUBCASE("a whole answer is completed") {
         engine.pieces = {token(0, right) + token(1, right), closing(2)};
-        CHECK(engine.run().how == attempt_end::completed);
+        CHECK(engine.run().how == attempt_result::completed);
         REQUIRE(engine.taken.size() == 3);
         CHECK(engine.taken[1].tokens == 2);
         http_request const& asked = engine.asked.front();
@@ -135,7 +135,7 @@
 
     SUBCASE("a stream is resumed where it was cut") {
         engine.pieces = {token(1, right), closing(2)};
-        CHECK(engine.run(1).how == attempt_end::completed);
+        CHECK(engine.run(1).how == attempt_result::completed);
         CHECK(engine.asked.front().target == "/v1/streams/r1?from=1");
     }
 
@@ -153,7 +153,7 @@
             engine.pieces = {token(0, right)};
         }
         engine_stream_end const end = engine.run();
-        CHECK(end.how == attempt_end::cut);
+        CHECK(end.how == attempt_result::truncated);
         CHECK(end.tokens == 1);
         CHECK(engine.taken.size() == 1);
     }
@@ -173,37 +173,37 @@
         SUBCASE("when bytes follow that are no event") {
             engine.pieces.emplace_back(300'000, 'x');
         }
-        CHECK(engine.run().how == attempt_end::completed);
+        CHECK(engine.run().how == attempt_result::completed);
         CHECK(engine.taken.size() == 3);
     }
 
     // The engine loaded version 4 into the slot while the request waited.
     SUBCASE("an answer of another version is dropped") {
         engine.pieces = {token(0, "audit@4"), closing(1)};
-        CHECK(engine.run().how == attempt_end::mismatch);
+        CHECK(engine.run().how == attempt_result::mismatch);
         CHECK(engine.taken.empty());
     }
 
     SUBCASE("refusals are told apart from failures") {
         SUBCASE("not loaded") {
             engine.status = 409;
-            CHECK(engine.run().how == attempt_end::refused_not_loaded);
+            CHECK(engine.run().how == attempt_result::refused_not_loaded);
         }
         SUBCASE("busy or leaving") {
             engine.status = 503;
-            CHECK(engine.run().how == attempt_end::refused_busy);
+            CHECK(engine.run().how == attempt_result::refused_busy);
         }
         SUBCASE("failed after it was taken") {
             engine.status = 500;
-            CHECK(engine.run().how == attempt_end::failed);
+            CHECK(engine.run().how == attempt_result::failed);
         }
         SUBCASE("a resumed stream that is not kept any more") {
             engine.status = 404;
-            CHECK(engine.run(1).how == attempt_end::cut);
+            CHECK(engine.run(1).how == attempt_result::truncated);
         }
         SUBCASE("nothing listens") {
             engine.server.close();
-            CHECK(engine.run().how == attempt_end::not_sent);
+            CHECK(engine.run().how == attempt_result::not_sent);
         }
     }
 }
--- a/test/ports/platform_ports_test.cpp
+++ b/test/ports/platform_ports_test.cpp
@@ -170,7 +170,7 @@
     SUBCASE("it is handed on whole") {
         fixed_server server(loop, 200, R"({"id":"r1","label":"7"})");
         call_it(server.address());
-        CHECK(end.how == attempt_end::completed);
+        CHECK(end.how == attempt_result::completed);
         CHECK(end.answer == R"({"id":"r1","label":"7"})");
         CHECK(server.asked.target == "/calls");
         CHECK(server.asked.fields.get("Idempotency-Key") == "k1");
@@ -179,18 +179,18 @@
     SUBCASE("another call's answer is dropped") {
         fixed_server server(loop, 200, R"({"id":"r2","label":"7"})");
         call_it(server.address());
-        CHECK(end.how == attempt_end::mismatch);
+        CHECK(end.how == attempt_result::mismatch);
         CHECK(end.answer.empty());
     }
     SUBCASE("a refusal didn't run, a failure may have") {
         fixed_server busy(loop, 503, "{}");
         call_it(busy.address());
-        CHECK(end.how == attempt_end::refused_busy);
+        CHECK(end.how == attempt_result::refused_busy);
         fixed_server failing(loop, 500, "{}");
         call_it(failing.address());
-        CHECK(end.how == attempt_end::failed);
+        CHECK(end.how == attempt_result::failed);
         call_it(testing::unused_address());
-        CHECK(end.how == attempt_end::not_sent);
+        CHECK(end.how == attempt_result::not_sent);
     }
 }
 
--- a/test/serving_cluster_test.cpp
+++ b/test/serving_cluster_test.cpp
@@ -176,7 +176,7 @@
     SUBCASE("after its caller went away: it runs on, and the repeat joins it") {
         all.post(0, first);
         all.run(milliseconds(300));
-        all.bring(0, caller_gone{request_id("first")});
+        all.bring(0, caller_disconnected{request_id("first")});
         all.post(1, again);
         all.run(milliseconds(5'000));
     }
--- a/test/serving_tracker_test.cpp
+++ b/test/serving_tracker_test.cpp
@@ -50,7 +50,7 @@
     void tokens(std::uint32_t count, std::uint32_t attempt = 1) {
         tracker.on_progress({id, attempt, count}, now);
     }
-    void end(attempt_end how, std::uint32_t attempt = 1) {
+    void end(attempt_result how, std::uint32_t attempt = 1) {
         attempt_ended ended;
         ended.id = id;
         ended.attempt = attempt;
@@ -74,15 +74,15 @@
     one.post();
 
     SUBCASE("the owner is asked, and nothing is sent before its grant") {
-        CHECK(one.around.told_of<grant_request>() == 1);
+        CHECK(one.around.sent_count<grant_request>() == 1);
         CHECK(one.starts() == 0);
         one.grant();
         auto const start = one.around.all<start_attempt>().at(0);
         CHECK(start.adapter == adapter_ref{adapter_id("audit"), 3});
         CHECK(start.send_before == instant{} + milliseconds(500));
-        one.end(attempt_end::completed);
+        one.end(attempt_result::completed);
         CHECK(one.last().how == outcome::done);
-        CHECK(one.around.told_of<grant_released>() == 1);
+        CHECK(one.around.sent_count<grant_released>() == 1);
         CHECK(one.tracker.size() == 0);
     }
 
@@ -107,10 +107,10 @@
         one.pass(1'000);
         CHECK(one.last().how == outcome::not_run);
         CHECK(one.last().retry_after.count() > 0);
-        std::size_t const before = one.around.told_of<grant_cancelled>();
+        std::size_t const before = one.around.sent_count<grant_cancelled>();
         one.grant();
         CHECK(one.starts() == 0);
-        CHECK(one.around.told_of<grant_cancelled>() == before + 1);
+        CHECK(one.around.sent_count<grant_cancelled>() == before + 1);
     }
 
     SUBCASE("the grant comes first: the timeout says unknown, and cancels") {
@@ -118,9 +118,9 @@
         one.pass(1'000);
         CHECK(one.last().how == outcome::unknown);
         CHECK(one.around.all<cancel_attempt>().size() == 1);
-        CHECK(one.around.told_of<grant_released>() == 0);
-        one.end(attempt_end::cancelled);
-        CHECK(one.around.told_of<grant_released>() == 1);
+        CHECK(one.around.sent_count<grant_released>() == 0);
+        one.end(attempt_result::cancelled);
+        CHECK(one.around.sent_count<grant_released>() == 1);
     }
 
     SUBCASE("time in the owner's queue does not count against a grant") {
@@ -140,7 +140,7 @@
         one.grant();
         one.grant();
         CHECK(one.starts() == 1);
-        CHECK(one.around.told_of<grant_cancelled>() == 0);
+        CHECK(one.around.sent_count<grant_cancelled>() == 0);
     }
 
     SUBCASE(
@@ -148,8 +148,8 @@
         one.pass(500);
         one.grant();
         CHECK(one.starts() == 0);
-        CHECK(one.around.told_of<grant_cancelled>() == 1);
-        CHECK(one.around.told_of<grant_request>() == 2);
+        CHECK(one.around.sent_count<grant_cancelled>() == 1);
+        CHECK(one.around.sent_count<grant_request>() == 2);
     }
 }
 
@@ -162,20 +162,20 @@
 
     SUBCASE("after the request was given up") {
         one.pass(1'000);
-        one.end(attempt_end::completed);
+        one.end(attempt_result::completed);
         CHECK(one.last().how == outcome::unknown);
         CHECK(one.around.dropped(reason::late_answer) == 1);
-        one.end(attempt_end::completed);
+        one.end(attempt_result::completed);
         CHECK(one.around.dropped(reason::late_answer) == 2);
     }
 
     SUBCASE("after the request went on to another attempt") {
-        one.end(attempt_end::not_sent);
+        one.end(attempt_result::not_sent);
         one.grant("e2", 2);
-        one.end(attempt_end::completed, 1);
+        one.end(attempt_result::completed, 1);
         CHECK(one.open());
         CHECK(one.around.dropped(reason::late_answer) == 1);
-        one.end(attempt_end::completed, 2);
+        one.end(attempt_result::completed, 2);
         CHECK(one.last().how == outcome::done);
     }
 }
@@ -188,8 +188,8 @@
 
     SUBCASE("an attempt that may have run ends it as unknown") {
         for (auto const how :
-             {attempt_end::cut, attempt_end::failed, attempt_end::mismatch,
-              attempt_end::timed_out}) {
+             {attempt_result::truncated, attempt_result::failed,
+              attempt_result::mismatch, attempt_result::timed_out}) {
             CAPTURE(static_cast<int>(how));
             one_request each(false);
             each.run();
@@ -199,36 +199,36 @@
         }
     }
     SUBCASE("an attempt that never ran goes to another replica") {
-        one.end(attempt_end::not_sent);
+        one.end(attempt_result::not_sent);
         one.grant("e2", 2);
         CHECK(one.starts() == 2);
-        one.end(attempt_end::cut, 2);
+        one.end(attempt_result::truncated, 2);
         CHECK(one.last().how == outcome::unknown);
     }
     SUBCASE("a stream that is cut resumes on its engine: no second run") {
         one.tokens(5);
-        one.end(attempt_end::cut);
+        one.end(attempt_result::truncated);
         CHECK(one.open());
         one.pass(50);
         auto const again = one.around.all<start_attempt>().at(1);
         CHECK(again.from_token == 5);
         CHECK(again.endpoint == endpoint_id("e1"));
         CHECK(again.engine_id == one.id);
-        CHECK(one.around.told_of<grant_released>() == 0);
-        one.end(attempt_end::completed, 2);
+        CHECK(one.around.sent_count<grant_released>() == 0);
+        one.end(attempt_result::completed, 2);
         CHECK(one.last().how == outcome::done);
     }
     SUBCASE("a stream that can't be resumed ends as unknown") {
         one.tokens(5);
-        one.end(attempt_end::cut);
+        one.end(attempt_result::truncated);
         one.pass(50);
         for (std::uint32_t attempt = 2; attempt <= 4; ++attempt) {
-            one.end(attempt_end::not_sent, attempt);
+            one.end(attempt_result::not_sent, attempt);
             one.pass(200);
         }
         CHECK(one.last().how == outcome::unknown);
         CHECK(one.last().why == reason::endpoint_unreachable);
-        CHECK(one.around.told_of<grant_request>() == 1);
+        CHECK(one.around.sent_count<grant_request>() == 1);
     }
 }
 
@@ -237,32 +237,32 @@
     one.run();
 
     SUBCASE("not loaded: nothing ran, the owner learns it and is asked again") {
-        one.end(attempt_end::refused_not_loaded);
+        one.end(attempt_result::refused_not_loaded);
         CHECK(one.open());
-        CHECK(one.around.told_of<grant_released>() == 1);
-        CHECK(one.around.told_of<grant_request>() == 2);
+        CHECK(one.around.sent_count<grant_released>() == 1);
+        CHECK(one.around.sent_count<grant_request>() == 2);
     }
     SUBCASE(
         "an answer of another version is not handed on; it runs elsewhere") {
-        one.end(attempt_end::mismatch);
+        one.end(attempt_result::mismatch);
         CHECK(one.open());
         one.grant("e2", 2);
         CHECK(one.around.all<start_attempt>().at(1).endpoint.str() == "e2");
         CHECK(one.around.all<start_attempt>().at(1).from_token == 0);
     }
     SUBCASE("with an empty budget it ends as unknown, at once") {
-        one.around.retry_left = false;
-        one.end(attempt_end::failed);
+        one.around.retry_allowed = false;
+        one.end(attempt_result::failed);
         CHECK(one.last().how == outcome::unknown);
         CHECK(one.last().why == reason::retry_budget_empty);
     }
     SUBCASE("not once tokens have reached the caller") {
         one.tokens(1);
-        one.end(attempt_end::failed);
+        one.end(attempt_result::failed);
         CHECK(one.last().how == outcome::unknown);
     }
     SUBCASE("a repeat that finds no replica is unknown, never 'not run'") {
-        one.end(attempt_end::failed);
+        one.end(attempt_result::failed);
         one.around.endpoints.clear();
         grant_refused refused;
         refused.request = one.id;
@@ -281,7 +281,7 @@
     SUBCASE("a waiting request goes to the next replica") {
         one.post();
         one.tracker.on_owner_lost(endpoint_id("e1"), one.now);
-        CHECK(one.around.told_of<grant_request>() == 2);
+        CHECK(one.around.sent_count<grant_request>() == 2);
         one.grant("e2", 2);
         CHECK(one.starts() == 1);
     }
@@ -289,7 +289,7 @@
         one.run();
         one.tracker.on_owner_lost(endpoint_id("e1"), one.now);
         CHECK(one.around.all<cancel_attempt>().empty());
-        one.end(attempt_end::completed);
+        one.end(attempt_result::completed);
         CHECK(one.last().how == outcome::done);
     }
     SUBCASE("with none left the caller is told at once when to come back") {
@@ -306,13 +306,13 @@
 
     SUBCASE("while it queues: the ask is taken back, nothing ran") {
         one.post();
-        one.tracker.on_caller_gone(one.id, one.now);
-        CHECK(one.around.told_of<grant_cancelled>() == 1);
+        one.tracker.on_caller_disconnected(one.id, one.now);
+        CHECK(one.around.sent_count<grant_cancelled>() == 1);
         CHECK(one.last().how == outcome::not_run);
     }
     SUBCASE("before its first token: the run is cancelled on the engine") {
         one.run();
-        one.tracker.on_caller_gone(one.id, one.now);
+        one.tracker.on_caller_disconnected(one.id, one.now);
         REQUIRE(one.around.all<cancel_attempt>().size() == 1);
         CHECK_FALSE(one.around.all<cancel_attempt>().front().keep_for_resume);
     }
@@ -322,11 +322,11 @@
     SUBCASE("in mid-stream: the run is left to the engine's grace") {
         one.run();
         one.tokens(3);
-        one.tracker.on_caller_gone(one.id, one.now);
+        one.tracker.on_caller_disconnected(one.id, one.now);
         REQUIRE(one.around.all<cancel_attempt>().size() == 1);
         CHECK(one.around.all<cancel_attempt>().front().keep_for_resume);
-        one.end(attempt_end::cancelled);
-        CHECK(one.around.told_of<grant_released>() == 1);
+        one.end(attempt_result::cancelled);
+        CHECK(one.around.sent_count<grant_released>() == 1);
     }
     SUBCASE("a stream past its deadline is cancelled on the engine") {
         one.run();
@@ -339,10 +339,10 @@
         one.post(true);
         one.leave();
         one.grant();
-        one.tracker.on_caller_gone(one.id, one.now);
+        one.tracker.on_caller_disconnected(one.id, one.now);
         CHECK(one.around.all<cancel_attempt>().empty());
-        one.end(attempt_end::completed);
-        CHECK(one.around.keys_ended == std::vector{outcome::done});
+        one.end(attempt_result::completed);
+        CHECK(one.around.ended_key_outcomes == std::vector{outcome::done});
     }
     // Its caller has left with what an answer is brought by. A further attempt
     // would run nothing, and the key would stay taken until the deadline.
@@ -351,39 +351,39 @@
         one.leave();
         one.grant();
         auto how = outcome::unknown;
-        auto end = attempt_end::failed;
+        auto end = attempt_result::failed;
         SUBCASE("failed") {}
         SUBCASE("cut") {
-            end = attempt_end::cut;
+            end = attempt_result::truncated;
             one.tokens(3);
         }
         SUBCASE("refused") {
-            end = attempt_end::refused_busy;
+            end = attempt_result::refused_busy;
             how = outcome::not_run;
         }
-        one.tracker.on_caller_gone(one.id, one.now);
+        one.tracker.on_caller_disconnected(one.id, one.now);
         one.end(end);
         one.pass(500);
         CHECK(one.starts() == 1);
-        CHECK(one.around.told_of<grant_request>() == 1);
-        CHECK(one.around.keys_ended == std::vector{how});
+        CHECK(one.around.sent_count<grant_request>() == 1);
+        CHECK(one.around.ended_key_outcomes == std::vector{how});
     }
     SUBCASE("with a key, between two runs: no other begins") {
         one.post(true);
         one.leave();
         one.grant();
         SUBCASE("while it queues again") {
-            one.end(attempt_end::failed);
+            one.end(attempt_result::failed);
         }
         SUBCASE("while it waits to resume") {
             one.tokens(3);
-            one.end(attempt_end::cut);
+            one.end(attempt_result::truncated);
         }
-        one.tracker.on_caller_gone(one.id, one.now);
+        one.tracker.on_caller_disconnected(one.id, one.now);
         one.grant("e2", 2);
         one.pass(500);
         CHECK(one.starts() == 1);
-        CHECK(one.around.keys_ended == std::vector{outcome::unknown});
+        CHECK(one.around.ended_key_outcomes == std::vector{outcome::unknown});
         CHECK(one.tracker.size() == 0);
     }
 }
@@ -391,8 +391,8 @@
 TEST_CASE("a request with a key waits for leave") {
     one_request one(false);
     one.post(true);
-    CHECK(one.around.keys_asked == 1);
-    CHECK(one.around.told.empty());
+    CHECK(one.around.key_request_count == 1);
+    CHECK(one.around.sent_messages.empty());
 
     SUBCASE("a repeat gets the kept answer and runs nothing") {
         key_decision kept;
@@ -402,21 +402,21 @@
         one.tracker.on_key_settled(kept, one.now);
         CHECK(one.last().how == outcome::done);
         CHECK(one.last().kept_answer == "booked");
-        CHECK(one.around.told.empty());
-        CHECK(one.around.keys_ended.empty());
+        CHECK(one.around.sent_messages.empty());
+        CHECK(one.around.ended_key_outcomes.empty());
     }
     SUBCASE("leave that comes after the deadline starts nothing") {
         one.pass(1'000);
         CHECK(one.last().how == outcome::not_run);
-        CHECK(one.around.keys_withdrawn == 1);
+        CHECK(one.around.key_cancellation_count == 1);
         one.leave();
-        CHECK(one.around.told.empty());
+        CHECK(one.around.sent_messages.empty());
     }
     SUBCASE("leave that goes unused is given back as not run") {
         one.around.endpoints.clear();
         one.leave();
         CHECK(one.last().how == outcome::not_run);
-        CHECK(one.around.keys_ended == std::vector{outcome::not_run});
+        CHECK(one.around.ended_key_outcomes == std::vector{outcome::not_run});
     }
 }
 
@@ -434,7 +434,7 @@
         CHECK(start.from_token == 9);
         CHECK(start.engine_id == request_id("original"));
         CHECK(one.tracker.grants_in_use().size() == 1);
-        one.end(attempt_end::completed);
+        one.end(attempt_result::completed);
         CHECK(one.last().how == outcome::done);
     }
     SUBCASE("of an endpoint that is gone: unknown, since it had run") {
--- a/test/settings_test.cpp
+++ b/test/settings_test.cpp
@@ -61,7 +61,7 @@
 period = "2s"
 )";
         CHECK(read(good_node + good_platform + rest, &settings).empty());
-        CHECK(settings.requests.most_requests == 7);
+        CHECK(settings.requests.max_requests == 7);
         CHECK(settings.ownership.lease == std::chrono::seconds(9));
         CHECK(settings.ownership.engines_refuse_busy_evictions);
         CHECK(settings.configuration.when_stale == staleness_policy::serve);
--- a/test/support/cluster.cpp
+++ b/test/support/cluster.cpp
@@ -94,7 +94,7 @@
     ++which.run;
     serving_settings settings;
     settings.self = which.instance;
-    settings.run =
+    settings.start_time_ms =
         static_cast<std::uint64_t>(wall().time_since_epoch().count());
     settings.seed = which.run;
     which.core = std::make_unique<node_core>(settings);
@@ -133,7 +133,7 @@
         }
     }
     for (running_attempt const& each : cut) {
-        end_attempt(each, attempt_end::cut);
+        end_attempt(each, attempt_result::truncated);
     }
 }
 
@@ -276,7 +276,7 @@
         if (engine_at(action.replica).incarnation != run) {
             later(
                 node, net_delay,
-                order_ended{action.number, order_result::lost});
+                command_ended{action.number, order_result::lost});
             return;
         }
         take_order(node, action);
@@ -288,7 +288,7 @@
     order_result const how = engine.take(order);
     later(
         node, net_delay,
-        order_ended{
+        command_ended{
             order.number, engine.loses_answers ? order_result::lost : how});
 }
 
@@ -297,15 +297,15 @@
     fake_engine& engine = engine_at(action.endpoint);
     running_attempt attempt{node, action, action.from_token};
     if (now_ >= action.send_before) {
-        end_attempt(attempt, attempt_end::not_sent);
+        end_attempt(attempt, attempt_result::not_sent);
         return;
     }
     if (!engine.resident.contains(action.adapter)) {
-        end_attempt(attempt, attempt_end::refused_not_loaded);
+        end_attempt(attempt, attempt_result::refused_not_loaded);
         return;
     }
     if (action.from_token > 0 && !engine.known.contains(action.engine_id)) {
-        end_attempt(attempt, attempt_end::failed);
+        end_attempt(attempt, attempt_result::failed);
         return;
     }
     if (action.from_token == 0) {
@@ -325,7 +325,7 @@
         return;
     }
     if (now_ >= attempt.order.deadline) {
-        end_attempt(attempt, attempt_end::timed_out);
+        end_attempt(attempt, attempt_result::timed_out);
         return;
     }
     fake_engine const& engine = engine_at(attempt.order.endpoint);
@@ -335,13 +335,13 @@
         attempt_progress{
             attempt.order.id, attempt.order.attempt, attempt.tokens});
     if (attempt.tokens >= engine.tokens) {
-        end_attempt(attempt, attempt_end::completed);
+        end_attempt(attempt, attempt_result::completed);
         return;
     }
     after(engine.token_time, [this, attempt] { step(attempt); });
 }
 
-void cluster::end_attempt(running_attempt const& attempt, attempt_end how) {
+void cluster::end_attempt(running_attempt const& attempt, attempt_result how) {
     // A refused attempt leaves a running one of the same request alone.
     auto const found = running_.find(attempt.order.id);
     if (found != running_.end() &&
@@ -355,7 +355,7 @@
     end.attempt = attempt.order.attempt;
     end.how = how;
     end.tokens = attempt.tokens;
-    end.answer = attempt.order.keep_answer ? "answer" : "";
+    end.answer = attempt.order.return_answer ? "answer" : "";
     later(attempt.node, net_delay, end);
 }
 
@@ -364,7 +364,7 @@
     if (found != running_.end() &&
         found->second.order.attempt == action.attempt) {
         running_attempt const attempt = found->second;
-        end_attempt(attempt, attempt_end::cancelled);
+        end_attempt(attempt, attempt_result::cancelled);
     }
 }
 
--- a/test/support/cluster.hpp
+++ b/test/support/cluster.hpp
@@ -109,7 +109,7 @@
     void on(std::size_t node, drain_finished const& action);
     void take_order(std::size_t node, engine_order const& order);
     void step(running_attempt attempt);
-    void end_attempt(running_attempt const& attempt, attempt_end how);
+    void end_attempt(running_attempt const& attempt, attempt_result how);
     std::size_t index_of(node_id const& id) const;
     fake_engine& engine_at(endpoint_id const& id);
 
--- a/test/support/scripted_environment.hpp
+++ b/test/support/scripted_environment.hpp
@@ -22,16 +22,16 @@
     std::vector<endpoint_id> endpoints{endpoint_id("e1"), endpoint_id("e2")};
     bool needs_grant = true;
     bool owner_reachable = true;
-    bool retry_left = true;
+    bool retry_allowed = true;
     /// Other nodes count the ends of attempts.
-    bool word_comes = false;
+    bool reported_to_peers = false;
     /// For how long the content is not run.
-    std::optional<duration> held;
+    std::optional<duration> quarantine_remaining;
     std::vector<node_action> actions;
-    std::vector<owner_message> told;
-    std::vector<outcome> keys_ended;
-    std::size_t keys_asked = 0;
-    std::size_t keys_withdrawn = 0;
+    std::vector<owner_message> sent_messages;
+    std::vector<outcome> ended_key_outcomes;
+    std::size_t key_request_count = 0;
+    std::size_t key_cancellation_count = 0;
 
     admission admit(profile_name const& /*name*/, instant /*now*/) const {
         return {reason::none, what, configuration, {}};
@@ -49,37 +49,38 @@
                    ? ""
                    : "address";
     }
-    bool take_retry(live_request const& /*request*/, instant /*now*/) const {
-        return retry_left;
+    bool
+    try_consume_retry(live_request const& /*request*/, instant /*now*/) const {
+        return retry_allowed;
     }
-    bool tell_owner(
+    bool send_to_owner(
         endpoint_id const& /*replica*/, owner_message const& message,
         instant /*now*/) {
-        told.push_back(message);
+        sent_messages.push_back(message);
         return owner_reachable;
     }
-    void ask_key(live_request const& /*request*/, instant /*now*/) {
-        ++keys_asked;
+    void request_key(live_request const& /*request*/, instant /*now*/) {
+        ++key_request_count;
     }
-    void withdraw_key(request_id const& /*id*/, instant /*now*/) {
-        ++keys_withdrawn;
+    void cancel_key_request(request_id const& /*id*/, instant /*now*/) {
+        ++key_cancellation_count;
     }
-    void key_ended(
+    void on_keyed_request_ended(
         request_id const& /*id*/, outcome how, reason /*why*/,
         std::string const& /*answer*/, instant /*now*/) {
-        keys_ended.push_back(how);
+        ended_key_outcomes.push_back(how);
     }
-    bool attempt_over(
+    bool record_attempt_end(
         live_request const& /*request*/, attempt_ended const& /*end*/,
         instant /*now*/) {
-        return word_comes;
+        return reported_to_peers;
     }
     std::optional<duration>
-    held_for(live_request const& /*request*/, instant /*now*/) const {
-        return held;
+    quarantined_for(live_request const& /*request*/, instant /*now*/) const {
+        return quarantine_remaining;
     }
     void submit_service(live_request const& /*request*/, instant /*now*/) {}
-    void withdraw_service(live_request const& /*request*/) {}
+    void cancel_service_request(live_request const& /*request*/) {}
     void act(node_action const& action) { actions.push_back(action); }
 
     /// @returns all actions of one kind, in order
@@ -95,11 +96,12 @@
     }
     /// @returns how many messages of one kind the owners were told
     template <class Message>
-    std::size_t told_of() const {
+    std::size_t sent_count() const {
         auto const is = [](owner_message const& each) {
             return std::holds_alternative<Message>(each);
         };
-        return static_cast<std::size_t>(std::ranges::count_if(told, is));
+        return static_cast<std::size_t>(
+            std::ranges::count_if(sent_messages, is));
     }
     /// @returns how often something was dropped for a reason
     std::size_t dropped(reason why) const {
