--- a/bench/capacity_messages.cpp
+++ b/bench/capacity_messages.cpp
@@ -114,9 +114,11 @@
     record.append = 1;
     claim const one{replica_resource(endpoint_id(some_engine))};
     record.claims.push_back(one);
-    print_size("control record, of 1 claim", encode_control(record).size());
+    print_size(
+        "control record, of 1 claim", encode_control_record(record).size());
     record.claims.push_back(one);
-    print_size("control record, of 2 claims", encode_control(record).size());
+    print_size(
+        "control record, of 2 claims", encode_control_record(record).size());
 }
 
 json::object make_node_entry(std::uint32_t number) {
--- a/bench/capacity_ownership.cpp
+++ b/bench/capacity_ownership.cpp
@@ -61,12 +61,12 @@
         next.append = at;
         next.claims.push_back({replica_resource(
             endpoint_id(fmt::format("engine-{:05}", at % resources)))});
-        texts.push_back(encode_control(next));
+        texts.push_back(encode_control_record(next));
     }
     capacity_meter const meter;
     std::uint64_t offset = resources;
     for (std::string const& each : texts) {
-        auto const record = decode_control(each);
+        auto const record = decode_control_record(each);
         table.apply(log_offset{offset++}, *record);
     }
     return meter.read(count);
--- a/src/Ownership/control_record.cpp
+++ b/src/Ownership/control_record.cpp
@@ -80,7 +80,7 @@
     named(archive, "releases", what.releases);
 }
 
-std::string encode_control(control_record const& record) {
+std::string encode_control_record(control_record const& record) {
     std::ostringstream stream;
     {
         auto const compact = cereal::JSONOutputArchive::Options::NoIndent();
@@ -94,7 +94,7 @@
     return text;
 }
 
-std::optional<control_record> decode_control(std::string const& text) {
+std::optional<control_record> decode_control_record(std::string const& text) {
     control_record result;
     try {
         std::istringstream stream(text);
@@ -105,7 +105,7 @@
     }
     // cereal skips members that it does not know and reads past the end of the
     // object; a record that another version wrote must not be taken half.
-    if (encode_control(result) != text) {
+    if (encode_control_record(result) != text) {
         return std::nullopt;
     }
     return result;
--- a/src/Ownership/control_record.hpp
+++ b/src/Ownership/control_record.hpp
@@ -67,11 +67,11 @@
 };
 
 /// @returns the record as one line of JSON text
-std::string encode_control(control_record const& record);
+std::string encode_control_record(control_record const& record);
 /// Reads a record strictly: what would not be written back as the same text is
 /// refused.
 /// @param text the log record's data
 /// @returns the record, or nothing when the text is not exactly one
-std::optional<control_record> decode_control(std::string const& text);
+std::optional<control_record> decode_control_record(std::string const& text);
 
 } // namespace camphorpoint
--- a/src/Ownership/owner.cpp
+++ b/src/Ownership/owner.cpp
@@ -8,7 +8,8 @@
 
 namespace camphorpoint {
 
-owner::owner(ownership_settings settings, node_run self, std::mt19937_64 random)
+ownership_manager::ownership_manager(
+    ownership_settings settings, node_run self, std::mt19937_64 random)
     : settings_(settings)
     , self_(std::move(self))
     , random_(random)
@@ -17,7 +18,7 @@
     , appends_(random_() / 2)
     , handovers_(settings) {}
 
-void owner::on_tick(instant now) {
+void ownership_manager::on_tick(instant now) {
     if (follower_.begin_read(now)) {
         actions_.push_back(control_read{follower_.next()});
     }
@@ -35,7 +36,7 @@
     rebalance(now);
 }
 
-void owner::start_drain(instant now) {
+void ownership_manager::start_drain(instant now) {
     if (draining_) {
         return;
     }
@@ -51,7 +52,7 @@
 // Guards against a node that ends between its acceptance of a table and the
 // reading of the release that names it: the resource would belong to a dead
 // node, and its table be lost. Past the limits the giver has given up.
-void owner::note_awaited(instant now) {
+void ownership_manager::note_awaited(instant now) {
     duration const longest = duration(settings_.accept_limit) +
                              settings_.append_limit + settings_.read_lag +
                              settings_.poll;
@@ -60,12 +61,12 @@
     });
 }
 
-bool owner::drained() const noexcept {
+bool ownership_manager::drained() const noexcept {
     return draining_ && holdings_.empty() && appends_.empty() &&
            !awaits_transfer_;
 }
 
-std::vector<ownership_action> owner::take_actions() {
+std::vector<ownership_action> ownership_manager::take_actions() {
     return std::exchange(actions_, {});
 }
 
@@ -74,8 +75,8 @@
 // the start of a read that showed no newer claim, and the successor's wait
 // from after its claim's append, so the two never meet. Whoever sends checks
 // not_after once more, since the process may be paused right here.
-std::optional<authority>
-owner::within(resource_id const& resource, duration span, instant now) const {
+std::optional<authority> ownership_manager::within(
+    resource_id const& resource, duration span, instant now) const {
     auto const found = holdings_.find(resource);
     if (found == holdings_.end() || !found->second.told) {
         return std::nullopt;
@@ -90,20 +91,20 @@
     return authority{found->second.fencing, *fresh + span};
 }
 
-std::optional<authority>
-owner::authority_for(resource_id const& resource, instant now) const {
+std::optional<authority> ownership_manager::authority_for(
+    resource_id const& resource, instant now) const {
     return within(resource, settings_.lease, now);
 }
 
-std::optional<authority> owner::load_authority(
+std::optional<authority> ownership_manager::load_authority(
     resource_id const& resource, bool engine_checks, instant now) const {
     duration const span =
         engine_checks ? settings_.grant_lease : settings_.lease;
     return within(resource, span, now);
 }
 
-std::optional<authority>
-owner::evict_authority(resource_id const& resource, instant now) const {
+std::optional<authority> ownership_manager::evict_authority(
+    resource_id const& resource, instant now) const {
     auto const found = holdings_.find(resource);
     if (found == holdings_.end() || now < found->second.evict_from) {
         return std::nullopt;
@@ -111,12 +112,13 @@
     return within(resource, settings_.lease, now);
 }
 
-std::optional<authority>
-owner::grant_authority(resource_id const& resource, instant now) const {
+std::optional<authority> ownership_manager::grant_authority(
+    resource_id const& resource, instant now) const {
     return within(resource, settings_.grant_lease, now);
 }
 
-std::optional<owner_info> owner::owner_of(resource_id const& resource) const {
+std::optional<owner_info>
+ownership_manager::owner_of(resource_id const& resource) const {
     ownership_entry const* entry = table_.find(resource);
     if (entry == nullptr || !entry->owned()) {
         return std::nullopt;
@@ -124,7 +126,8 @@
     return owner_info{entry->owner, entry->fencing};
 }
 
-bool owner::fallback_allowed(resource_id const& resource, instant now) const {
+bool ownership_manager::fallback_allowed(
+    resource_id const& resource, instant now) const {
     if (!settings_.engines_refuse_busy_evictions || log_is_current(now)) {
         return false;
     }
@@ -132,12 +135,12 @@
     return entry != nullptr && !(entry->owned() && listed_alive(entry->owner));
 }
 
-bool owner::log_is_current(instant now) const {
+bool ownership_manager::log_is_current(instant now) const {
     std::optional<instant> const fresh = follower_.fresh_at();
     return fresh && now < *fresh + settings_.lease;
 }
 
-void owner::tell_gained(instant now) {
+void ownership_manager::tell_gained(instant now) {
     std::vector<resource_id> ready;
     for (resource_id const& each : waiting_) {
         if (now >= holdings_[each].effective_from && log_is_current(now)) {
@@ -162,7 +165,7 @@
     }
 }
 
-void owner::tell_lapse(instant now) {
+void ownership_manager::tell_lapse(instant now) {
     bool const lapsed = !log_is_current(now);
     if (lapsed == lapsed_) {
         return;
@@ -173,14 +176,15 @@
         fmt::format("held={}", holdings_.size()));
 }
 
-void owner::append(control_record record, instant now) {
+void ownership_manager::append(control_record record, instant now) {
     record.writer = self_;
     std::uint64_t const number = appends_.begin(record, now);
     record.append = number;
-    actions_.push_back(control_append{number, encode_control(record)});
+    actions_.push_back(control_append{number, encode_control_record(record)});
 }
 
-void owner::say(event_code code, log_level level, std::string detail) {
+void ownership_manager::say(
+    event_code code, log_level level, std::string detail) {
     actions_.push_back(log_event{code, level, std::move(detail)});
 }
 
--- a/src/Ownership/owner.hpp
+++ b/src/Ownership/owner.hpp
@@ -60,12 +60,13 @@
 /// C. Gray, D. Cheriton, "Leases", SOSP 1989; a claimer waits until the old
 /// holder's has ended. Fencing numbers as in M. Burrows, "The Chubby lock
 /// service", OSDI 2006 (sequencers).
-class owner {
+class ownership_manager {
 public:
     /// @param settings the same on all nodes
     /// @param self     this node and this run of it
     /// @param random   seeded; numbers appends and spreads renewals
-    owner(ownership_settings settings, node_run self, std::mt19937_64 random);
+    ownership_manager(
+        ownership_settings settings, node_run self, std::mt19937_64 random);
 
     /// Tells who may own and what there is to own; call it when membership
     /// changed, not every tick.
@@ -128,7 +129,7 @@
     /// @returns true when a planned stop has given everything away
     bool drained() const noexcept;
     /// @returns how many resources this node holds or waits for
-    std::size_t held() const noexcept { return holdings_.size(); }
+    std::size_t held_count() const noexcept { return holdings_.size(); }
     /// @returns the replayed table
     ownership_table const& table() const noexcept { return table_; }
 
@@ -178,7 +179,7 @@
         holding& next);
     void drop_old_offer(resource_id const& resource, log_offset in_force);
     void
-    lose(resource_id const& resource, node_run const& now_with, instant now);
+    lose(resource_id const& resource, node_run const& new_owner, instant now);
     void restart_table(log_batch const& batch, instant now);
     void set_live(std::vector<owner_candidate> const& live, instant now);
     void rank_live();
@@ -254,7 +255,7 @@
 /// What other services may ask of ownership without steering it.
 class ownership_view {
 public:
-    explicit ownership_view(owner const& source)
+    explicit ownership_view(ownership_manager const& source)
         : source_(&source) {}
 
     /// @returns the last claim that this node read
@@ -267,7 +268,7 @@
     }
 
 private:
-    owner const* source_;
+    ownership_manager const* source_;
 };
 
 } // namespace camphorpoint
--- a/src/Ownership/owner_moves.cpp
+++ b/src/Ownership/owner_moves.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-void owner::set_candidates(
+void ownership_manager::set_candidates(
     std::vector<owner_candidate> const& live,
     std::vector<resource_id> const& resources, instant now) {
     std::set<resource_id> const before = std::exchange(
@@ -49,7 +49,8 @@
     }
 }
 
-void owner::set_live(std::vector<owner_candidate> const& live, instant now) {
+void ownership_manager::set_live(
+    std::vector<owner_candidate> const& live, instant now) {
     std::map<node_id, live_run> next;
     for (owner_candidate const& each : live) {
         auto const known = live_.find(each.id);
@@ -87,7 +88,7 @@
     }
 }
 
-void owner::rank_live() {
+void ownership_manager::rank_live() {
     std::vector<node_id> nodes;
     nodes.reserve(live_.size());
     for (auto const& [id, entry] : live_) {
@@ -99,13 +100,13 @@
     ranking_.set_nodes(nodes);
 }
 
-void owner::consider_all(instant now) {
+void ownership_manager::consider_all(instant now) {
     for (resource_id const& each : resources_) {
         consider(each, now);
     }
 }
 
-void owner::consider(resource_id const& resource, instant now) {
+void ownership_manager::consider(resource_id const& resource, instant now) {
     if (orphaned(resource)) {
         takeovers_.add(resource, now);
     } else {
@@ -113,7 +114,7 @@
     }
 }
 
-bool owner::orphaned(resource_id const& resource) const {
+bool ownership_manager::orphaned(resource_id const& resource) const {
     if (draining_ || !absent_from_ || !resources_.contains(resource)) {
         return false;
     }
@@ -124,7 +125,7 @@
     return entry == nullptr || !entry->owned() || !listed_alive(entry->owner);
 }
 
-bool owner::listed_alive(node_run const& who) const {
+bool ownership_manager::listed_alive(node_run const& who) const {
     if (who.node == self_.node) {
         // What an earlier run of this node claimed is not ours.
         return who.run == self_.run;
@@ -134,7 +135,7 @@
 }
 
 std::optional<instant>
-owner::claimable_from(resource_id const& resource) const {
+ownership_manager::claimable_from(resource_id const& resource) const {
     ownership_entry const* entry = table_.find(resource);
     if (entry == nullptr) {
         return absent_from_;
@@ -151,10 +152,10 @@
     if (restarted) {
         return std::nullopt;
     }
-    return seen->second + settings_.log_evidence;
+    return seen->second + settings_.log_liveness_window;
 }
 
-void owner::rank_some(instant now) {
+void ownership_manager::rank_some(instant now) {
     for (resource_id const& each : takeovers_.take_unranked(ranked_per_tick)) {
         std::size_t const rank = ranking_.rank_of(self_.node, each);
         duration const delay = settings_.rank_delay;
@@ -172,12 +173,12 @@
 // claim would take the resource from the successor that has the table. It
 // shows as bookings that end as key-unknown-after-takeover. A read that began
 // after the node was missed shows all that it wrote.
-bool owner::read_since(instant missed) const {
+bool ownership_manager::read_since(instant missed) const {
     std::optional<instant> const fresh = follower_.fresh_at();
     return fresh && *fresh >= missed;
 }
 
-void owner::claim_due(instant now) {
+void ownership_manager::claim_due(instant now) {
     if (now < next_claim_) {
         return;
     }
@@ -207,7 +208,7 @@
     append(std::move(record), now);
 }
 
-void owner::plan_renewal(instant now) {
+void ownership_manager::plan_renewal(instant now) {
     duration const whole =
         duration(settings_.retention) / renewals_per_retention;
     // Spread over the last quarter, so that nodes that started together do
@@ -218,7 +219,7 @@
     next_renewal_ = now + whole - duration(part);
 }
 
-void owner::renew(instant now) {
+void ownership_manager::renew(instant now) {
     if (!next_renewal_) {
         plan_renewal(now);
     }
@@ -245,7 +246,7 @@
 
 // A node that was never heard over the probes may still be known by what it
 // wrote to the log.
-std::uint64_t owner::run_of(node_id const& node) const {
+std::uint64_t ownership_manager::run_of(node_id const& node) const {
     auto const listed = live_.find(node);
     auto const wrote = written_runs_.find(node);
     return std::max(
@@ -253,14 +254,15 @@
         wrote == written_runs_.end() ? 0 : wrote->second);
 }
 
-bool owner::may_move_to(node_id const& successor, instant now) const {
+bool ownership_manager::may_move_to(
+    node_id const& successor, instant now) const {
     auto const found = live_.find(successor);
     return successor != self_.node && found != live_.end() &&
            found->second.run != 0 && !found->second.leaving &&
-           now >= found->second.since + settings_.log_evidence;
+           now >= found->second.since + settings_.log_liveness_window;
 }
 
-void owner::rebalance(instant now) {
+void ownership_manager::rebalance(instant now) {
     if (draining_ || holdings_.empty() || now < next_rebalance_) {
         return;
     }
@@ -282,7 +284,7 @@
     }
 }
 
-void owner::begin_handover(
+void ownership_manager::begin_handover(
     resource_id const& resource, node_id const& successor, instant now) {
     holding const& held = holdings_[resource];
     outgoing_handover move;
@@ -296,7 +298,7 @@
     }
     handovers_.begin(move, now);
     if (held.told) {
-        actions_.push_back(handover_wanted{resource, successor});
+        actions_.push_back(handover_requested{resource, successor});
     } else {
         // Not in effect yet: the one before may still act, so whoever comes
         // next must wait.
@@ -304,19 +306,21 @@
     }
 }
 
-std::chrono::milliseconds owner::wait_left(instant end, instant now) {
+std::chrono::milliseconds
+ownership_manager::wait_left(instant end, instant now) {
     duration const left = std::max(duration::zero(), end - now);
     return std::chrono::ceil<std::chrono::milliseconds>(left);
 }
 
 // The span was measured by another node's clock.
-instant owner::wait_end(std::chrono::milliseconds left, instant now) const {
+instant
+ownership_manager::wait_end(std::chrono::milliseconds left, instant now) const {
     constexpr std::int64_t million = 1'000'000;
     duration const span = left;
     return now + span + span * settings_.clock_rate_error / million;
 }
 
-void owner::handover_ready(
+void ownership_manager::handover_ready(
     resource_id const& resource, std::string table, instant now) {
     outgoing_handover const* move = handovers_.stopped(resource, now);
     auto const held = holdings_.find(resource);
@@ -338,7 +342,7 @@
 // would begin as after a crash, without the tables. It shows as bookings that
 // end as key-unknown-after-takeover. The stopping node offers to the next in
 // the ranking instead, as soon as it learns that its choice stops as well.
-void owner::offer_elsewhere(instant now) {
+void ownership_manager::offer_elsewhere(instant now) {
     for (outgoing_handover const& move : handovers_.offered()) {
         auto const listed = live_.find(move.successor.node);
         bool const stops = listed == live_.end() || listed->second.leaving;
@@ -352,12 +356,12 @@
         std::uint64_t const run = run_of(next);
         if (run != 0) {
             handovers_.redirect(move.resource, {next, run}, now);
-            actions_.push_back(handover_wanted{move.resource, next});
+            actions_.push_back(handover_requested{move.resource, next});
         }
     }
 }
 
-void owner::run_handovers(instant now) {
+void ownership_manager::run_handovers(instant now) {
     if (draining_) {
         offer_elsewhere(now);
     }
@@ -375,13 +379,13 @@
     }
 }
 
-void owner::on_message(
+void ownership_manager::on_message(
     node_id const& from, ownership_message const& message, instant now) {
     std::visit(
         [&](auto const& each) { on_ownership(from, each, now); }, message);
 }
 
-void owner::on_ownership(
+void ownership_manager::on_ownership(
     node_id const& from, handover_offer const& offer, instant now) {
     if (draining_ || offer.successor_run != self_.run) {
         return;
@@ -395,7 +399,7 @@
     actions_.push_back(send_ownership_message{from, answer});
 }
 
-void owner::on_ownership(
+void ownership_manager::on_ownership(
     node_id const& from, handover_accepted const& accepted, instant /*now*/) {
     handovers_.accepted(accepted.resource, from, accepted.fencing);
 }
@@ -403,7 +407,7 @@
 // The former holder has read our claim and stopped for good, so nothing that
 // it granted can be sent later than its messages travel. Those who held before
 // it may still be unaware; for them its own wait goes on.
-void owner::on_ownership(
+void ownership_manager::on_ownership(
     node_id const& /*from*/, holder_stopped const& stopped, instant now) {
     auto const found = holdings_.find(stopped.resource);
     if (found == holdings_.end()) {
@@ -413,13 +417,13 @@
     end_evict_wait(found->second, stopped, now);
 }
 
-void owner::end_evict_wait(
+void ownership_manager::end_evict_wait(
     holding& held, holder_stopped const& stopped, instant received) {
     if (held.previous != stopped.fencing) {
         return;
     }
     instant const from = std::max(
-        {held.effective_from, received + duration(settings_.order_travel),
+        {held.effective_from, received + duration(settings_.command_transit),
          wait_end(stopped.evict_wait_left, received)});
     held.evict_from = std::min(held.evict_from, from);
 }
--- a/src/Ownership/owner_replay.cpp
+++ b/src/Ownership/owner_replay.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-void owner::on_batch(log_batch const& batch, instant now) {
+void ownership_manager::on_batch(log_batch const& batch, instant now) {
     if (batch.stream != log_stream::control) {
         return;
     }
@@ -39,14 +39,14 @@
     }
 }
 
-void owner::on_read_failed(instant now) {
+void ownership_manager::on_read_failed(instant now) {
     follower_.failed(now);
 }
 
 // Guards against a node that was paused for longer than the log keeps
 // records: claims may have come and gone unread, so nothing that it held or
 // knew counts any more. It shows as control_log_trimmed.
-void owner::restart_table(log_batch const& batch, instant now) {
+void ownership_manager::restart_table(log_batch const& batch, instant now) {
     bool const first_read = follower_.next() == log_offset{};
     follower_.restart(batch.first);
     table_.restart(false);
@@ -66,7 +66,7 @@
     }
 }
 
-void owner::apply_records(log_batch const& batch, instant now) {
+void ownership_manager::apply_records(log_batch const& batch, instant now) {
     for (log_record const& each : batch.records) {
         if (each.offset >= follower_.next()) {
             apply_record(each, now);
@@ -75,8 +75,9 @@
     }
 }
 
-void owner::apply_record(log_record const& record, instant now) {
-    std::optional<control_record> const read = decode_control(record.data);
+void ownership_manager::apply_record(log_record const& record, instant now) {
+    std::optional<control_record> const read =
+        decode_control_record(record.data);
     if (!read) {
         say(event_code::control_record_broken, log_level::error,
             fmt::format("offset={}", record.offset.value));
@@ -108,7 +109,7 @@
 
 // Only records that were appended since the last look say that their writer
 // lives now; those read at a start may be old.
-void owner::note_alive(node_run const& writer, instant now) {
+void ownership_manager::note_alive(node_run const& writer, instant now) {
     std::uint64_t& run = written_runs_[writer.node];
     run = std::max(run, writer.run);
     if (log_is_current(now)) {
@@ -116,7 +117,7 @@
     }
 }
 
-void owner::entry_changed(
+void ownership_manager::entry_changed(
     resource_id const& resource, instant learned, instant now) {
     ownership_entry const& entry = *table_.find(resource);
     if (entry.owner == self_) {
@@ -132,14 +133,15 @@
 // against the loss of one that came before this node read how its sender came
 // to own: two moves within one period of the log's reading. It showed as
 // bookings that ended as key-unknown-after-takeover after a planned stop.
-void owner::drop_old_offer(resource_id const& resource, log_offset in_force) {
+void ownership_manager::drop_old_offer(
+    resource_id const& resource, log_offset in_force) {
     auto const found = accepted_.find(resource);
     if (found != accepted_.end() && found->second.fencing < in_force) {
         accepted_.erase(found);
     }
 }
 
-void owner::hold(
+void ownership_manager::hold(
     resource_id const& resource, ownership_entry const& entry,
     instant learned) {
     auto const held = holdings_.find(resource);
@@ -175,7 +177,7 @@
 
 // Only an offer that this run accepted tells how long evictions must still
 // wait. Without it the transfer is like any claim, and waits.
-void owner::use_offer(
+void ownership_manager::use_offer(
     resource_id const& resource, ownership_entry const& entry, holding& next) {
     auto const found = accepted_.find(resource);
     bool const matches = found != accepted_.end() &&
@@ -191,8 +193,8 @@
     next.table = std::move(offer.table);
 }
 
-void owner::lose(
-    resource_id const& resource, node_run const& now_with, instant now) {
+void ownership_manager::lose(
+    resource_id const& resource, node_run const& new_owner, instant now) {
     auto const found = holdings_.find(resource);
     if (found == holdings_.end()) {
         return;
@@ -206,19 +208,19 @@
         say(event_code::ownership_lost, log_level::info,
             fmt::format(
                 "resource={} fencing={} to={}", to_string(resource),
-                held.fencing.value, now_with.node.str()));
+                held.fencing.value, new_owner.node.str()));
         actions_.push_back(
-            ownership_lost{resource, held.fencing, now_with.node});
+            ownership_lost{resource, held.fencing, new_owner.node});
     }
-    bool const other = !now_with.node.empty() && now_with.node != self_.node;
+    bool const other = !new_owner.node.empty() && new_owner.node != self_.node;
     if (other && !planned) {
         holder_stopped const stopped{
             resource, held.fencing, wait_left(held.evict_from, now)};
-        actions_.push_back(send_ownership_message{now_with.node, stopped});
+        actions_.push_back(send_ownership_message{new_owner.node, stopped});
     }
 }
 
-void owner::reached_head(log_batch const& batch, instant now) {
+void ownership_manager::reached_head(log_batch const& batch, instant now) {
     for (pending_append const& each :
          appends_.absent(batch.read_started, settings_.read_lag)) {
         append_came_to_nothing(each.record, now);
@@ -228,14 +230,14 @@
         // log again; until then a missing entry does not mean no owner.
         absent_from_ = now;
         if (!table_.complete()) {
-            *absent_from_ += settings_.log_evidence;
+            *absent_from_ += settings_.log_liveness_window;
         }
         consider_all(now);
     }
     prune(batch, now);
 }
 
-void owner::prune(log_batch const& batch, instant now) {
+void ownership_manager::prune(log_batch const& batch, instant now) {
     for (auto const& [resource, held] : holdings_) {
         ownership_entry const* entry = table_.find(resource);
         if (entry != nullptr && entry->named_at < batch.first &&
@@ -256,7 +258,7 @@
     prune_before_ = batch.first;
 }
 
-void owner::on_append_ended(
+void ownership_manager::on_append_ended(
     std::uint64_t append, append_result how, log_offset /*offset*/,
     instant now) {
     switch (how) {
@@ -278,7 +280,8 @@
 // claim of the same run goes on with the first, a release that does not end
 // the last claim is void, and a claim that comes after another node's is a new
 // one that has to wait.
-void owner::append_came_to_nothing(control_record const& record, instant now) {
+void ownership_manager::append_came_to_nothing(
+    control_record const& record, instant now) {
     instant const retry = now + settings_.poll;
     for (claim const& each : record.claims) {
         consider(each.resource, now);
--- a/src/Ownership/ownership_action.hpp
+++ b/src/Ownership/ownership_action.hpp
@@ -57,12 +57,12 @@
     resource_id resource;
     log_offset fencing;
     /// Who owns now; empty when nobody does.
-    node_id now_with;
+    node_id new_owner;
 };
 
 /// Stop granting and ordering for the resource; once the last order has ended,
 /// answer with owner::handover_ready and the table.
-struct handover_wanted {
+struct handover_requested {
     resource_id resource;
     node_id successor;
 };
@@ -75,6 +75,6 @@
 /// All that ownership can ask for or tell.
 using ownership_action = std::variant<
     control_read, control_append, send_ownership_message, ownership_gained,
-    ownership_lost, handover_wanted, handover_aborted, log_event>;
+    ownership_lost, handover_requested, handover_aborted, log_event>;
 
 } // namespace camphorpoint
--- a/src/Ownership/ownership_settings.cpp
+++ b/src/Ownership/ownership_settings.cpp
@@ -15,16 +15,17 @@
 
 // The old holder's last read that did not show the claim began at most read_lag
 // after the append. Its authority ends one lease later by its own clock, and
-// what it sent last is under way for order_travel more.
+// what it sent last is under way for command_transit more.
 duration ownership_settings::claim_wait() const noexcept {
-    return stretched(lease, clock_rate_error) + order_travel + read_lag;
+    return stretched(lease, clock_rate_error) + command_transit + read_lag;
 }
 
 duration ownership_settings::evict_wait() const noexcept {
     if (engines_refuse_busy_evictions) {
         return claim_wait();
     }
-    return stretched(grant_lease, clock_rate_error) + order_travel + read_lag;
+    return stretched(grant_lease, clock_rate_error) + command_transit +
+           read_lag;
 }
 
 } // namespace camphorpoint
--- a/src/Ownership/ownership_settings.hpp
+++ b/src/Ownership/ownership_settings.hpp
@@ -25,7 +25,7 @@
     std::uint32_t clock_rate_error{1'000};
     /// The longest time for which an order or a granted request can still be
     /// under way after its sender's authority has ended.
-    std::chrono::milliseconds order_travel{1'000};
+    std::chrono::milliseconds command_transit{1'000};
     /// How far the log's reads may lag behind its head.
     std::chrono::milliseconds read_lag{500};
     /// How often the control stream is read.
@@ -37,7 +37,7 @@
     std::chrono::milliseconds rank_delay{3'000};
     /// A node whose record was read this recently is alive, whatever the
     /// probes say.
-    std::chrono::milliseconds log_evidence{15'000};
+    std::chrono::milliseconds log_liveness_window{15'000};
     /// How long an append may stay without an answer before it counts as lost.
     std::chrono::milliseconds append_limit{5'000};
     /// Shortest time between two planned moves of this node's resources.
--- a/src/Serving/node_services.hpp
+++ b/src/Serving/node_services.hpp
@@ -30,7 +30,7 @@
     explicit node_services(serving_settings const& settings);
 
     membership members;
-    owner owning;
+    ownership_manager owning;
     config_follower follower;
     change_publisher publisher;
     checkpoint_writer checkpoints;
--- a/src/Serving/ownership_router.cpp
+++ b/src/Serving/ownership_router.cpp
@@ -60,7 +60,8 @@
     }
 }
 
-void ownership_router::hand_over(handover_wanted const& wanted, instant now) {
+void ownership_router::hand_over(
+    handover_requested const& wanted, instant now) {
     switch (wanted.resource.kind) {
     case resource_kind::replica:
         grants_.hand_over(wanted.resource, now);
@@ -96,7 +97,8 @@
         gained(*gain, clock);
     } else if (auto const* const loss = std::get_if<ownership_lost>(&action)) {
         lost(*loss, clock.now);
-    } else if (auto const* const move = std::get_if<handover_wanted>(&action)) {
+    } else if (
+        auto const* const move = std::get_if<handover_requested>(&action)) {
         hand_over(*move, clock.now);
     } else if (
         auto const* const stay = std::get_if<handover_aborted>(&action)) {
--- a/src/Serving/ownership_router.hpp
+++ b/src/Serving/ownership_router.hpp
@@ -32,7 +32,7 @@
     void carry_out(ownership_action const& action, clock_reading const& clock);
     void gained(ownership_gained const& claim, clock_reading const& clock);
     void lost(ownership_lost const& loss, instant now);
-    void hand_over(handover_wanted const& wanted, instant now);
+    void hand_over(handover_requested const& wanted, instant now);
 
     node_services& services_;
     node_outbox& outbox_;
--- a/src/Settings/settings_schema.hpp
+++ b/src/Settings/settings_schema.hpp
@@ -97,7 +97,7 @@
         "clock_rate_error_ppm", all.clock_rate_error, 0, 100'000,
         "how much two nodes' monotonic clocks may differ, in millionths");
     visit.time(
-        "order_travel", all.order_travel, 1ms, 600'000ms,
+        "order_travel", all.command_transit, 1ms, 600'000ms,
         "longest time that a sent order can be under way");
     visit.time(
         "read_lag", all.read_lag, 0ms, 600'000ms,
--- a/test/ownership_fixture.cpp
+++ b/test/ownership_fixture.cpp
@@ -54,7 +54,7 @@
     node_run const self{node_id(name), run};
     nodes_.erase(name);
     std::mt19937_64 const random(hash_text(name, run));
-    test_node fresh{owner(settings_, self, random), self};
+    test_node fresh{ownership_manager(settings_, self, random), self};
     return nodes_.emplace(name, std::move(fresh)).first->second;
 }
 
@@ -162,7 +162,8 @@
             from.gained.push_back(*won);
         } else if (auto const* lost = std::get_if<ownership_lost>(&action)) {
             from.lost.push_back(*lost);
-        } else if (auto const* want = std::get_if<handover_wanted>(&action)) {
+        } else if (
+            auto const* want = std::get_if<handover_requested>(&action)) {
             from.wanted.push_back(*want);
             if (stop_at_once) {
                 from.decider.handover_ready(
--- a/test/ownership_fixture.hpp
+++ b/test/ownership_fixture.hpp
@@ -37,7 +37,7 @@
 
 /// One node: its owner, its clock, and what it was told.
 struct test_node {
-    owner decider;
+    ownership_manager decider;
     node_run self;
     bool paused = false;
     bool leaving = false;
@@ -48,7 +48,7 @@
     std::int64_t clock_rate_error = 0;
     std::vector<ownership_gained> gained = {};
     std::vector<ownership_lost> lost = {};
-    std::vector<handover_wanted> wanted = {};
+    std::vector<handover_requested> wanted = {};
     std::vector<handover_aborted> aborted = {};
 };
 
@@ -85,7 +85,7 @@
     control_log log;
     instant now{seconds(1'000)};
     std::uint64_t appends = 0;
-    /// Whether services answer handover_wanted at once.
+    /// Whether services answer handover_requested at once.
     bool stop_at_once = true;
     /// Whether messages between nodes arrive.
     bool messages = true;
--- a/test/ownership_fuzz_test.cpp
+++ b/test/ownership_fuzz_test.cpp
@@ -90,7 +90,7 @@
         std::mt19937_64 random(seed);
         ownership_settings settings;
         settings.grant_lease = seconds(20);
-        settings.log_evidence = seconds(2);
+        settings.log_liveness_window = seconds(2);
         cluster nodes(two_resources(), settings);
         nodes.slowness = 8;
         nodes.behind = settings.read_lag;
--- a/test/ownership_handover_test.cpp
+++ b/test/ownership_handover_test.cpp
@@ -178,16 +178,16 @@
     node_run const heir{node_id("b"), 9};
     record.releases.push_back(
         {store_resource("weights"), log_offset{6}, true, heir});
-    std::string const text = encode_control(record);
-    CHECK(decode_control(text) == record);
+    std::string const text = encode_control_record(record);
+    CHECK(decode_control_record(text) == record);
     CHECK(text.find('\n') == std::string::npos);
-    CHECK_FALSE(decode_control(text + " "));
-    CHECK_FALSE(decode_control(text.substr(0, text.size() / 2)));
-    CHECK_FALSE(decode_control(""));
-    CHECK_FALSE(decode_control("[1]"));
+    CHECK_FALSE(decode_control_record(text + " "));
+    CHECK_FALSE(decode_control_record(text.substr(0, text.size() / 2)));
+    CHECK_FALSE(decode_control_record(""));
+    CHECK_FALSE(decode_control_record("[1]"));
     std::string wrong_kind = text;
     wrong_kind.replace(wrong_kind.find("\"kind\": 0"), 9, "\"kind\": 9");
-    CHECK_FALSE(decode_control(wrong_kind));
+    CHECK_FALSE(decode_control_record(wrong_kind));
 }
 
 // The log takes a few hundred appends a second from everybody. Ownership must
@@ -203,7 +203,7 @@
     nodes.run(seconds(60));
     std::size_t held = 0;
     for (std::string const& each : names) {
-        held += nodes.node(each).decider.held();
+        held += nodes.node(each).decider.held_count();
     }
     CHECK(held == key_shard_count);
     // The first claims: about one record for each node.
@@ -230,7 +230,7 @@
         CHECK(nodes.appends - before <= 2 * rest.size());
         held = 0;
         for (std::string const& each : rest) {
-            held += nodes.node(each).decider.held();
+            held += nodes.node(each).decider.held_count();
         }
         CHECK(held == key_shard_count);
 
@@ -238,10 +238,10 @@
             nodes.start("node-4", 2);
             nodes.set_live(names);
             nodes.run(seconds(20));
-            CHECK(nodes.node("node-4").decider.held() == 0);
+            CHECK(nodes.node("node-4").decider.held_count() == 0);
             std::uint64_t const then = nodes.appends;
             nodes.run(std::chrono::minutes(10));
-            CHECK(nodes.node("node-4").decider.held() > 10);
+            CHECK(nodes.node("node-4").decider.held_count() > 10);
             CHECK(nodes.appends - then <= 100);
         }
     }
--- a/test/ownership_takeover_test.cpp
+++ b/test/ownership_takeover_test.cpp
@@ -59,7 +59,7 @@
     test_node& next = nodes.node(heir);
     ownership_settings const settings;
     // A node whose record was just read counts as alive for a while.
-    nodes.run(settings.log_evidence);
+    nodes.run(settings.log_liveness_window);
 
     SUBCASE("the first owner of all need not wait") {
         CHECK(old.gained.front().first);
@@ -125,7 +125,7 @@
             old.paused = false;
             nodes.set_live({"a", "b"});
             nodes.run(seconds(1));
-            CHECK(old.lost.front().now_with == node_id(heir));
+            CHECK(old.lost.front().new_owner == node_id(heir));
             CHECK(nodes.acting(replica) == std::vector<std::string>{heir});
         }
     }
@@ -206,7 +206,7 @@
 
     SUBCASE("two runs that bear the same start time are told apart") {
         test_node& twin = nodes.start("a", 2);
-        twin.decider = owner({}, twin.self, std::mt19937_64(99));
+        twin.decider = ownership_manager({}, twin.self, std::mt19937_64(99));
         nodes.set_live({"a"});
         nodes.run(seconds(30));
         CHECK(twin.gained.empty());
@@ -266,8 +266,8 @@
     nodes.set_live({"a", "b"});
     std::string const holder = nodes.settle(replica);
     std::string const heir = other_than(holder);
-    owner const& old = nodes.node(holder).decider;
-    owner const& next = nodes.node(heir).decider;
+    ownership_manager const& old = nodes.node(holder).decider;
+    ownership_manager const& next = nodes.node(heir).decider;
     nodes.log.down = true;
     nodes.run(seconds(10));
 
