--- a/src/Fleet/fleet.cpp
+++ b/src/Fleet/fleet.cpp
@@ -210,7 +210,7 @@
 
 void fleet::expire_usage(instant now) {
     for (auto& [id, each] : all_) {
-        std::erase_if(each.denials, [&](auto const& denied) {
+        std::erase_if(each.load_rejections, [&](auto const& denied) {
             return now >= denied.second.until;
         });
         if (now >= each.usage_received_at + remote_usage_lifetime) {
--- a/src/Fleet/fleet.hpp
+++ b/src/Fleet/fleet.hpp
@@ -27,7 +27,7 @@
 };
 
 /// A load request that the replica's controller has denied.
-struct load_denial {
+struct load_rejection {
     /// The denial is valid until then.
     instant until;
     /// When the adapter would have been ready.
@@ -66,7 +66,7 @@
     bool missing = false;
     /// Load requests that the replica's controller denied since the adapters
     /// would be ready too late, with the time at which they would be ready.
-    std::unordered_map<adapter_id, load_denial> denials;
+    std::unordered_map<adapter_id, load_rejection> load_rejections;
     /// When the replica shuts down, if it announced this at short notice.
     instant shutdown_at = instant::max();
 
@@ -76,10 +76,11 @@
                cached_adapters.end();
     }
     /// @returns the denial of the adapter that is valid now, or null
-    load_denial const* denial(adapter_id const& adapter, instant now) const {
-        auto const found = denials.find(adapter);
+    load_rejection const*
+    load_rejection_of(adapter_id const& adapter, instant now) const {
+        auto const found = load_rejections.find(adapter);
         bool const is_valid =
-            found != denials.end() && now < found->second.until;
+            found != load_rejections.end() && now < found->second.until;
         return is_valid ? &found->second : nullptr;
     }
     /// @returns the number of requests of all nodes that are running there
--- a/src/Fleet/replica_selector.cpp
+++ b/src/Fleet/replica_selector.cpp
@@ -167,8 +167,8 @@
         bool const is_resident =
             entry != each->adapters.end() && !entry->second.unloading;
         if (is_eligible(*each, requirements, now) &&
-            !each->denial(requirements.adapter, now) && !is_resident &&
-            has_model(*each, requirements.model) &&
+            !each->load_rejection_of(requirements.adapter, now) &&
+            !is_resident && has_model(*each, requirements.model) &&
             !each->health.suspected(now)) {
             eligible.push_back(each->record.id);
         }
@@ -206,8 +206,8 @@
     replica* soonest = nullptr;
     instant earliest = instant::max();
     for (replica* const each : fleet_->of_service(requirements.service)) {
-        load_denial const* const denied =
-            each->denial(requirements.adapter, now);
+        load_rejection const* const denied =
+            each->load_rejection_of(requirements.adapter, now);
         if (denied != nullptr && is_eligible(*each, requirements, now) &&
             denied->ready_at < earliest) {
             soonest = each;
--- a/src/Gateway/declaration_follower.cpp
+++ b/src/Gateway/declaration_follower.cpp
@@ -250,7 +250,7 @@
     state_->routes = route_table(state_->configuration);
     state_->configured = true;
     schedule_.mark_configured();
-    state_->start.mark_configured(boot_clock::now());
+    state_->startup.mark_configured(boot_clock::now());
     state_->quarantine_sync_state.on_serving_started(boot_clock::now());
     state_->log_event(log_line(event_code::configuration_in_force)
                           .with("version", state_->configuration.version)
--- a/src/Gateway/gateway.cpp
+++ b/src/Gateway/gateway.cpp
@@ -188,7 +188,7 @@
         state_.log_event(log_line(event_code::gateway_ready)
                              .with("version", limits_version_)
                              .with("declared", state_.declared_total())
-                             .with("told", state_.start.reported_total()));
+                             .with("told", state_.startup.reported_total()));
     }
 }
 
--- a/src/Gateway/gateway_state.hpp
+++ b/src/Gateway/gateway_state.hpp
@@ -46,7 +46,7 @@
     ///          configuration, and no other node was known at this node's start
     ///          to have newer declarations
     bool may_serve(instant now) {
-        return configured && start.passed(declared_total(), now);
+        return configured && startup.passed(declared_total(), now);
     }
     /// @returns the number of running nodes, including this one
     unsigned nodes() const;
@@ -77,14 +77,14 @@
     bool configured = false;
     bool stopping = false;
     declared_versions versions;
-    startup_gate start;
+    startup_gate startup;
     /// Position up to which this node has read the operator's declarations.
     store_position declared_position;
 
     fleet replicas;
     adapter_demand demand;
     std::mt19937_64 random;
-    replica_selector choice{replicas};
+    replica_selector selector{replicas};
     waiter_list waiters;
     resend_budget resends;
     request_quarantine quarantine;
--- a/src/Gateway/peer_messenger.cpp
+++ b/src/Gateway/peer_messenger.cpp
@@ -386,10 +386,10 @@
 }
 
 void peer_messenger::query_declared() {
-    if (!state_->start.done()) {
+    if (!state_->startup.done()) {
         peer_datagram message = status_message();
         message.queries_declared = true;
-        for (std::string const& each : state_->start.peers_to_ask()) {
+        for (std::string const& each : state_->startup.peers_to_ask()) {
             send(each, message);
         }
     }
--- a/src/Gateway/peer_messenger_receive.cpp
+++ b/src/Gateway/peer_messenger_receive.cpp
@@ -63,7 +63,7 @@
     peer_load_rejection const& rejection, instant now) {
     if (replica* const at = state_->replicas.find_by_hash(rejection.replica)) {
         adapter_id const adapter(rejection.adapter);
-        at->denials[adapter] = {
+        at->load_rejections[adapter] = {
             now + rejection_lifetime,
             now + milliseconds(rejection.expected_wait_ms)};
         state_->waiters.notify(adapter);
@@ -86,7 +86,7 @@
         handlers_.on_epoch(message.declared_position.epoch);
     }
     if (message.alive) {
-        state_->start.handle_peer_total(message.from, message.declared_total);
+        state_->startup.handle_peer_total(message.from, message.declared_total);
     }
     if (message.queries_declared) {
         send(message.from, status_message());
--- a/src/Gateway/replica_controller_leases.cpp
+++ b/src/Gateway/replica_controller_leases.cpp
@@ -181,7 +181,7 @@
         }
     }
     others.erase(state_->own_address);
-    state_->start.set_peers(state_->own_address, others);
+    state_->startup.set_peers(state_->own_address, others);
     messenger_->query_declared();
 }
 
--- a/src/Gateway/request_handler_replica_search.cpp
+++ b/src/Gateway/request_handler_replica_search.cpp
@@ -68,13 +68,13 @@
 // service's replicas expired during the outage, and the replicas, which are
 // running, have yet to write them again.
 bool request_handler::awaits_registry_entries(instant now) const {
-    return !state_->choice.any_accepts_requests(need_.service) &&
+    return !state_->selector.any_accepts_requests(need_.service) &&
            state_->registry_refilling(now) &&
            now < arrived_at_ + route_->objective;
 }
 
 std::optional<replica*> request_handler::select_plain_replica(instant now) {
-    replica* const best = state_->choice.best(need_, now);
+    replica* const best = state_->selector.best(need_, now);
     if (best == nullptr && awaits_registry_entries(now)) {
         return std::nullopt;
     }
@@ -118,14 +118,14 @@
     replica const& best, instant now) {
     std::size_t const replicas =
         state_->replicas.of_service(need_.service).size();
-    std::size_t const resident = state_->choice.resident_count(need_, now);
+    std::size_t const resident = state_->selector.resident_count(need_, now);
     std::size_t const target_count =
         state_->demand.target_replica_count(need_.adapter, replicas, now);
     // An additional load distributes nothing while the replicas that have the
     // adapter are no fuller than the others. Each node estimates the demand
     // from its own few requests, and acting on the highest of many estimates
     // would load the adapter at every replica.
-    double const mean = state_->choice.mean_utilization(need_.service, now);
+    double const mean = state_->selector.mean_utilization(need_.service, now);
     bool const fuller =
         replica_selector::utilization(best, now) > mean + min_utilization_gap;
     // When prompts queue at every replica that has the adapter, one more
@@ -140,7 +140,7 @@
         bool const urgent = replica_selector::utilization(best, now) >=
                             urgent_replication_utilization;
         request_load_at(
-            state_->choice.next_preferred_replica(need_, now), urgent);
+            state_->selector.next_preferred_replica(need_, now), urgent);
     }
 }
 
@@ -152,17 +152,17 @@
     // A replica that has filled up in the meantime is not kept, because it
     // would cause a refusal.
     if (requested != nullptr && requested->accepts_requests() &&
-        requested->denial(need_.adapter, now) == nullptr &&
+        requested->load_rejection_of(need_.adapter, now) == nullptr &&
         requested->load() < max_load && !requested->health.suspected(now)) {
         return requested;
     }
-    replica* const next = state_->choice.next_preferred_replica(need_, now);
+    replica* const next = state_->selector.next_preferred_replica(need_, now);
     replica const* const soonest =
-        state_->choice.soonest_ready_replica(need_, now);
+        state_->selector.soonest_ready_replica(need_, now);
     bool const all_asked = next == nullptr || load_targets_ >= max_load_targets;
     if (soonest != nullptr && all_asked) {
         earliest_ready_in_ =
-            soonest->denial(need_.adapter, now)->ready_at - now;
+            soonest->load_rejection_of(need_.adapter, now)->ready_at - now;
         return nullptr;
     }
     return next;
@@ -180,15 +180,15 @@
     std::uint32_t const newest =
         state_->versions.newest(need_.adapter).value_or(0);
     need_.min_version = newest;
-    replica* best = state_->choice.best(need_, now);
+    replica* best = state_->selector.best(need_, now);
     std::uint32_t const least =
         state_->versions.min_version(need_.adapter, now);
     if (best == nullptr && least < newest) {
         // The old version serves until the new one is loaded at a replica.
         request_load_at(
-            state_->choice.next_preferred_replica(need_, now), true);
+            state_->selector.next_preferred_replica(need_, now), true);
         need_.min_version = least;
-        best = state_->choice.best(need_, now);
+        best = state_->selector.best(need_, now);
     }
     bool const healthy = best != nullptr && !best->health.suspected(now);
     if (healthy && best->usage_known(now) &&
@@ -219,8 +219,8 @@
     // decides, because the load known at this node is older. When all replicas
     // are busy, a further load would delay every request, and capacity becomes
     // available elsewhere no sooner.
-    bool const service_busy =
-        state_->choice.mean_utilization(need_.service, now) >= busy_utilization;
+    bool const service_busy = state_->selector.mean_utilization(
+                                  need_.service, now) >= busy_utilization;
     if (preferred != nullptr &&
         (preferred->load() < max_load || !service_busy)) {
         request_load_at(preferred, true);
@@ -235,7 +235,7 @@
         return std::nullopt;
     }
     if (none && now < arrived_at_ + route_->objective &&
-        state_->choice.any_accepts_requests(need_.service)) {
+        state_->selector.any_accepts_requests(need_.service)) {
         // All loaded adapters are in use right now, and some of these uses end
         // soon.
         return std::nullopt;
@@ -252,7 +252,7 @@
 bool request_handler::load_already_rejected(instant now) const {
     replica const* const preferred = state_->replicas.find(load_target_);
     return preferred != nullptr &&
-           preferred->denial(need_.adapter, now) != nullptr;
+           preferred->load_rejection_of(need_.adapter, now) != nullptr;
 }
 
 asio::awaitable<void> request_handler::refresh_utilization() {
@@ -260,7 +260,7 @@
     instant const began = boot_clock::now();
     instant const until = began + utilization_query_timeout;
     auto const queried = messenger_->query_replica_usage(
-        state_->choice.compared_replicas(need_, began), need_.adapter, began);
+        state_->selector.compared_replicas(need_, began), need_.adapter, began);
     auto const unanswered = [&](endpoint_id const& id) {
         replica const* const at = state_->replicas.find(id);
         return at != nullptr && at->usage_received_at < began;
--- a/standins/replica/replica_engine.cpp
+++ b/standins/replica/replica_engine.cpp
@@ -169,9 +169,9 @@
         co_return;
     }
     ++runs[std::string(fields.get("X-Request-Id"))];
-    if (!deadly_body.empty() && exchange.request().body == deadly_body) {
-        if (on_end) {
-            on_end();
+    if (!poison_body.empty() && exchange.request().body == poison_body) {
+        if (on_crash) {
+            on_crash();
         }
         co_return;
     }
--- a/standins/replica/replica_engine.hpp
+++ b/standins/replica/replica_engine.hpp
@@ -51,9 +51,9 @@
 
     /// A request with this body ends the replica as it begins to run; empty
     /// for none.
-    std::string deadly_body;
+    std::string poison_body;
     /// Called when a request has ended it.
-    std::function<void()> on_end;
+    std::function<void()> on_crash;
     /// What befalls the next requests, in order.
     std::deque<replica_fault> faults;
     /// How often each request has run.
--- a/test/fleet_test.cpp
+++ b/test/fleet_test.cpp
@@ -110,7 +110,7 @@
         tracker.update("n10", hash, hot().id, 1, 0, fixture.now);
         CHECK_FALSE(replica_selector::has_capacity(
             tracker.usage(hash, fixture.now), preferred->record.slots));
-        preferred->denials[hot().id] = {
+        preferred->load_rejections[hot().id] = {
             fixture.now + milliseconds(400), fixture.now + seconds(1)};
         CHECK(
             fixture.selector.next_preferred_replica(
@@ -464,21 +464,23 @@
                 fixture.make_requirements(), fixture.now) == preferred);
     }
     SUBCASE("until the replica denies the load request") {
-        preferred->denials[hot().id] = {
+        preferred->load_rejections[hot().id] = {
             fixture.now + seconds(1), fixture.now + seconds(2)};
         replica* const next = fixture.selector.next_preferred_replica(
             fixture.make_requirements(), fixture.now);
         CHECK(next != preferred);
         SUBCASE("and while all replicas deny it, there is none") {
             for (std::string const each : {"r1", "r2", "r3"}) {
-                fixture.replicas.find(endpoint_id(each))->denials[hot().id] = {
+                fixture.replicas.find(endpoint_id(each))
+                    ->load_rejections[hot().id] = {
                     fixture.now + seconds(1), fixture.now + seconds(2)};
             }
             CHECK(
                 fixture.selector.next_preferred_replica(
                     fixture.make_requirements(), fixture.now) == nullptr);
             SUBCASE("but the one that would be ready first is known") {
-                next->denials[hot().id].ready_at = fixture.now + seconds(1);
+                next->load_rejections[hot().id].ready_at =
+                    fixture.now + seconds(1);
                 CHECK(
                     fixture.selector.soonest_ready_replica(
                         fixture.make_requirements(), fixture.now) == next);
@@ -487,7 +489,9 @@
         SUBCASE("which applies to this adapter only") {
             replica_requirements other = fixture.make_requirements();
             other.adapter = adapter_id("m/other");
-            CHECK(preferred->denial(other.adapter, fixture.now) == nullptr);
+            CHECK(
+                preferred->load_rejection_of(other.adapter, fixture.now) ==
+                nullptr);
         }
         SUBCASE(
             "and a replica that has just unloaded the adapter is preferred") {
--- a/test/gateway/gateway_fixture.cpp
+++ b/test/gateway/gateway_fixture.cpp
@@ -142,8 +142,8 @@
 
 void gateway_fixture::crash_on_body(
     served_replica& replica, std::string const& body) {
-    replica.engine.deadly_body = body;
-    replica.engine.on_end = [this, &replica] {
+    replica.engine.poison_body = body;
+    replica.engine.on_crash = [this, &replica] {
         ++crashed_replicas;
         crash_times.push_back(boot_clock::now());
         // The server is closed later, because closing it here would destroy the
@@ -153,14 +153,14 @@
 }
 
 void gateway_fixture::add_replicas(
-    unsigned count, std::string const& deadly_body) {
-    crash_on_body(first, deadly_body);
-    crash_on_body(second, deadly_body);
+    unsigned count, std::string const& poison_body) {
+    crash_on_body(first, poison_body);
+    crash_on_body(second, poison_body);
     for (unsigned each = 0; each < count; ++each) {
         std::string const name = fmt::format("d{}", more_replicas.size());
         more_replicas.push_back(
             std::make_unique<served_replica>(loop, name, "m", 3));
-        crash_on_body(*more_replicas.back(), deadly_body);
+        crash_on_body(*more_replicas.back(), poison_body);
         list(*more_replicas.back(), "llm");
         endpoint_id const id(name);
         REQUIRE(loop.run_until([&] { return node->knows_replica(id); }));
--- a/test/gateway/gateway_fixture.hpp
+++ b/test/gateway/gateway_fixture.hpp
@@ -76,7 +76,7 @@
     void restart_nodes();
     /// Lists additional replicas of the model. From then on each replica of the
     /// model crashes when it runs a request with the given body.
-    void add_replicas(unsigned count, std::string const& deadly_body);
+    void add_replicas(unsigned count, std::string const& poison_body);
     /// Sends one request without waiting; its answer is read and dropped.
     void send_async(std::string path, std::string model, std::string id);
     /// Sends one request to a node without waiting.
