--- a/src/Keys/entry_keys.cpp
+++ b/src/Keys/entry_key_tracker.cpp
@@ -1,4 +1,4 @@
-#include "Keys/entry_keys.hpp"
+#include "Keys/entry_key_tracker.hpp"
 
 #include <algorithm>
 #include <iterator>
--- a/src/Keys/key_owner.hpp
+++ b/src/Keys/key_owner.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "Keys/clock_reading.hpp"
 #include "Keys/key_action.hpp"
-#include "Keys/key_clock.hpp"
 #include "Keys/key_memory.hpp"
 #include "Keys/key_settings.hpp"
 #include "Keys/key_table.hpp"
--- a/src/Keys/key_table.hpp
+++ b/src/Keys/key_table.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Keys/key_clock.hpp"
+#include "Keys/clock_reading.hpp"
 #include "Keys/key_memory.hpp"
 #include "Keys/key_messages.hpp"
 #include "Keys/key_record.hpp"
--- a/src/Membership/membership.hpp
+++ b/src/Membership/membership.hpp
@@ -4,11 +4,11 @@
 #include "Core/time.hpp"
 #include "Membership/endpoint_table.hpp"
 #include "Membership/incarnation.hpp"
-#include "Membership/limit_shares.hpp"
 #include "Membership/membership_action.hpp"
 #include "Membership/membership_settings.hpp"
+#include "Membership/pending_probes.hpp"
 #include "Membership/probe_message.hpp"
-#include "Membership/probe_rounds.hpp"
+#include "Membership/quota_shares.hpp"
 #include "Membership/update_queue.hpp"
 #include "Records/instance_record.hpp"
 
--- a/src/Membership/membership_settings.hpp
+++ b/src/Membership/membership_settings.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Membership/limit_shares.hpp"
+#include "Membership/quota_shares.hpp"
 
 #include <chrono>
 #include <cstddef>
--- a/src/Membership/probe_rounds.cpp
+++ b/src/Membership/pending_probes.cpp
@@ -1,4 +1,4 @@
-#include "Membership/probe_rounds.hpp"
+#include "Membership/pending_probes.hpp"
 
 #include <algorithm>
 
--- a/src/Membership/limit_shares.cpp
+++ b/src/Membership/quota_shares.cpp
@@ -1,4 +1,4 @@
-#include "Membership/limit_shares.hpp"
+#include "Membership/quota_shares.hpp"
 
 #include "Core/hash.hpp"
 
--- a/src/Ownership/owner.cpp
+++ b/src/Ownership/ownership_manager.cpp
@@ -1,4 +1,4 @@
-#include "Ownership/owner.hpp"
+#include "Ownership/ownership_manager.hpp"
 
 #include <fmt/format.h>
 
--- a/src/Ownership/owner_replay.cpp
+++ b/src/Ownership/ownership_manager_replay.cpp
@@ -1,5 +1,5 @@
 // How the owner follows the control stream.
-#include "Ownership/owner.hpp"
+#include "Ownership/ownership_manager.hpp"
 
 #include <fmt/format.h>
 
--- a/src/Ownership/owner_moves.cpp
+++ b/src/Ownership/ownership_manager_transfers.cpp
@@ -1,5 +1,5 @@
 // How resources come to this node and leave it.
-#include "Ownership/owner.hpp"
+#include "Ownership/ownership_manager.hpp"
 
 #include <fmt/format.h>
 
--- a/src/Placement/placement.hpp
+++ b/src/Placement/placement.hpp
@@ -123,4 +123,4 @@
 
 } // namespace camphorpoint
 
-#include "Placement/placement_decisions.hpp"
+#include "Placement/placement_impl.hpp"
--- a/src/Serving/node_core.hpp
+++ b/src/Serving/node_core.hpp
@@ -1,7 +1,6 @@
 #pragma once
 
 #include "Serving/config_router.hpp"
-#include "Serving/content_router.hpp"
 #include "Serving/grant_router.hpp"
 #include "Serving/heartbeat_sender.hpp"
 #include "Serving/key_router.hpp"
@@ -12,6 +11,7 @@
 #include "Serving/node_services.hpp"
 #include "Serving/node_status.hpp"
 #include "Serving/ownership_router.hpp"
+#include "Serving/quarantine_router.hpp"
 #include "Serving/request_services.hpp"
 #include "Serving/request_tracker.hpp"
 #include "Serving/serving_settings.hpp"
--- a/src/Serving/content_router.cpp
+++ b/src/Serving/quarantine_router.cpp
@@ -1,4 +1,4 @@
-#include "Serving/content_router.hpp"
+#include "Serving/quarantine_router.hpp"
 
 #include "Core/hash.hpp"
 
--- a/src/Serving/request_services.hpp
+++ b/src/Serving/request_services.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "Serving/content_router.hpp"
 #include "Serving/node_outbox.hpp"
 #include "Serving/node_services.hpp"
+#include "Serving/quarantine_router.hpp"
 #include "Serving/request_environment.hpp"
 #include "Serving/serving_settings.hpp"
 
--- a/src/Serving/request_tracker.hpp
+++ b/src/Serving/request_tracker.hpp
@@ -138,5 +138,5 @@
 } // namespace camphorpoint
 
 #include "Serving/request_tracker_attempts.hpp"
-#include "Serving/request_tracker_ending.hpp"
+#include "Serving/request_tracker_completion.hpp"
 #include "Serving/request_tracker_routing.hpp"
