--- a/src/Limits/delay_based_limit.hpp
+++ b/src/Limits/delay_based_limit.hpp
@@ -9,19 +9,19 @@
 
 /// Settings of delay_based_limit.
 struct delay_based_limit_settings {
-    double least = 0.25;
-    double most = 512.0;
+    double min_limit = 0.25;
+    double max_limit = 512.0;
     /// The limit before anything was measured.
-    double assumed = 4.0;
+    double initial_limit = 4.0;
     /// Samples in a window. Service times scatter, so single ones say little.
-    std::uint32_t window = 30;
+    std::uint32_t window_samples = 30;
     /// A window's mean latency above this many times the best one's means that
     /// requests queue on the endpoint.
-    double tolerance = 1.7;
+    double latency_tolerance = 1.7;
     /// What is left of the limit after such a window.
-    double backoff = 0.85;
+    double decrease_factor = 0.85;
     /// How fast the best mean is forgotten, for each window.
-    double leak = 1.002;
+    double baseline_drift = 1.002;
 };
 
 /// Infers the limit of an endpoint whose capacity is not known, or shifts: up
@@ -36,44 +36,50 @@
     explicit delay_based_limit(
         std::uint32_t capacity, delay_based_limit_settings const& settings = {})
         : settings_(settings)
-        , estimate_(capacity == 0 ? settings.assumed : capacity) {}
+        , limit_(capacity == 0 ? settings.initial_limit : capacity) {}
 
     /// @returns requests at a time
-    double limit() const noexcept { return estimate_; }
+    double limit() const noexcept { return limit_; }
     void on_sample(limit_sample const& sample) {
-        sum_ += static_cast<double>(sample.latency.count());
-        most_in_flight_ = std::max(most_in_flight_, sample.in_flight);
+        latency_sum_ += static_cast<double>(sample.latency.count());
+        max_in_flight_ = std::max(max_in_flight_, sample.in_flight);
         dropped_ = dropped_ || sample.dropped;
-        if (++count_ >= settings_.window) {
+        if (++sample_count_ >= settings_.window_samples) {
             end_window();
         }
     }
 
 private:
     void end_window() {
-        double const mean = sum_ / count_;
+        double const mean_latency = latency_sum_ / sample_count_;
         // Forgotten slowly: a best mean that follows an overload within
         // seconds would take the queueing for the endpoint's own speed, and
         // the limit would grow without end.
-        best_ = best_ == 0.0 ? mean : std::min(best_ * settings_.leak, mean);
-        if (dropped_ || mean > settings_.tolerance * best_) {
-            estimate_ *= settings_.backoff;
-        } else if (most_in_flight_ + 1.0 > estimate_) {
-            estimate_ += std::min(1.0, estimate_ / 2.0);
+        baseline_latency_ =
+            baseline_latency_ == 0.0
+                ? mean_latency
+                : std::min(
+                      baseline_latency_ * settings_.baseline_drift,
+                      mean_latency);
+        if (dropped_ ||
+            mean_latency > settings_.latency_tolerance * baseline_latency_) {
+            limit_ *= settings_.decrease_factor;
+        } else if (max_in_flight_ + 1.0 > limit_) {
+            limit_ += std::min(1.0, limit_ / 2.0);
         }
-        estimate_ = std::clamp(estimate_, settings_.least, settings_.most);
-        sum_ = 0.0;
-        count_ = 0;
-        most_in_flight_ = 0;
+        limit_ = std::clamp(limit_, settings_.min_limit, settings_.max_limit);
+        latency_sum_ = 0.0;
+        sample_count_ = 0;
+        max_in_flight_ = 0;
         dropped_ = false;
     }
 
     delay_based_limit_settings settings_;
-    double estimate_;
-    double best_ = 0.0;
-    double sum_ = 0.0;
-    std::uint32_t count_ = 0;
-    std::uint32_t most_in_flight_ = 0;
+    double limit_;
+    double baseline_latency_ = 0.0;
+    double latency_sum_ = 0.0;
+    std::uint32_t sample_count_ = 0;
+    std::uint32_t max_in_flight_ = 0;
     bool dropped_ = false;
 };
 
--- a/src/Limits/endpoint_health.hpp
+++ b/src/Limits/endpoint_health.hpp
@@ -12,9 +12,9 @@
 /// When an endpoint is skipped.
 struct health_settings {
     /// Failures in a row after which it is skipped.
-    std::uint32_t failures = 3;
-    std::chrono::milliseconds first_skip{500};
-    std::chrono::milliseconds longest_skip{15'000};
+    std::uint32_t failure_threshold = 3;
+    std::chrono::milliseconds initial_skip_time{500};
+    std::chrono::milliseconds max_skip_time{15'000};
 };
 
 /// Skips an endpoint that fails again and again, and lets one request at a time
@@ -26,14 +26,14 @@
 public:
     /// @returns true when a request may be sent
     bool usable(health_settings const& settings, instant now) const noexcept {
-        if (failures_ < settings.failures) {
+        if (consecutive_failures_ < settings.failure_threshold) {
             return true;
         }
         return now >= skip_until_ && !probing_;
     }
     /// @returns true while it is skipped or only probed
     bool suspect(health_settings const& settings) const noexcept {
-        return failures_ >= settings.failures;
+        return consecutive_failures_ >= settings.failure_threshold;
     }
     /// A request goes out; to a suspect endpoint it is the probe.
     void on_dispatch(health_settings const& settings) noexcept {
@@ -41,18 +41,18 @@
     }
     /// The endpoint answered.
     void on_success() noexcept {
-        failures_ = 0;
-        skips_ = 0;
+        consecutive_failures_ = 0;
+        skip_doublings_ = 0;
         probing_ = false;
     }
     /// The endpoint was not reached, or failed.
     void on_failure(
         health_settings const& settings, instant now, std::mt19937_64& random) {
-        ++failures_;
+        ++consecutive_failures_;
         probing_ = false;
         if (suspect(settings)) {
             skip_until_ = now + skip_time(settings, random);
-            skips_ = std::min(skips_ + 1, most_skips);
+            skip_doublings_ = std::min(skip_doublings_ + 1, max_doublings);
         }
     }
     /// A request ended that says nothing of the endpoint, such as a
@@ -62,21 +62,22 @@
     instant skip_until() const noexcept { return skip_until_; }
 
 private:
-    static constexpr std::uint32_t most_skips = 16;
+    static constexpr std::uint32_t max_doublings = 16;
 
     duration
     skip_time(health_settings const& settings, std::mt19937_64& random) const {
-        auto const full = std::min<std::chrono::milliseconds>(
-            settings.longest_skip, settings.first_skip * (1U << skips_));
-        duration const most = full;
+        auto const nominal = std::min<std::chrono::milliseconds>(
+            settings.max_skip_time,
+            settings.initial_skip_time * (1U << skip_doublings_));
+        duration const max_time = nominal;
         // From half to the whole, so that nodes do not probe in step.
-        std::uniform_int_distribution<std::int64_t> spread(
-            most.count() / 2, most.count());
-        return duration(spread(random));
+        std::uniform_int_distribution<std::int64_t> distribution(
+            max_time.count() / 2, max_time.count());
+        return duration(distribution(random));
     }
 
-    std::uint32_t failures_ = 0;
-    std::uint32_t skips_ = 0;
+    std::uint32_t consecutive_failures_ = 0;
+    std::uint32_t skip_doublings_ = 0;
     bool probing_ = false;
     instant skip_until_;
 };
--- a/src/Limits/fixed_limit.hpp
+++ b/src/Limits/fixed_limit.hpp
@@ -8,11 +8,11 @@
 class fixed_limit {
 public:
     /// Applies when the platform knows no capacity.
-    static constexpr std::uint32_t assumed = 16;
+    static constexpr std::uint32_t default_limit = 16;
 
     /// @param capacity requests at a time; 0 when not known
     explicit fixed_limit(std::uint32_t capacity) noexcept
-        : limit_(capacity == 0 ? assumed : capacity) {}
+        : limit_(capacity == 0 ? default_limit : capacity) {}
 
     /// @returns requests at a time
     double limit() const noexcept { return limit_; }
--- a/src/Limits/retry_budget.hpp
+++ b/src/Limits/retry_budget.hpp
@@ -26,9 +26,9 @@
     /// Budgets kept, of callers' groups and of endpoints each.
     std::size_t max_budgets = 4'096;
     /// The first retry waits up to this, each further one up to twice as long.
-    std::chrono::milliseconds first_backoff{25};
+    std::chrono::milliseconds initial_backoff{25};
     /// No retry waits longer.
-    std::chrono::milliseconds longest_backoff{2'000};
+    std::chrono::milliseconds max_backoff{2'000};
 };
 
 /// A token bucket that requests fill and retries drain.
@@ -39,7 +39,7 @@
     /// Starts with one retry saved, so that a first failure may be retried.
     token_bucket(retry_settings const& settings, instant now)
         : tokens_(std::min(1.0, settings.max_saved_retries))
-        , filled_(now) {}
+        , refilled_at_(now) {}
 
     /// A request (not a retry) was made.
     void deposit(retry_settings const& settings) noexcept {
@@ -47,19 +47,19 @@
             settings.max_saved_retries, tokens_ + settings.retries_per_request);
     }
     /// @returns true when one retry may be taken now
-    bool has(retry_settings const& settings, instant now) noexcept {
-        std::chrono::duration<double> const passed = now - filled_;
-        double const grown = passed.count() * settings.min_retries_per_second;
-        tokens_ = std::min(settings.max_saved_retries, tokens_ + grown);
-        filled_ = now;
+    bool has_token(retry_settings const& settings, instant now) noexcept {
+        std::chrono::duration<double> const elapsed = now - refilled_at_;
+        double const refill = elapsed.count() * settings.min_retries_per_second;
+        tokens_ = std::min(settings.max_saved_retries, tokens_ + refill);
+        refilled_at_ = now;
         return tokens_ >= 1.0;
     }
-    /// Takes one retry; `has` must just have said true.
-    void take() noexcept { tokens_ -= 1.0; }
+    /// Takes one retry; `has_token` must just have said true.
+    void consume_token() noexcept { tokens_ -= 1.0; }
 
 private:
     double tokens_;
-    instant filled_;
+    instant refilled_at_;
 };
 
 /// Token buckets by name; the one unused for longest makes room for a new one.
@@ -69,29 +69,29 @@
     /// @returns the name's bucket, a new one when there is none
     token_bucket&
     at(Name const& name, retry_settings const& settings, instant now) {
-        auto const found = places_.find(name);
-        if (found != places_.end()) {
-            used_.splice(used_.begin(), used_, found->second);
-            return used_.front().bucket;
+        auto const found = index_.find(name);
+        if (found != index_.end()) {
+            by_recency_.splice(by_recency_.begin(), by_recency_, found->second);
+            return by_recency_.front().bucket;
         }
-        if (places_.size() >= settings.max_budgets) {
-            places_.erase(used_.back().name);
-            used_.pop_back();
+        if (index_.size() >= settings.max_budgets) {
+            index_.erase(by_recency_.back().name);
+            by_recency_.pop_back();
         }
-        used_.push_front({name, token_bucket(settings, now)});
-        places_[name] = used_.begin();
-        return used_.front().bucket;
+        by_recency_.push_front({name, token_bucket(settings, now)});
+        index_[name] = by_recency_.begin();
+        return by_recency_.front().bucket;
     }
     /// @returns how many buckets are kept
-    std::size_t size() const noexcept { return places_.size(); }
+    std::size_t size() const noexcept { return index_.size(); }
 
 private:
     struct named_bucket {
         Name name;
         token_bucket bucket;
     };
-    std::list<named_bucket> used_;
-    std::map<Name, typename std::list<named_bucket>::iterator> places_;
+    std::list<named_bucket> by_recency_;
+    std::map<Name, typename std::list<named_bucket>::iterator> index_;
 };
 
 /// Decides whether a retry may be made. Guards against the storm that shows
@@ -117,20 +117,22 @@
     /// @param after the endpoint that the earlier attempt failed on
     /// @param group whose request it is
     /// @returns true when the retry may be made
-    bool
-    try_retry(endpoint_id const& after, std::string const& group, instant now) {
-        token_bucket& endpoint = endpoints_.at(after, settings_, now);
-        token_bucket& caller = groups_.at(group, settings_, now);
-        if (!endpoint.has(settings_, now)) {
+    bool try_retry(
+        endpoint_id const& failed_endpoint, std::string const& group,
+        instant now) {
+        token_bucket& endpoint_bucket =
+            endpoints_.at(failed_endpoint, settings_, now);
+        token_bucket& group_bucket = groups_.at(group, settings_, now);
+        if (!endpoint_bucket.has_token(settings_, now)) {
             ++refused_by_endpoint_;
             return false;
         }
-        if (!caller.has(settings_, now)) {
+        if (!group_bucket.has_token(settings_, now)) {
             ++refused_by_group_;
             return false;
         }
-        endpoint.take();
-        caller.take();
+        endpoint_bucket.consume_token();
+        group_bucket.consume_token();
         ++allowed_;
         return true;
     }
@@ -143,15 +145,16 @@
     /// @param random seeded generator
     /// @returns how long to wait
     duration backoff(std::uint32_t retry, std::mt19937_64& random) const {
-        constexpr std::uint32_t most_doublings = 16;
+        constexpr std::uint32_t max_doublings = 16;
         std::uint32_t const doublings =
-            std::min(retry == 0 ? 0U : retry - 1U, most_doublings);
-        auto const longest = std::min<std::chrono::milliseconds>(
-            settings_.longest_backoff,
-            settings_.first_backoff * (1U << doublings));
-        duration const most = longest;
-        std::uniform_int_distribution<std::int64_t> spread(0, most.count());
-        return duration(spread(random));
+            std::min(retry == 0 ? 0U : retry - 1U, max_doublings);
+        auto const cap = std::min<std::chrono::milliseconds>(
+            settings_.max_backoff,
+            settings_.initial_backoff * (1U << doublings));
+        duration const max_wait = cap;
+        std::uniform_int_distribution<std::int64_t> distribution(
+            0, max_wait.count());
+        return duration(distribution(random));
     }
 
     /// @returns retries allowed so far
--- a/src/Limits/service_queue.hpp
+++ b/src/Limits/service_queue.hpp
@@ -15,12 +15,12 @@
 /// earliest deadline.
 class service_queue {
 public:
-    struct item {
+    struct entry {
         service_request request;
-        instant since;
+        instant queued_at;
         /// Keeps requests with the same deadline in order of arrival.
         std::uint64_t number = 0;
-        friend bool operator<(item const& left, item const& right) {
+        friend bool operator<(entry const& left, entry const& right) {
             if (left.request.deadline != right.request.deadline) {
                 return left.request.deadline < right.request.deadline;
             }
@@ -30,7 +30,7 @@
 
     /// Adds a request.
     void push(service_request const& request, instant now) {
-        class_of(request.how_urgent).insert({request, now, ++numbered_});
+        class_of(request.how_urgent).insert({request, now, ++last_number_});
     }
     /// @returns how many requests are queued
     std::size_t size() const noexcept {
@@ -49,42 +49,44 @@
         }
         return count;
     }
-    /// Takes the next request to dispatch. Every `fair_turn`th goes to the
-    /// least urgent class that waits: strict order would starve it for good
+    /// Takes the next request to dispatch. Every `fairness_interval`th goes to
+    /// the least urgent class that waits: strict order would starve it for good
     /// while more urgent work fills the services.
-    std::optional<item> pop() {
-        bool const lowest_first = ++turns_ % fair_turn == 0;
+    std::optional<entry> pop() {
+        bool const least_urgent_first = ++pop_count_ % fairness_interval == 0;
         for (std::size_t step = 0; step < urgency_count; ++step) {
-            std::size_t const place =
-                lowest_first ? urgency_count - 1 - step : step;
-            if (!classes_[place].empty()) {
-                return classes_[place].extract(classes_[place].begin()).value();
+            std::size_t const class_index =
+                least_urgent_first ? urgency_count - 1 - step : step;
+            if (!classes_[class_index].empty()) {
+                return classes_[class_index]
+                    .extract(classes_[class_index].begin())
+                    .value();
             }
         }
         return std::nullopt;
     }
     /// Takes the request that can wait best, if it is less urgent.
-    std::optional<item> pop_below(urgency how_urgent) {
-        for (std::size_t place = urgency_count - 1;
-             place > index_of(how_urgent); --place) {
-            if (!classes_[place].empty()) {
-                auto const last = std::prev(classes_[place].end());
-                return classes_[place].extract(last).value();
+    std::optional<entry> pop_less_urgent(urgency how_urgent) {
+        for (std::size_t class_index = urgency_count - 1;
+             class_index > index_of(how_urgent); --class_index) {
+            if (!classes_[class_index].empty()) {
+                auto const last = std::prev(classes_[class_index].end());
+                return classes_[class_index].extract(last).value();
             }
         }
         return std::nullopt;
     }
     /// Takes out all requests for which a condition holds.
     template <class Condition>
-    std::vector<item> extract_if(Condition condition) {
-        std::vector<item> result;
+    std::vector<entry> extract_if(Condition condition) {
+        std::vector<entry> result;
         for (auto& each : classes_) {
-            for (auto place = each.begin(); place != each.end();) {
-                if (condition(*place)) {
-                    result.push_back(*place);
-                    place = each.erase(place);
+            for (auto position = each.begin(); position != each.end();) {
+                if (condition(*position)) {
+                    result.push_back(*position);
+                    position = each.erase(position);
                 } else {
-                    ++place;
+                    ++position;
                 }
             }
         }
@@ -92,18 +94,18 @@
     }
 
 private:
-    static constexpr std::uint64_t fair_turn = 16;
+    static constexpr std::uint64_t fairness_interval = 16;
 
     static std::size_t index_of(urgency how_urgent) noexcept {
         return static_cast<std::size_t>(how_urgent);
     }
-    std::set<item>& class_of(urgency how_urgent) {
+    std::set<entry>& class_of(urgency how_urgent) {
         return classes_[index_of(how_urgent)];
     }
 
-    std::array<std::set<item>, urgency_count> classes_;
-    std::uint64_t numbered_ = 0;
-    std::uint64_t turns_ = 0;
+    std::array<std::set<entry>, urgency_count> classes_;
+    std::uint64_t last_number_ = 0;
+    std::uint64_t pop_count_ = 0;
 };
 
 } // namespace camphorpoint::internal
--- a/test/limits_retry_test.cpp
+++ b/test/limits_retry_test.cpp
@@ -28,14 +28,14 @@
         std::string const group = "g" + std::to_string(index % 20);
         budget.on_request(to, group, now);
         ++requests;
-        for (int again = 0; again < 3; ++again) {
+        for (int attempt = 0; attempt < 3; ++attempt) {
             retries += budget.try_retry(to, group, now) ? 1 : 0;
         }
     }
     double const attempts = static_cast<double>(requests + retries);
-    double const floor_part = 4 * (settings.min_retries_per_second * 60 + 1);
+    double const floor_retries = 4 * (settings.min_retries_per_second * 60 + 1);
     double const bound = 1.0 + settings.retries_per_request +
-                         floor_part / static_cast<double>(requests);
+                         floor_retries / static_cast<double>(requests);
     CHECK(attempts / static_cast<double>(requests) <= bound);
     CHECK(attempts / static_cast<double>(requests) < 1.12);
     CHECK(budget.allowed() == retries);
--- a/test/limits_router_test.cpp
+++ b/test/limits_router_test.cpp
@@ -14,30 +14,30 @@
 using std::chrono::seconds;
 
 /// One node's router before two replicas that take one request each.
-struct two_replicas {
-    two_replicas() { router.set_endpoints(list, now); }
+struct router_fixture {
+    router_fixture() { router.set_endpoints(list, now); }
     void submit(
         std::string const& id, urgency how_urgent = urgency::normal,
         milliseconds time = seconds(30)) {
         router.submit({request_id(id), how_urgent, now + time, {}}, now);
         collect();
     }
-    void
-    end(std::string const& id,
+    void finish(
+        std::string const& id,
         service_outcome how = service_outcome::completed) {
         router.on_finished(request_id(id), how, now);
         collect();
     }
-    void pass(milliseconds time) {
+    void advance(milliseconds time) {
         now += time;
         router.on_tick(now);
         collect();
     }
     void collect() {
         for (service_action const& each : router.take_actions()) {
-            if (auto const* go = std::get_if<service_dispatch>(&each)) {
-                sent[go->id.str()] = go->endpoint.str();
-                order.push_back(go->id.str());
+            if (auto const* dispatch = std::get_if<service_dispatch>(&each)) {
+                sent[dispatch->id.str()] = dispatch->endpoint.str();
+                order.push_back(dispatch->id.str());
             } else {
                 auto const& refusal = std::get<service_refusal>(each);
                 refused[refusal.id.str()] = refusal;
@@ -59,129 +59,129 @@
 } // namespace
 
 TEST_CASE("a plain service within its limits") {
-    two_replicas world;
-    world.submit("a");
-    world.submit("b");
-    REQUIRE(world.sent.size() == 2);
-    CHECK(world.sent["a"] != world.sent["b"]);
+    router_fixture fixture;
+    fixture.submit("a");
+    fixture.submit("b");
+    REQUIRE(fixture.sent.size() == 2);
+    CHECK(fixture.sent["a"] != fixture.sent["b"]);
 
     SUBCASE("both are busy: a third waits its turn") {
-        world.submit("c");
-        CHECK(world.router.queued() == 1);
-        world.end("a");
-        CHECK(world.sent["c"] == world.sent["a"]);
+        fixture.submit("c");
+        CHECK(fixture.router.queued() == 1);
+        fixture.finish("a");
+        CHECK(fixture.sent["c"] == fixture.sent["a"]);
     }
     SUBCASE("the urgent go first, then the earlier deadline") {
-        world.submit("late", urgency::normal, seconds(20));
-        world.submit("early", urgency::normal, seconds(10));
-        world.submit("background", urgency::background);
-        world.submit("urgent", urgency::immediate);
+        fixture.submit("late", urgency::normal, seconds(20));
+        fixture.submit("early", urgency::normal, seconds(10));
+        fixture.submit("background", urgency::background);
+        fixture.submit("urgent", urgency::immediate);
         for (char const* each : {"a", "b", "urgent", "early"}) {
-            world.end(each);
+            fixture.finish(each);
         }
-        world.order.erase(world.order.begin(), world.order.begin() + 2);
+        fixture.order.erase(fixture.order.begin(), fixture.order.begin() + 2);
         CHECK(
-            world.order ==
+            fixture.order ==
             std::vector<std::string>{"urgent", "early", "late", "background"});
     }
     SUBCASE("a wait that cannot be kept short is refused at once") {
-        world.pass(milliseconds(10));
-        world.end("a");
-        world.submit("c");
-        world.submit("d", urgency::immediate);
-        world.submit("scan", urgency::immediate);
-        CHECK(world.refused["scan"].why == reason::limit_reached);
-        CHECK(world.refused["scan"].retry_after > milliseconds(0));
+        fixture.advance(milliseconds(10));
+        fixture.finish("a");
+        fixture.submit("c");
+        fixture.submit("d", urgency::immediate);
+        fixture.submit("scan", urgency::immediate);
+        CHECK(fixture.refused["scan"].why == reason::limit_reached);
+        CHECK(fixture.refused["scan"].retry_after > milliseconds(0));
     }
     SUBCASE("a deadline that cannot be met is refused at once") {
-        world.submit("c", urgency::normal, milliseconds(5));
-        CHECK(world.refused["c"].why == reason::deadline_unreachable);
+        fixture.submit("c", urgency::normal, milliseconds(5));
+        CHECK(fixture.refused["c"].why == reason::deadline_unreachable);
     }
     SUBCASE("what has waited too long is refused, and cannot run later") {
-        world.submit("c");
-        world.pass(milliseconds(201));
-        CHECK(world.refused["c"].why == reason::limit_reached);
-        world.end("a");
-        CHECK_FALSE(world.sent.contains("c"));
+        fixture.submit("c");
+        fixture.advance(milliseconds(201));
+        CHECK(fixture.refused["c"].why == reason::limit_reached);
+        fixture.finish("a");
+        CHECK_FALSE(fixture.sent.contains("c"));
     }
     SUBCASE("what its caller took back does not run") {
-        world.submit("c");
-        CHECK(world.router.withdraw(request_id("c")));
-        world.end("a");
-        CHECK_FALSE(world.sent.contains("c"));
-        CHECK_FALSE(world.router.withdraw(request_id("a")));
+        fixture.submit("c");
+        CHECK(fixture.router.withdraw(request_id("c")));
+        fixture.finish("a");
+        CHECK_FALSE(fixture.sent.contains("c"));
+        CHECK_FALSE(fixture.router.withdraw(request_id("a")));
     }
     SUBCASE("the least urgent is not starved by a stream of normal work") {
-        world.submit("low", urgency::background);
+        fixture.submit("low", urgency::background);
         std::string running = "a";
         for (int index = 0; index < 16; ++index) {
             std::string const next = "n" + std::to_string(index);
-            world.submit(next);
-            world.end(running);
+            fixture.submit(next);
+            fixture.finish(running);
             running = next;
         }
-        CHECK(world.sent.contains("low"));
+        CHECK(fixture.sent.contains("low"));
     }
 }
 
 // A replica leaves, and the lagging list shows it once more: nothing new goes
 // to it, and what runs there ends in peace.
 TEST_CASE("a replica leaves") {
-    two_replicas world;
-    world.submit("a");
-    world.submit("b");
-    std::string const leaving = world.sent["a"];
-    for (service_endpoint& each : world.list) {
+    router_fixture fixture;
+    fixture.submit("a");
+    fixture.submit("b");
+    std::string const leaving = fixture.sent["a"];
+    for (service_endpoint& each : fixture.list) {
         each.leaving = each.id.str() == leaving;
     }
-    world.router.set_endpoints(world.list, world.now);
-    world.end("a");
-    world.submit("c");
-    CHECK_FALSE(world.sent.contains("c"));
-    world.end("b");
-    CHECK(world.sent["c"] != leaving);
+    fixture.router.set_endpoints(fixture.list, fixture.now);
+    fixture.finish("a");
+    fixture.submit("c");
+    CHECK_FALSE(fixture.sent.contains("c"));
+    fixture.finish("b");
+    CHECK(fixture.sent["c"] != leaving);
 
-    world.router.set_endpoints({}, world.now);
-    world.submit("d");
-    CHECK(world.refused["d"].why == reason::no_endpoint);
+    fixture.router.set_endpoints({}, fixture.now);
+    fixture.submit("d");
+    CHECK(fixture.refused["d"].why == reason::no_endpoint);
 }
 
 // A replica that has room leaves while a request runs on it. It gets nothing
 // more, and what it still runs takes nothing from the room of the other.
 TEST_CASE("a replica with room leaves") {
-    two_replicas world;
-    for (service_endpoint& each : world.list) {
+    router_fixture fixture;
+    for (service_endpoint& each : fixture.list) {
         each.capacity = 2;
     }
-    world.router.set_endpoints(world.list, world.now);
-    world.submit("a");
-    std::string const leaving = world.sent["a"];
-    for (service_endpoint& each : world.list) {
+    fixture.router.set_endpoints(fixture.list, fixture.now);
+    fixture.submit("a");
+    std::string const leaving = fixture.sent["a"];
+    for (service_endpoint& each : fixture.list) {
         each.leaving = each.id.str() == leaving;
     }
-    world.router.set_endpoints(world.list, world.now);
-    world.submit("b");
-    world.submit("c");
-    world.submit("d");
-    REQUIRE(world.sent.contains("c"));
-    CHECK(world.sent["b"] != leaving);
-    CHECK(world.sent["c"] != leaving);
-    CHECK_FALSE(world.sent.contains("d"));
+    fixture.router.set_endpoints(fixture.list, fixture.now);
+    fixture.submit("b");
+    fixture.submit("c");
+    fixture.submit("d");
+    REQUIRE(fixture.sent.contains("c"));
+    CHECK(fixture.sent["b"] != leaving);
+    CHECK(fixture.sent["c"] != leaving);
+    CHECK_FALSE(fixture.sent.contains("d"));
 }
 
 // A replica dies and answers each request with an error at once. Being always
 // idle, it would draw all the work.
 TEST_CASE("a replica fails again and again") {
-    two_replicas world;
+    router_fixture fixture;
     int to_near = 0;
     for (int index = 0; index < 100; ++index) {
         std::string const id = "r" + std::to_string(index);
-        world.submit(id);
-        bool const near = world.sent[id] == "near";
+        fixture.submit(id);
+        bool const near = fixture.sent[id] == "near";
         to_near += near ? 1 : 0;
-        world.end(
+        fixture.finish(
             id, near ? service_outcome::failed : service_outcome::completed);
-        world.pass(milliseconds(10));
+        fixture.advance(milliseconds(10));
     }
     // Three failures, then a probe after each skip of 0.25 to 0.5 s, then up
     // to 1 s.
@@ -189,29 +189,29 @@
     CHECK(to_near <= 6);
 
     SUBCASE("one probe at a time, and a good one ends the skipping") {
-        world.pass(seconds(20));
-        world.submit("p0");
-        world.submit("p1");
-        world.end("p0");
-        world.end("p1");
-        world.submit("q0");
-        world.submit("q1");
-        CHECK(world.sent["q0"] != world.sent["q1"]);
+        fixture.advance(seconds(20));
+        fixture.submit("p0");
+        fixture.submit("p1");
+        fixture.finish("p0");
+        fixture.finish("p1");
+        fixture.submit("q0");
+        fixture.submit("q1");
+        CHECK(fixture.sent["q0"] != fixture.sent["q1"]);
     }
 }
 
 // A service was so slow for a while that the mean time is above all deadlines.
 // Refusing by that mean for good would keep anybody from seeing it recover.
 TEST_CASE("a service recovers from a slow spell") {
-    two_replicas world;
+    router_fixture fixture;
     for (int index = 0; index < 50; ++index) {
         std::string const id = "r" + std::to_string(index);
-        world.submit(id);
-        world.pass(seconds(2));
-        world.end(id);
+        fixture.submit(id);
+        fixture.advance(seconds(2));
+        fixture.finish(id);
     }
-    world.submit("c", urgency::normal, milliseconds(500));
-    CHECK(world.sent.contains("c"));
+    fixture.submit("c", urgency::normal, milliseconds(500));
+    CHECK(fixture.sent.contains("c"));
 }
 
 // The capacity of a service halves for 30 s and comes back; nobody says so. Too
--- a/test/limits_simulation.hpp
+++ b/test/limits_simulation.hpp
@@ -25,8 +25,8 @@
         if (waits.empty()) {
             return 0.0;
         }
-        std::size_t const place = waits.size() * 99 / 100;
-        return std::chrono::duration<double, std::milli>(waits[place]).count();
+        std::size_t const index = waits.size() * 99 / 100;
+        return std::chrono::duration<double, std::milli>(waits[index]).count();
     }
     double refused_fraction() const {
         return arrived == 0 ? 0.0 : double(refused) / arrived;
@@ -43,31 +43,32 @@
         std::uint32_t replicas = 3;
         std::uint32_t workers = 8;
         /// Told to the routers; 0 when the platform does not know it.
-        std::uint32_t told = 0;
+        std::uint32_t reported_capacity = 0;
         double arrivals_per_second = 1'800.0;
         std::chrono::milliseconds mean_service{8};
         std::uint64_t seed = 1;
         service_settings router{};
     };
 
-    explicit service_simulation(setup const& how)
-        : how_(how)
-        , random_(how.seed) {
+    explicit service_simulation(setup const& given)
+        : setup_(given)
+        , random_(given.seed) {
         std::vector<service_endpoint> list;
-        for (std::uint32_t index = 0; index < how.replicas; ++index) {
+        for (std::uint32_t index = 0; index < given.replicas; ++index) {
             endpoint_id const id("s" + std::to_string(index));
             domain_id const domain("d" + std::to_string(index % 3));
-            list.push_back({id, domain, how.told, false});
-            replicas_[id].workers = how.workers;
+            list.push_back({id, domain, given.reported_capacity, false});
+            replicas_[id].workers = given.workers;
         }
-        for (std::uint32_t index = 0; index < how.nodes; ++index) {
+        for (std::uint32_t index = 0; index < given.nodes; ++index) {
             domain_id const domain("d" + std::to_string(index % 3));
             nodes_.emplace_back(
-                how.router, health_settings{}, domain, how.seed * 100 + index);
+                given.router, health_settings{}, domain,
+                given.seed * 100 + index);
             nodes_.back().set_endpoints(list, now_);
         }
-        plan(now_, kind::arrival);
-        plan(now_, kind::tick);
+        schedule(now_, kind::arrival);
+        schedule(now_, kind::tick);
     }
 
     /// The replicas' workers become so many each.
@@ -95,19 +96,19 @@
     enum class kind : std::uint8_t { arrival, tick, served };
     struct event {
         instant at;
-        std::uint64_t number = 0;
-        kind what = kind::arrival;
+        std::uint64_t sequence = 0;
+        kind type = kind::arrival;
         request_id request;
         friend bool operator>(event const& left, event const& right) {
             return left.at != right.at ? left.at > right.at
-                                       : left.number > right.number;
+                                       : left.sequence > right.sequence;
         }
     };
     struct job {
         std::uint32_t node = 0;
         instant arrived;
         endpoint_id replica;
-        instant begun;
+        instant started_at;
     };
     struct replica {
         std::uint32_t workers = 0;
@@ -115,79 +116,81 @@
         std::deque<request_id> waiting;
     };
 
-    void plan(instant at, kind what, request_id const& request = {}) {
-        events_.push({at, ++numbered_, what, request});
+    void schedule(instant at, kind type, request_id const& request = {}) {
+        events_.push({at, ++last_number_, type, request});
     }
     duration exponential(double mean_seconds) {
-        std::exponential_distribution<double> draw(1.0 / mean_seconds);
+        std::exponential_distribution<double> distribution(1.0 / mean_seconds);
         return std::chrono::duration_cast<duration>(
-            std::chrono::duration<double>(draw(random_)));
+            std::chrono::duration<double>(distribution(random_)));
     }
     void handle(event const& next) {
-        if (next.what == kind::arrival) {
+        if (next.type == kind::arrival) {
             arrive();
-        } else if (next.what == kind::served) {
-            serve_next(next.request);
+        } else if (next.type == kind::served) {
+            finish_request(next.request);
         } else {
-            for (std::uint32_t index = 0; index < how_.nodes; ++index) {
+            for (std::uint32_t index = 0; index < setup_.nodes; ++index) {
                 nodes_[index].on_tick(now_);
-                act(index);
+                apply_actions(index);
             }
-            plan(now_ + std::chrono::milliseconds(20), kind::tick);
+            schedule(now_ + std::chrono::milliseconds(20), kind::tick);
         }
     }
     void arrive() {
         ++result_.arrived;
         std::uint32_t const node =
-            static_cast<std::uint32_t>(random_() % how_.nodes);
-        request_id const id(std::to_string(++numbered_));
+            static_cast<std::uint32_t>(random_() % setup_.nodes);
+        request_id const id(std::to_string(++last_number_));
         jobs_[id] = {node, now_, {}, {}};
         service_request request;
         request.id = id;
         request.how_urgent = urgency::immediate;
         request.deadline = now_ + std::chrono::milliseconds(500);
         nodes_[node].submit(request, now_);
-        act(node);
-        plan(now_ + exponential(1.0 / how_.arrivals_per_second), kind::arrival);
+        apply_actions(node);
+        schedule(
+            now_ + exponential(1.0 / setup_.arrivals_per_second),
+            kind::arrival);
     }
-    void act(std::uint32_t node) {
+    void apply_actions(std::uint32_t node) {
         for (service_action const& each : nodes_[node].take_actions()) {
-            if (auto const* go = std::get_if<service_dispatch>(&each)) {
-                jobs_[go->id].replica = go->endpoint;
-                replicas_[go->endpoint].waiting.push_back(go->id);
-                begin(replicas_[go->endpoint]);
+            if (auto const* dispatch = std::get_if<service_dispatch>(&each)) {
+                jobs_[dispatch->id].replica = dispatch->endpoint;
+                replicas_[dispatch->endpoint].waiting.push_back(dispatch->id);
+                start_waiting(replicas_[dispatch->endpoint]);
             } else {
                 ++result_.refused;
                 jobs_.erase(std::get<service_refusal>(each).id);
             }
         }
     }
-    void begin(replica& each) {
+    void start_waiting(replica& each) {
         while (each.busy < each.workers && !each.waiting.empty()) {
             request_id const id = each.waiting.front();
             each.waiting.pop_front();
             ++each.busy;
-            jobs_[id].begun = now_;
-            std::chrono::duration<double> const mean = how_.mean_service;
-            plan(now_ + exponential(mean.count()), kind::served, id);
+            jobs_[id].started_at = now_;
+            std::chrono::duration<double> const mean = setup_.mean_service;
+            schedule(now_ + exponential(mean.count()), kind::served, id);
         }
     }
-    void serve_next(request_id const& id) {
+    void finish_request(request_id const& id) {
         job const ended = jobs_.at(id);
         jobs_.erase(id);
         ++result_.completed;
-        result_.waits.push_back(ended.begun - ended.arrived);
+        result_.waits.push_back(ended.started_at - ended.arrived);
         replica& each = replicas_[ended.replica];
         --each.busy;
-        begin(each);
+        start_waiting(each);
         nodes_[ended.node].on_finished(id, service_outcome::completed, now_);
-        act(ended.node);
+        apply_actions(ended.node);
     }
 
-    setup how_;
+    setup setup_;
     std::mt19937_64 random_;
     instant now_{};
-    std::uint64_t numbered_ = 0;
+    std::uint64_t last_number_ = 0;
     std::vector<service_router<Limiter>> nodes_;
     std::map<endpoint_id, replica> replicas_;
     std::map<request_id, job> jobs_;
