--- a/src/Placement/endpoint_table.cpp
+++ b/src/Placement/endpoint_table.cpp
@@ -6,17 +6,18 @@
 
 namespace camphorpoint::internal {
 
-endpoint_index endpoint_table::enter(placement_endpoint const& endpoint) {
+endpoint_index
+endpoint_table::add_or_update(placement_endpoint const& endpoint) {
     auto const known = by_id_.find(endpoint.id);
     if (known != by_id_.end()) {
-        all_[known->second].about = endpoint;
+        endpoints_[known->second].endpoint = endpoint;
         return known->second;
     }
-    auto const index = static_cast<endpoint_index>(all_.size());
+    auto const index = static_cast<endpoint_index>(endpoints_.size());
     known_endpoint entry;
-    entry.about = endpoint;
+    entry.endpoint = endpoint;
     entry.hash = hash_text(endpoint.id.str());
-    all_.push_back(std::move(entry));
+    endpoints_.push_back(std::move(entry));
     by_id_.emplace(endpoint.id, index);
     return index;
 }
@@ -25,30 +26,30 @@
     std::vector<endpoint_index> present;
     present.reserve(endpoints.size());
     for (placement_endpoint const& each : endpoints) {
-        present.push_back(enter(each));
+        present.push_back(add_or_update(each));
     }
     // Positions stay valid, so an endpoint that left keeps its entry. Those
     // are dropped by starting anew once they are the larger part.
-    bool const mostly_gone = all_.size() > 2 * endpoints.size() + 16;
-    if (mostly_gone) {
-        all_.clear();
+    bool const rebuild = endpoints_.size() > 2 * endpoints.size() + 16;
+    if (rebuild) {
+        endpoints_.clear();
         by_id_.clear();
         models_.clear();
         present.clear();
         for (placement_endpoint const& each : endpoints) {
-            present.push_back(enter(each));
+            present.push_back(add_or_update(each));
         }
     }
     regroup(present);
-    return mostly_gone;
+    return rebuild;
 }
 
 void endpoint_table::regroup(std::vector<endpoint_index> const& present) {
     std::map<model_id, std::vector<endpoint_index>> usable;
     for (endpoint_index const index : present) {
-        placement_endpoint const& about = all_[index].about;
-        if (about.usable) {
-            usable[about.model].push_back(index);
+        placement_endpoint const& endpoint = endpoints_[index].endpoint;
+        if (endpoint.usable) {
+            usable[endpoint.model].push_back(index);
         }
     }
     for (auto& [model, members] : usable) {
@@ -58,11 +59,11 @@
         return !usable.contains(each.first);
     });
     for (auto& [model, members] : usable) {
-        model_members& group = models_[model];
+        model_group& group = models_[model];
         if (group.usable != members) {
-            number(members);
+            assign_activation_ranks(members);
             group.usable = std::move(members);
-            group.generation = ++generations_;
+            group.generation = ++last_generation_;
         }
     }
 }
@@ -73,15 +74,16 @@
     return known == by_id_.end() ? std::nullopt : std::optional(known->second);
 }
 
-void endpoint_table::number(std::vector<endpoint_index> members) {
+void endpoint_table::assign_activation_ranks(
+    std::vector<endpoint_index> members) {
     std::ranges::sort(members, [&](auto left, auto right) {
-        known_endpoint const& one = all_[left];
-        known_endpoint const& other = all_[right];
+        known_endpoint const& one = endpoints_[left];
+        known_endpoint const& other = endpoints_[right];
         return one.hash != other.hash ? one.hash < other.hash
-                                      : one.about.id < other.about.id;
+                                      : one.endpoint.id < other.endpoint.id;
     });
-    for (std::size_t order = 0; order < members.size(); ++order) {
-        all_[members[order]].order = order;
+    for (std::size_t rank = 0; rank < members.size(); ++rank) {
+        endpoints_[members[rank]].activation_rank = rank;
     }
 }
 
@@ -96,7 +98,7 @@
 }
 
 std::vector<endpoint_index> endpoint_table::top(
-    model_id const& model, std::uint64_t key, std::size_t most) const {
+    model_id const& model, std::uint64_t key, std::size_t max_count) const {
     struct scored {
         std::uint64_t score;
         endpoint_index index;
@@ -108,9 +110,9 @@
     std::vector<scored> ranked;
     ranked.reserve(group->second.usable.size());
     for (endpoint_index const index : group->second.usable) {
-        ranked.push_back({combine_hashes(key, all_[index].hash), index});
+        ranked.push_back({combine_hashes(key, endpoints_[index].hash), index});
     }
-    std::size_t const count = std::min(most, ranked.size());
+    std::size_t const count = std::min(max_count, ranked.size());
     auto const end = ranked.begin() + static_cast<std::ptrdiff_t>(count);
     // Positions depend on the order in which a node met the endpoints, so a
     // tie is broken by their names: all nodes must agree.
@@ -119,12 +121,13 @@
             if (left.score != right.score) {
                 return left.score > right.score;
             }
-            return all_[left.index].about.id < all_[right.index].about.id;
+            return endpoints_[left.index].endpoint.id <
+                   endpoints_[right.index].endpoint.id;
         });
     std::vector<endpoint_index> result;
     result.reserve(count);
-    for (std::size_t place = 0; place < count; ++place) {
-        result.push_back(ranked[place].index);
+    for (std::size_t position = 0; position < count; ++position) {
+        result.push_back(ranked[position].index);
     }
     return result;
 }
--- a/src/Placement/endpoint_table.hpp
+++ b/src/Placement/endpoint_table.hpp
@@ -18,15 +18,15 @@
 
 /// What an entry node knows of one replica.
 struct known_endpoint {
-    placement_endpoint about;
+    placement_endpoint endpoint;
     std::uint64_t hash = 0;
     /// Place among the model's usable replicas, in an order that is the same
     /// on all nodes.
-    std::size_t order = 0;
+    std::size_t activation_rank = 0;
     /// What its owner last said, and when.
     duration wait{};
     std::uint32_t running = 0;
-    std::optional<instant> heard;
+    std::optional<instant> last_feedback_at;
     /// Requests sent there since.
     std::uint32_t sent_since = 0;
 };
@@ -41,8 +41,10 @@
     bool set(std::vector<placement_endpoint> const& endpoints);
     /// @returns the endpoint's position, if it is known
     std::optional<endpoint_index> find(endpoint_id const& id) const;
-    known_endpoint& at(endpoint_index index) { return all_[index]; }
-    known_endpoint const& at(endpoint_index index) const { return all_[index]; }
+    known_endpoint& at(endpoint_index index) { return endpoints_[index]; }
+    known_endpoint const& at(endpoint_index index) const {
+        return endpoints_[index];
+    }
     /// @returns the model's generation; 0 when it has no replica
     std::uint64_t generation(model_id const& model) const;
     /// @returns how many usable replicas the model has
@@ -51,22 +53,22 @@
     /// @param most how many
     /// @returns positions, best first
     std::vector<endpoint_index>
-    top(model_id const& model, std::uint64_t key, std::size_t most) const;
+    top(model_id const& model, std::uint64_t key, std::size_t max_count) const;
 
 private:
-    struct model_members {
+    struct model_group {
         std::uint64_t generation = 0;
         std::vector<endpoint_index> usable;
     };
 
-    endpoint_index enter(placement_endpoint const& endpoint);
-    void number(std::vector<endpoint_index> members);
+    endpoint_index add_or_update(placement_endpoint const& endpoint);
+    void assign_activation_ranks(std::vector<endpoint_index> members);
     void regroup(std::vector<endpoint_index> const& present);
 
-    std::vector<known_endpoint> all_;
+    std::vector<known_endpoint> endpoints_;
     std::unordered_map<endpoint_id, endpoint_index> by_id_;
-    std::map<model_id, model_members> models_;
-    std::uint64_t generations_ = 0;
+    std::map<model_id, model_group> models_;
+    std::uint64_t last_generation_ = 0;
 };
 
 } // namespace camphorpoint::internal
--- a/src/Placement/placement.hpp
+++ b/src/Placement/placement.hpp
@@ -54,70 +54,71 @@
     /// A caller asked for the adapter; once for each request, not each attempt.
     void on_demand(adapter_ref const& adapter, instant now);
     /// How long a request ran, from sending to its end.
-    void on_served(duration took);
+    void on_served(duration service_time);
 
 private:
     /// What a reply said of an adapter's residency on a replica.
     struct residency_hint {
-        internal::endpoint_index where = 0;
+        internal::endpoint_index endpoint = 0;
         bool resident = false;
-        instant heard;
+        instant reported_at;
     };
     /// Hints and demand of one adapter in one version.
     struct adapter_entry {
         std::uint64_t generation = 0;
         std::vector<internal::endpoint_index> candidates;
         std::vector<residency_hint> hints;
-        decayed_rate asks{std::chrono::seconds(20)};
+        decayed_rate request_rate{std::chrono::seconds(20)};
         instant last_use;
     };
 
     /// Demand of one base model, and what was made of it last.
     struct model_demand {
-        decayed_rate asks{std::chrono::seconds(30)};
+        decayed_rate request_rate{std::chrono::seconds(30)};
         std::size_t needed = 0;
         /// When it was first asked for.
-        instant since;
+        instant first_request_at;
         /// When fewer replicas were needed last.
-        instant lowered;
+        instant last_change_at;
     };
 
-    adapter_entry&
-    entry_of(adapter_ref const& adapter, model_id const& model, instant now);
+    adapter_entry& find_or_create_entry(
+        adapter_ref const& adapter, model_id const& model, instant now);
     std::size_t
     target_replica_count(adapter_entry const& entry, instant now) const;
     /// Replicas that the model's demand fills, of those that are usable.
     std::size_t needed_replicas(model_id const& model, instant now);
     /// @param at   place in the adapter's candidates
     /// @param rank place among those that are not spare
-    placement_candidate describe(
-        adapter_entry const& entry, std::size_t at, std::size_t rank,
-        endpoint_id const* prefix_home, instant now) const;
+    placement_candidate make_candidate(
+        adapter_entry const& entry, std::size_t candidate_index,
+        std::size_t rank, endpoint_id const* prefix_replica, instant now) const;
     double
     batch_utilization(internal::known_endpoint const& each, instant now) const;
-    duration aged_wait(internal::known_endpoint const& each, instant now) const;
+    duration
+    decayed_wait(internal::known_endpoint const& each, instant now) const;
     double residency(
-        adapter_entry const& entry, std::size_t at, std::size_t rank,
-        instant now) const;
-    void forget_idle(instant now);
+        adapter_entry const& entry, std::size_t candidate_index,
+        std::size_t rank, instant now) const;
+    void evict_idle_adapters(instant now);
 
     placement_settings settings_;
     internal::endpoint_table endpoints_;
     internal::prefix_hints prefixes_;
     std::unordered_map<adapter_ref, adapter_entry> adapters_;
-    std::map<model_id, model_demand> models_;
+    std::map<model_id, model_demand> model_demands_;
     duration service_time_;
     /// In seconds, over many requests.
-    double usual_service_;
-    double served_ = 0;
+    double mean_service_seconds_;
+    double served_count_ = 0;
     /// Requests, and choices made for them.
-    decayed_rate demand_{std::chrono::seconds(30)};
-    decayed_rate choices_{std::chrono::seconds(30)};
+    decayed_rate request_rate_{std::chrono::seconds(30)};
+    decayed_rate choice_rate_{std::chrono::seconds(30)};
     /// Of the largest replica.
-    double batch_limit_ = 1;
+    double max_batch_limit_ = 1;
     /// Wait for a load, by the replies of all replicas.
     duration load_time_;
-    instant last_forgetting_;
+    instant last_eviction_at_;
     Policy policy_;
 };
 
--- a/src/Placement/placement_impl.hpp
+++ b/src/Placement/placement_impl.hpp
@@ -15,10 +15,10 @@
 namespace internal {
 
 /// @returns the part that is left after some time, with this half-life
-inline double remaining(duration passed, duration half_life) {
-    double const spans = static_cast<double>(passed.count()) /
-                         static_cast<double>(half_life.count());
-    return std::exp2(-std::max(0.0, spans));
+inline double decay_weight(duration passed, duration half_life) {
+    double const half_lives = static_cast<double>(passed.count()) /
+                              static_cast<double>(half_life.count());
+    return std::exp2(-std::max(0.0, half_lives));
 }
 
 inline duration scaled(duration span, double factor) {
@@ -33,7 +33,7 @@
     : settings_(settings)
     , prefixes_(settings.max_prefix_hints, settings.prefix_hint_lifetime)
     , service_time_(settings.service_time)
-    , usual_service_(
+    , mean_service_seconds_(
           std::chrono::duration<double>(settings.service_time).count())
     , load_time_(settings.load_time) {
     assert(
@@ -44,9 +44,9 @@
 template <placement_policy Policy>
 void placement<Policy>::set_endpoints(
     std::vector<placement_endpoint> const& endpoints) {
-    batch_limit_ = 1;
+    max_batch_limit_ = 1;
     for (placement_endpoint const& each : endpoints) {
-        batch_limit_ = std::max<double>(batch_limit_, each.batch_limit);
+        max_batch_limit_ = std::max<double>(max_batch_limit_, each.batch_limit);
     }
     if (endpoints_.set(endpoints)) {
         // Positions have changed their meaning.
@@ -63,7 +63,8 @@
 }
 
 template <placement_policy Policy>
-typename placement<Policy>::adapter_entry& placement<Policy>::entry_of(
+typename placement<Policy>::adapter_entry&
+placement<Policy>::find_or_create_entry(
     adapter_ref const& adapter, model_id const& model, instant now) {
     adapter_entry& entry = adapters_[adapter];
     entry.last_use = now;
@@ -85,32 +86,32 @@
         return 1;
     }
     std::uint32_t const batch =
-        endpoints_.at(entry.candidates.front()).about.batch_limit;
-    double const everywhere =
-        entry.asks.per_second(now) * static_cast<double>(settings_.nodes);
-    double const running =
-        everywhere * std::chrono::duration<double>(service_time_).count();
-    double const needed =
-        std::ceil(running / (settings_.replication_batch_fraction * batch));
+        endpoints_.at(entry.candidates.front()).endpoint.batch_limit;
+    double const cluster_rate = entry.request_rate.per_second(now) *
+                                static_cast<double>(settings_.nodes);
+    double const concurrent_requests =
+        cluster_rate * std::chrono::duration<double>(service_time_).count();
+    double const needed = std::ceil(
+        concurrent_requests / (settings_.replication_batch_fraction * batch));
     return std::max<std::size_t>(1, static_cast<std::size_t>(needed));
 }
 
 template <placement_policy Policy>
-duration placement<Policy>::aged_wait(
+duration placement<Policy>::decayed_wait(
     internal::known_endpoint const& each, instant now) const {
     // Requests that went there since the last reply take its free places
     // first, then its queue; a burst would otherwise all go to one replica.
-    std::uint32_t const limit = std::max(1U, each.about.batch_limit);
-    std::uint32_t const free = limit - std::min(limit, each.running);
-    std::uint32_t const beyond =
-        each.sent_since - std::min(each.sent_since, free);
-    duration const extra = service_time_ * beyond / limit;
-    if (!each.heard) {
+    std::uint32_t const limit = std::max(1U, each.endpoint.batch_limit);
+    std::uint32_t const free_slots = limit - std::min(limit, each.running);
+    std::uint32_t const queued_requests =
+        each.sent_since - std::min(each.sent_since, free_slots);
+    duration const extra = service_time_ * queued_requests / limit;
+    if (!each.last_feedback_at) {
         return extra;
     }
-    double const left =
-        internal::remaining(now - *each.heard, settings_.queue_half_life);
-    return internal::scaled(each.wait + extra, left);
+    double const weight = internal::decay_weight(
+        now - *each.last_feedback_at, settings_.queue_half_life);
+    return internal::scaled(each.wait + extra, weight);
 }
 
 template <placement_policy Policy>
@@ -118,51 +119,52 @@
     internal::known_endpoint const& each, instant now) const {
     // Replicas of which nothing is known are taken as this busy.
     constexpr double unknown = 0.6;
-    if (!each.heard) {
+    if (!each.last_feedback_at) {
         return unknown;
     }
-    double const limit = std::max(1U, each.about.batch_limit);
-    double const told = std::min(1.0, (each.running + each.sent_since) / limit);
-    double const left =
-        internal::remaining(now - *each.heard, settings_.queue_half_life);
-    return unknown + (told - unknown) * left;
+    double const limit = std::max(1U, each.endpoint.batch_limit);
+    double const reported =
+        std::min(1.0, (each.running + each.sent_since) / limit);
+    double const weight = internal::decay_weight(
+        now - *each.last_feedback_at, settings_.queue_half_life);
+    return unknown + (reported - unknown) * weight;
 }
 
 template <placement_policy Policy>
 double placement<Policy>::residency(
-    adapter_entry const& entry, std::size_t at, std::size_t rank,
+    adapter_entry const& entry, std::size_t candidate_index, std::size_t rank,
     instant now) const {
     // Without word, the home is the best guess: other nodes send there too.
-    double const guess = rank == 0 ? 0.5 : 0.0;
-    internal::endpoint_index const index = entry.candidates[at];
+    double const prior = rank == 0 ? 0.5 : 0.0;
+    internal::endpoint_index const index = entry.candidates[candidate_index];
     auto const hint =
-        std::ranges::find(entry.hints, index, &residency_hint::where);
+        std::ranges::find(entry.hints, index, &residency_hint::endpoint);
     if (hint == entry.hints.end()) {
-        return guess;
+        return prior;
     }
-    double const left =
-        internal::remaining(now - hint->heard, settings_.residency_half_life);
-    double const told = hint->resident ? 1.0 : 0.0;
-    return guess + (told - guess) * left;
+    double const weight = internal::decay_weight(
+        now - hint->reported_at, settings_.residency_half_life);
+    double const reported = hint->resident ? 1.0 : 0.0;
+    return prior + (reported - prior) * weight;
 }
 
 template <placement_policy Policy>
 std::size_t
 placement<Policy>::needed_replicas(model_id const& model, instant now) {
     std::size_t const usable = endpoints_.usable(model);
-    model_demand& demand = models_[model];
-    demand.asks.add(now);
-    choices_.add(now);
+    model_demand& demand = model_demands_[model];
+    demand.request_rate.add(now);
+    choice_rate_.add(now);
     if (settings_.target_batch_utilization <= 0) {
         return usable;
     }
     if (demand.needed == 0) {
-        demand.since = now;
+        demand.first_request_at = now;
     }
     // A rate that decays takes some half-lives to be measured; until then it
     // is too low, and requests would crowd on a few replicas.
-    constexpr std::chrono::seconds measured_after{90};
-    if (now - demand.since < measured_after) {
+    constexpr std::chrono::seconds measurement_time{90};
+    if (now - demand.first_request_at < measurement_time) {
         demand.needed = usable;
         return usable;
     }
@@ -171,39 +173,47 @@
     // their rate times their length: J. D. C. Little, "A proof for the queuing
     // formula L = lambda W", Operations Research 9(3), 1961. A request that is
     // asked for several times counts once.
-    double const choices = std::max(choices_.per_second(now), 1e-9);
-    double const once = std::min(1.0, demand_.per_second(now) / choices);
-    double const rate = once * demand.asks.per_second(now) *
+    double const choices_per_second =
+        std::max(choice_rate_.per_second(now), 1e-9);
+    double const first_choice_fraction =
+        std::min(1.0, request_rate_.per_second(now) / choices_per_second);
+    double const rate = first_choice_fraction *
+                        demand.request_rate.per_second(now) *
                         static_cast<double>(settings_.nodes);
-    double const wanted = rate * usual_service_ /
-                          (settings_.target_batch_utilization * batch_limit_);
+    double const target =
+        rate * mean_service_seconds_ /
+        (settings_.target_batch_utilization * max_batch_limit_);
     // More at once when they are needed, fewer only one by one: each replica
     // that comes or goes moves some adapters.
-    constexpr std::chrono::seconds lower_every{5};
-    auto const have = static_cast<double>(demand.needed);
-    if (wanted > have + 0.5) {
-        demand.needed = static_cast<std::size_t>(std::ceil(wanted));
-        demand.lowered = now;
-    } else if (wanted < have - 1.5 && now - demand.lowered >= lower_every) {
+    constexpr std::chrono::seconds reduction_interval{5};
+    auto const current = static_cast<double>(demand.needed);
+    if (target > current + 0.5) {
+        demand.needed = static_cast<std::size_t>(std::ceil(target));
+        demand.last_change_at = now;
+    } else if (
+        target < current - 1.5 &&
+        now - demand.last_change_at >= reduction_interval) {
         --demand.needed;
-        demand.lowered = now;
+        demand.last_change_at = now;
     }
     return std::min(demand.needed, usable);
 }
 
 template <placement_policy Policy>
-placement_candidate placement<Policy>::describe(
-    adapter_entry const& entry, std::size_t at, std::size_t rank,
-    endpoint_id const* prefix_home, instant now) const {
-    internal::known_endpoint const& each = endpoints_.at(entry.candidates[at]);
+placement_candidate placement<Policy>::make_candidate(
+    adapter_entry const& entry, std::size_t candidate_index, std::size_t rank,
+    endpoint_id const* prefix_replica, instant now) const {
+    internal::known_endpoint const& each =
+        endpoints_.at(entry.candidates[candidate_index]);
     placement_candidate result;
     result.rank = rank;
-    result.wait = aged_wait(each, now);
+    result.wait = decayed_wait(each, now);
     result.load = load_time_;
     result.batch_utilization = batch_utilization(each, now);
-    result.residency = residency(entry, at, rank, now);
-    result.prefix_cached = prefix_home && *prefix_home == each.about.id;
-    result.same_domain = each.about.domain == settings_.domain;
+    result.residency = residency(entry, candidate_index, rank, now);
+    result.prefix_cached =
+        prefix_replica && *prefix_replica == each.endpoint.id;
+    result.same_domain = each.endpoint.domain == settings_.domain;
     return result;
 }
 
@@ -212,30 +222,33 @@
     adapter_ref const& adapter, model_id const& model, urgency how_urgent,
     std::uint64_t prefix_hash, std::vector<endpoint_id> const& excluded,
     instant now) {
-    adapter_entry const& entry = entry_of(adapter, model, now);
+    adapter_entry const& entry = find_or_create_entry(adapter, model, now);
     placement_demand const demand{how_urgent, target_replica_count(entry, now)};
-    endpoint_id const* const prefix_home =
+    endpoint_id const* const prefix_replica =
         prefix_hash == 0 ? nullptr : prefixes_.find(prefix_hash, now);
     std::optional<internal::endpoint_index> best;
-    duration least{};
+    duration lowest_cost{};
     std::size_t const needed = needed_replicas(model, now);
     std::size_t rank = 0;
-    for (std::size_t at = 0; at < entry.candidates.size(); ++at) {
-        internal::endpoint_index const index = entry.candidates[at];
+    for (std::size_t candidate_index = 0;
+         candidate_index < entry.candidates.size(); ++candidate_index) {
+        internal::endpoint_index const index =
+            entry.candidates[candidate_index];
         internal::known_endpoint const& each = endpoints_.at(index);
-        bool const spare = each.order >= needed;
-        std::size_t const own_rank = spare ? entry.candidates.size() : rank++;
-        endpoint_id const& id = each.about.id;
+        bool const spare = each.activation_rank >= needed;
+        std::size_t const candidate_rank =
+            spare ? entry.candidates.size() : rank++;
+        endpoint_id const& id = each.endpoint.id;
         if (std::ranges::find(excluded, id) != excluded.end()) {
             continue;
         }
-        placement_candidate candidate =
-            describe(entry, at, own_rank, prefix_home, now);
+        placement_candidate candidate = make_candidate(
+            entry, candidate_index, candidate_rank, prefix_replica, now);
         candidate.spare = spare;
         duration const cost = policy_.cost(candidate, demand);
-        if (!best || cost < least) {
+        if (!best || cost < lowest_cost) {
             best = index;
-            least = cost;
+            lowest_cost = cost;
         }
     }
     if (!best) {
@@ -244,9 +257,9 @@
     internal::known_endpoint& chosen = endpoints_.at(*best);
     ++chosen.sent_since;
     if (prefix_hash != 0) {
-        prefixes_.stored(prefix_hash, chosen.about.id, now);
+        prefixes_.on_stored(prefix_hash, chosen.endpoint.id, now);
     }
-    return chosen.about.id;
+    return chosen.endpoint.id;
 }
 
 template <placement_policy Policy>
@@ -263,19 +276,19 @@
     // reason to load at another.
     load_time_ = move_average(load_time_, feedback.expected_load);
     known.running = feedback.running;
-    known.heard = now;
+    known.last_feedback_at = now;
     known.sent_since = 0;
     auto const entry = adapters_.find(adapter);
     if (entry == adapters_.end()) {
         return;
     }
     std::vector<residency_hint>& hints = entry->second.hints;
-    auto hint = std::ranges::find(hints, *index, &residency_hint::where);
+    auto hint = std::ranges::find(hints, *index, &residency_hint::endpoint);
     if (hint == hints.end()) {
         hint = hints.insert(hints.end(), {*index, false, now});
     }
     hint->resident = feedback.adapter_resident;
-    hint->heard = now;
+    hint->reported_at = now;
 }
 
 template <placement_policy Policy>
@@ -283,43 +296,43 @@
     prefix_cache_event const& event, instant now) {
     instant const when = now - event.age;
     if (event.stored) {
-        prefixes_.stored(event.prefix_hash, event.endpoint, when);
+        prefixes_.on_stored(event.prefix_hash, event.endpoint, when);
     } else {
-        prefixes_.dropped(event.prefix_hash, event.endpoint, when);
+        prefixes_.on_dropped(event.prefix_hash, event.endpoint, when);
     }
 }
 
 template <placement_policy Policy>
 void placement<Policy>::on_demand(adapter_ref const& adapter, instant now) {
     adapter_entry& entry = adapters_[adapter];
-    entry.asks.add(now);
+    entry.request_rate.add(now);
     entry.last_use = now;
-    demand_.add(now);
-    forget_idle(now);
+    request_rate_.add(now);
+    evict_idle_adapters(now);
 }
 
 template <placement_policy Policy>
-void placement<Policy>::on_served(duration took) {
-    service_time_ = move_average(service_time_, took);
+void placement<Policy>::on_served(duration service_time) {
+    service_time_ = move_average(service_time_, service_time);
     // Lengths of answers vary widely, and the number of replicas in use must
     // not follow each long one. The first ones count in full: too short a time
     // taken for granted would crowd requests on a few replicas after a start.
-    constexpr double most_counted = 128;
-    served_ = std::min(served_ + 1, most_counted);
-    double const seconds = std::chrono::duration<double>(took).count();
-    usual_service_ += (seconds - usual_service_) / served_;
+    constexpr double max_averaged_samples = 128;
+    served_count_ = std::min(served_count_ + 1, max_averaged_samples);
+    double const seconds = std::chrono::duration<double>(service_time).count();
+    mean_service_seconds_ += (seconds - mean_service_seconds_) / served_count_;
 }
 
 template <placement_policy Policy>
-void placement<Policy>::forget_idle(instant now) {
-    constexpr std::chrono::minutes period{5};
-    constexpr std::chrono::minutes longest_memory{30};
-    if (now - last_forgetting_ < period) {
+void placement<Policy>::evict_idle_adapters(instant now) {
+    constexpr std::chrono::minutes eviction_interval{5};
+    constexpr std::chrono::minutes retention_time{30};
+    if (now - last_eviction_at_ < eviction_interval) {
         return;
     }
-    last_forgetting_ = now;
+    last_eviction_at_ = now;
     std::erase_if(adapters_, [&](auto const& each) {
-        return now - each.second.last_use > longest_memory;
+        return now - each.second.last_use > retention_time;
     });
 }
 
--- a/src/Placement/placement_policy.hpp
+++ b/src/Placement/placement_policy.hpp
@@ -48,9 +48,9 @@
 /// longer than a load elsewhere would take.
 struct least_expected_wait {
     /// What a cached prefix saves.
-    static constexpr std::chrono::milliseconds prefix_saving{30};
+    static constexpr std::chrono::milliseconds prefix_cache_saving{30};
     /// Breaks ties in favour of the near replica.
-    static constexpr std::chrono::microseconds distance{500};
+    static constexpr std::chrono::microseconds remote_domain_cost{500};
     /// What a full batch costs: requests that come next would wait. Less full
     /// batches cost far less, by the fourth power.
     static constexpr std::chrono::milliseconds full_batch_cost{400};
@@ -58,7 +58,7 @@
     static constexpr std::chrono::milliseconds rank_cost{20};
     /// A load elsewhere costs the store a load and some other adapter its
     /// slot, so it must be worth this many times its time.
-    static constexpr double load_weight = 2.0;
+    static constexpr double extra_load_weight = 2.0;
     /// A spare replica is used when the others cost this much more.
     static constexpr std::chrono::milliseconds spare_cost{200};
 
--- a/src/Placement/prefix_hints.cpp
+++ b/src/Placement/prefix_hints.cpp
@@ -2,28 +2,28 @@
 
 namespace camphorpoint::internal {
 
-void prefix_hints::stored(
-    std::uint64_t prefix, endpoint_id const& where, instant when) {
+void prefix_hints::on_stored(
+    std::uint64_t prefix, endpoint_id const& endpoint, instant when) {
     auto const known = hints_.find(prefix);
     if (known != hints_.end()) {
         if (when >= known->second.when) {
-            known->second = {where, when};
+            known->second = {endpoint, when};
         }
         return;
     }
-    hints_.emplace(prefix, hint{where, when});
-    order_.push_back(prefix);
-    while (order_.size() > most_) {
-        hints_.erase(order_.front());
-        order_.pop_front();
+    hints_.emplace(prefix, hint{endpoint, when});
+    insertion_order_.push_back(prefix);
+    while (insertion_order_.size() > max_hints_) {
+        hints_.erase(insertion_order_.front());
+        insertion_order_.pop_front();
     }
 }
 
-void prefix_hints::dropped(
-    std::uint64_t prefix, endpoint_id const& where, instant when) {
+void prefix_hints::on_dropped(
+    std::uint64_t prefix, endpoint_id const& endpoint, instant when) {
     auto const known = hints_.find(prefix);
     bool const applies = known != hints_.end() &&
-                         known->second.where == where &&
+                         known->second.endpoint == endpoint &&
                          when >= known->second.when;
     if (applies) {
         // The entry stays, out of date, until its turn in the order comes.
@@ -33,9 +33,10 @@
 
 endpoint_id const* prefix_hints::find(std::uint64_t prefix, instant now) const {
     auto const known = hints_.find(prefix);
-    bool const fresh = known != hints_.end() && !known->second.where.empty() &&
-                       now - known->second.when < memory_;
-    return fresh ? &known->second.where : nullptr;
+    bool const fresh = known != hints_.end() &&
+                       !known->second.endpoint.empty() &&
+                       now - known->second.when < lifetime_;
+    return fresh ? &known->second.endpoint : nullptr;
 }
 
 } // namespace camphorpoint::internal
--- a/src/Placement/prefix_hints.hpp
+++ b/src/Placement/prefix_hints.hpp
@@ -16,28 +16,30 @@
 public:
     /// @param most   hints that are kept
     /// @param memory how long a hint is believed
-    prefix_hints(std::size_t most, duration memory)
-        : most_(most)
-        , memory_(memory) {}
+    prefix_hints(std::size_t max_hints, duration lifetime)
+        : max_hints_(max_hints)
+        , lifetime_(lifetime) {}
 
     /// The prefix was stored on the endpoint at this time.
-    void stored(std::uint64_t prefix, endpoint_id const& where, instant when);
+    void
+    on_stored(std::uint64_t prefix, endpoint_id const& endpoint, instant when);
     /// The prefix was dropped; an older word than what is known is skipped.
-    void dropped(std::uint64_t prefix, endpoint_id const& where, instant when);
+    void
+    on_dropped(std::uint64_t prefix, endpoint_id const& endpoint, instant when);
     /// @returns the endpoint, or nullptr when nothing fresh is known
     endpoint_id const* find(std::uint64_t prefix, instant now) const;
 
 private:
     struct hint {
-        endpoint_id where;
+        endpoint_id endpoint;
         instant when;
     };
 
-    std::size_t most_;
-    duration memory_;
+    std::size_t max_hints_;
+    duration lifetime_;
     std::unordered_map<std::uint64_t, hint> hints_;
     /// Prefixes in the order in which they were first met.
-    std::deque<std::uint64_t> order_;
+    std::deque<std::uint64_t> insertion_order_;
 };
 
 } // namespace camphorpoint::internal
--- a/src/Placement/rendezvous.hpp
+++ b/src/Placement/rendezvous.hpp
@@ -20,7 +20,8 @@
 /// @returns the members with the highest scores, best first
 template <class Id>
 std::vector<Id> rendezvous_top(
-    std::string_view key, std::vector<Id> const& members, std::size_t most) {
+    std::string_view key, std::vector<Id> const& members,
+    std::size_t max_count) {
     struct scored {
         std::uint64_t score;
         Id const* id;
@@ -32,7 +33,7 @@
         std::uint64_t const member_hash = hash_text(each.str());
         ranked.push_back({combine_hashes(key_hash, member_hash), &each});
     }
-    std::size_t const count = std::min(most, ranked.size());
+    std::size_t const count = std::min(max_count, ranked.size());
     auto const better = [](scored const& left, scored const& right) {
         if (left.score != right.score) {
             return left.score > right.score;
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -14,7 +14,7 @@
 
 model_id const base("base-7b");
 
-std::vector<placement_endpoint> fleet(std::size_t count) {
+std::vector<placement_endpoint> make_replicas(std::size_t count) {
     std::vector<placement_endpoint> result;
     for (std::size_t index = 0; index < count; ++index) {
         placement_endpoint each;
@@ -26,15 +26,15 @@
     return result;
 }
 
-adapter_ref named(std::string const& name, std::uint32_t version = 1) {
+adapter_ref adapter_named(std::string const& name, std::uint32_t version = 1) {
     return {adapter_id(name), version};
 }
 
 /// An entry node's placement over 18 replicas, in virtual time.
-class placement_story {
+class placement_fixture {
 public:
-    placement_story()
-        : endpoints(fleet(18))
+    placement_fixture()
+        : endpoints(make_replicas(18))
         , placement_(placement_settings{}) {
         placement_.set_endpoints(endpoints);
     }
@@ -55,7 +55,7 @@
         message.running = wait.count() > 0 ? 16 : 1;
         placement_.on_feedback(from, adapter, message, now);
     }
-    placement<>& of() { return placement_; }
+    placement<>& subject() { return placement_; }
 
     std::vector<placement_endpoint> endpoints;
     instant now = instant{} + std::chrono::hours(1);
@@ -67,151 +67,155 @@
 } // namespace
 
 TEST_CASE("an adapter has its home") {
-    placement_story story;
-    adapter_ref const audit = named("audit");
-    endpoint_id const home = *story.choose(audit);
+    placement_fixture fixture;
+    adapter_ref const audit = adapter_named("audit");
+    endpoint_id const preferred = *fixture.choose(audit);
 
     SUBCASE("which another node finds as well, and so does another version") {
-        placement_story other;
+        placement_fixture other;
         std::ranges::reverse(other.endpoints);
-        other.of().set_endpoints(other.endpoints);
-        CHECK(other.choose(audit) == home);
-        CHECK(other.choose(named("audit", 2)) == home);
+        other.subject().set_endpoints(other.endpoints);
+        CHECK(other.choose(audit) == preferred);
+        CHECK(other.choose(adapter_named("audit", 2)) == preferred);
     }
 
     SUBCASE("and is kept while its queue is short") {
-        story.feedback(home, audit, true, milliseconds(300));
-        CHECK(story.choose(audit) == home);
+        fixture.feedback(preferred, audit, true, milliseconds(300));
+        CHECK(fixture.choose(audit) == preferred);
     }
 
     SUBCASE("a queue longer than a load elsewhere spills over") {
-        story.feedback(home, audit, true, milliseconds(5'000));
-        CHECK(story.choose(audit) != home);
+        fixture.feedback(preferred, audit, true, milliseconds(5'000));
+        CHECK(fixture.choose(audit) != preferred);
 
         SUBCASE("which is forgotten after a while") {
-            story.now += seconds(30);
-            CHECK(story.choose(audit) == home);
+            fixture.now += seconds(30);
+            CHECK(fixture.choose(audit) == preferred);
         }
     }
 
     // All replicas of a slow store seem slow; taking that for the fault of one
     // replica sends its adapters to others, where each needs a further load.
     SUBCASE("a long wait for the store moves no adapter") {
-        endpoint_id const second = *story.choose(audit, 0, {home});
+        endpoint_id const second = *fixture.choose(audit, 0, {preferred});
         for (int count = 0; count < 50; ++count) {
-            story.feedback(home, named("other"), false, {}, seconds(5));
+            fixture.feedback(
+                preferred, adapter_named("other"), false, {}, seconds(5));
         }
-        CHECK(story.choose(audit) == home);
-        story.feedback(second, named("other"), false);
-        CHECK(story.choose(audit) == home);
+        CHECK(fixture.choose(audit) == preferred);
+        fixture.feedback(second, adapter_named("other"), false);
+        CHECK(fixture.choose(audit) == preferred);
     }
 
     SUBCASE("a replica that was found to hold it is chosen") {
-        endpoint_id const second = *story.choose(audit, 0, {home});
-        story.feedback(second, audit, true);
-        story.feedback(home, audit, false);
-        CHECK(story.choose(audit) == second);
+        endpoint_id const second = *fixture.choose(audit, 0, {preferred});
+        fixture.feedback(second, audit, true);
+        fixture.feedback(preferred, audit, false);
+        CHECK(fixture.choose(audit) == second);
     }
 
     SUBCASE("a burst doesn't all go to one replica") {
-        story.feedback(home, audit, true);
+        fixture.feedback(preferred, audit, true);
         bool spilled = false;
         for (int count = 0; count < 40; ++count) {
-            spilled = spilled || story.choose(audit) != home;
+            spilled = spilled || fixture.choose(audit) != preferred;
         }
         CHECK(spilled);
     }
 
     SUBCASE("a leaving or suspected replica gets nothing new") {
-        auto const is_home = [&](auto const& each) {
-            return each.id == home;
+        auto const is_preferred = [&](auto const& each) {
+            return each.id == preferred;
         };
-        std::ranges::find_if(story.endpoints, is_home)->usable = false;
-        story.of().set_endpoints(story.endpoints);
-        CHECK(story.choose(audit) != home);
-        std::ranges::find_if(story.endpoints, is_home)->usable = true;
-        story.of().set_endpoints(story.endpoints);
-        CHECK(story.choose(audit) == home);
+        std::ranges::find_if(fixture.endpoints, is_preferred)->usable = false;
+        fixture.subject().set_endpoints(fixture.endpoints);
+        CHECK(fixture.choose(audit) != preferred);
+        std::ranges::find_if(fixture.endpoints, is_preferred)->usable = true;
+        fixture.subject().set_endpoints(fixture.endpoints);
+        CHECK(fixture.choose(audit) == preferred);
     }
 
     SUBCASE("replicas that refused are passed over, down to none") {
         std::vector<endpoint_id> excluded;
-        for (placement_endpoint const& each : story.endpoints) {
+        for (placement_endpoint const& each : fixture.endpoints) {
             excluded.push_back(each.id);
         }
-        CHECK_FALSE(story.choose(audit, 0, excluded));
+        CHECK_FALSE(fixture.choose(audit, 0, excluded));
     }
 }
 
 // After one replica's failure hundreds of adapters are loaded again elsewhere
 // and all callers stall: the homes of adapters that it never had moved too.
 TEST_CASE("a replica that goes moves only its own adapters") {
-    placement_story story;
-    for (placement_endpoint& each : story.endpoints) {
+    placement_fixture fixture;
+    for (placement_endpoint& each : fixture.endpoints) {
         // So large that no queue makes a request spill over.
         each.batch_limit = 1'000;
     }
-    story.of().set_endpoints(story.endpoints);
+    fixture.subject().set_endpoints(fixture.endpoints);
     std::vector<endpoint_id> before;
     before.reserve(300);
     for (int count = 0; count < 300; ++count) {
-        before.push_back(*story.choose(named("a" + std::to_string(count))));
-    }
-    endpoint_id const gone = story.endpoints.back().id;
-    story.endpoints.pop_back();
-    placement_story after;
-    after.endpoints = story.endpoints;
-    after.of().set_endpoints(after.endpoints);
+        before.push_back(
+            *fixture.choose(adapter_named("a" + std::to_string(count))));
+    }
+    endpoint_id const removed = fixture.endpoints.back().id;
+    fixture.endpoints.pop_back();
+    placement_fixture after;
+    after.endpoints = fixture.endpoints;
+    after.subject().set_endpoints(after.endpoints);
     std::size_t moved = 0;
     for (std::size_t count = 0; count < 300; ++count) {
-        auto const home = *after.choose(named("a" + std::to_string(count)));
-        moved += home != before[count] ? 1 : 0;
-        CHECK((before[count] == gone || home == before[count]));
+        auto const preferred =
+            *after.choose(adapter_named("a" + std::to_string(count)));
+        moved += preferred != before[count] ? 1 : 0;
+        CHECK((before[count] == removed || preferred == before[count]));
     }
     CHECK(moved > 0);
 }
 
 TEST_CASE("copies follow the measured demand") {
-    placement_story story;
-    adapter_ref const hot = named("hot");
-    endpoint_id const home = *story.choose(hot);
+    placement_fixture fixture;
+    adapter_ref const hot = adapter_named("hot");
+    endpoint_id const preferred = *fixture.choose(hot);
     // A short queue: not worth pushing another adapter out.
-    story.feedback(home, hot, true, milliseconds(300));
-    CHECK(story.choose(hot) == home);
+    fixture.feedback(preferred, hot, true, milliseconds(300));
+    CHECK(fixture.choose(hot) == preferred);
     for (int count = 0; count < 400; ++count) {
-        story.now += milliseconds(50);
-        story.of().on_demand(hot, story.now);
+        fixture.now += milliseconds(50);
+        fixture.subject().on_demand(hot, fixture.now);
     }
-    story.feedback(home, hot, true, milliseconds(300));
-    CHECK(story.choose(hot) != home);
+    fixture.feedback(preferred, hot, true, milliseconds(300));
+    CHECK(fixture.choose(hot) != preferred);
 }
 
 TEST_CASE("a cached prefix is a hint with an age") {
-    placement_story story;
-    adapter_ref const audit = named("audit");
-    endpoint_id const home = *story.choose(audit);
-    endpoint_id const second = *story.choose(audit, 0, {home});
-    story.feedback(home, audit, true);
-    story.feedback(second, audit, true);
-    REQUIRE(story.choose(audit) == home);
-    story.of().on_cache_event({second, 77, true, {}}, story.now);
-    CHECK(story.choose(audit, 77) == second);
+    placement_fixture fixture;
+    adapter_ref const audit = adapter_named("audit");
+    endpoint_id const preferred = *fixture.choose(audit);
+    endpoint_id const second = *fixture.choose(audit, 0, {preferred});
+    fixture.feedback(preferred, audit, true);
+    fixture.feedback(second, audit, true);
+    REQUIRE(fixture.choose(audit) == preferred);
+    fixture.subject().on_cache_event({second, 77, true, {}}, fixture.now);
+    CHECK(fixture.choose(audit, 77) == second);
 
     SUBCASE("an older word doesn't undo a newer one") {
-        story.of().on_cache_event({second, 77, false, seconds(2)}, story.now);
-        CHECK(story.choose(audit, 77) == second);
+        fixture.subject().on_cache_event(
+            {second, 77, false, seconds(2)}, fixture.now);
+        CHECK(fixture.choose(audit, 77) == second);
     }
 
     SUBCASE("it is dropped when the engine says so") {
-        story.of().on_cache_event({second, 77, false, {}}, story.now);
-        CHECK(story.choose(audit, 77) == home);
+        fixture.subject().on_cache_event({second, 77, false, {}}, fixture.now);
+        CHECK(fixture.choose(audit, 77) == preferred);
     }
 
     SUBCASE("it is not believed for ever") {
-        story.now += seconds(61);
-        story.feedback(home, audit, true);
-        story.feedback(second, audit, true);
-        CHECK(story.choose(audit, 77) == home);
+        fixture.now += seconds(61);
+        fixture.feedback(preferred, audit, true);
+        fixture.feedback(second, audit, true);
+        CHECK(fixture.choose(audit, 77) == preferred);
     }
 }
 
--- a/test/quota_shares_test.cpp
+++ b/test/quota_shares_test.cpp
@@ -18,45 +18,47 @@
 
 constexpr std::size_t partitions = 96;
 constexpr std::size_t domains = 5;
-constexpr double all_there_is = 1.0 + 1e-9;
-
-double largest_sum(membership_simulation& model, duration span) {
-    double most = 0;
-    model.run(
-        span, [&] { most = std::max(most, model.sum_of_quota_shares()); });
-    return most;
+constexpr double full_limit = 1.0 + 1e-9;
+
+double max_sum_of_quota_shares(membership_simulation& cluster, duration span) {
+    double max_sum = 0;
+    cluster.run(span, [&] {
+        max_sum = std::max(max_sum, cluster.sum_of_quota_shares());
+    });
+    return max_sum;
 }
 
-void restart_all(membership_simulation& model, std::uint64_t run) {
-    for (std::size_t index = 0; index < model.nodes.size(); ++index) {
-        model.restart(index, run);
+void restart_all(membership_simulation& cluster, std::uint64_t incarnation) {
+    for (std::size_t index = 0; index < cluster.nodes.size(); ++index) {
+        cluster.restart(index, incarnation);
     }
 }
 
 /// One thing that happens to the nodes and the ways between them.
-void disturb(
-    membership_simulation& model, std::mt19937_64& random, std::uint64_t run) {
+void inject_fault(
+    membership_simulation& cluster, std::mt19937_64& random,
+    std::uint64_t incarnation) {
     constexpr std::array<double, 4> losses{0.0, 0.1, 0.5, 0.9};
-    std::size_t const which = random() % model.nodes.size();
+    std::size_t const index = random() % cluster.nodes.size();
     switch (random() % 6) {
     case 0:
-        restart_all(model, run);
+        restart_all(cluster, incarnation);
         break;
     case 1:
-        model.restart(which, run);
+        cluster.restart(index, incarnation);
         break;
     case 2:
-        model.loss = losses[random() % losses.size()];
+        cluster.loss = losses[random() % losses.size()];
         break;
     case 3:
-        model.isolated_domains = {model.nodes[which].self.domain};
+        cluster.isolated_domains = {cluster.nodes[index].self.domain};
         break;
     case 4:
-        model.isolated_domains.clear();
+        cluster.isolated_domains.clear();
         break;
     default:
-        for (std::size_t each = 0; each < model.nodes.size(); each += 2) {
-            model.restart(each, run);
+        for (std::size_t each = 0; each < cluster.nodes.size(); each += 2) {
+            cluster.restart(each, incarnation);
         }
     }
 }
@@ -68,85 +70,86 @@
 TEST_CASE("shares add up to the limit at most on a way that loses datagrams") {
     for (double const loss : {0.1, 0.3, 0.5}) {
         CAPTURE(loss);
-        membership_simulation model(200, domains, partitions);
-        model.run(seconds(5));
-        model.loss = loss;
-        restart_all(model, 2);
-        CHECK(largest_sum(model, seconds(15)) <= all_there_is);
+        membership_simulation cluster(200, domains, partitions);
+        cluster.run(seconds(5));
+        cluster.loss = loss;
+        restart_all(cluster, 2);
+        CHECK(max_sum_of_quota_shares(cluster, seconds(15)) <= full_limit);
     }
 }
 
 // Guards against the same where one failure domain hears no other.
 TEST_CASE("shares add up to the limit at most while a domain is cut off") {
-    membership_simulation model(200, domains, partitions);
-    model.run(seconds(5));
-    model.isolated_domains = {domain_id("domain-0")};
-    restart_all(model, 2);
-    CHECK(largest_sum(model, seconds(20)) <= all_there_is);
-    model.isolated_domains.clear();
-    CHECK(largest_sum(model, seconds(10)) <= all_there_is);
+    membership_simulation cluster(200, domains, partitions);
+    cluster.run(seconds(5));
+    cluster.isolated_domains = {domain_id("domain-0")};
+    restart_all(cluster, 2);
+    CHECK(max_sum_of_quota_shares(cluster, seconds(20)) <= full_limit);
+    cluster.isolated_domains.clear();
+    CHECK(max_sum_of_quota_shares(cluster, seconds(10)) <= full_limit);
 }
 
 TEST_CASE("shares add up to the limit at most at 400 nodes") {
-    membership_simulation model(400, domains, partitions);
-    model.run(seconds(5));
-    restart_all(model, 2);
-    CHECK(largest_sum(model, seconds(15)) <= all_there_is);
+    membership_simulation cluster(400, domains, partitions);
+    cluster.run(seconds(5));
+    restart_all(cluster, 2);
+    CHECK(max_sum_of_quota_shares(cluster, seconds(15)) <= full_limit);
 }
 
 // Guards against nodes that keep within the limit by using none of it.
 TEST_CASE("each node has a tenth of an equal share at the least") {
     for (std::size_t const count : {2U, 9U, 66U, 200U}) {
         CAPTURE(count);
-        membership_simulation model(count, domains, partitions);
-        model.run(seconds(5));
-        restart_all(model, 2);
-        model.run(seconds(15));
-        constexpr double least_part = 0.1;
-        for (simulated_node const& each : model.nodes) {
-            double const share = each.members.quota_share(model.now);
-            CHECK(share * static_cast<double>(count) >= least_part);
+        membership_simulation cluster(count, domains, partitions);
+        cluster.run(seconds(5));
+        restart_all(cluster, 2);
+        cluster.run(seconds(15));
+        constexpr double min_fraction = 0.1;
+        for (simulated_node const& each : cluster.nodes) {
+            double const quota_share = each.members.quota_share(cluster.now);
+            CHECK(quota_share * static_cast<double>(count) >= min_fraction);
         }
-        CHECK(model.sum_of_quota_shares() >= 0.9);
-        CHECK(model.sum_of_quota_shares() <= all_there_is);
+        CHECK(cluster.sum_of_quota_shares() >= 0.9);
+        CHECK(cluster.sum_of_quota_shares() <= full_limit);
     }
 }
 
 // Guards against a node that can't send again since the holder it borrows from
 // has died.
 TEST_CASE("a node without a part borrows from another holder when one dies") {
-    membership_simulation model(120, domains, partitions);
-    model.run(seconds(12));
+    membership_simulation cluster(120, domains, partitions);
+    cluster.run(seconds(12));
     for (std::size_t each = 0; each < partitions / 2; ++each) {
-        model.nodes[each].down = true;
+        cluster.nodes[each].down = true;
     }
-    model.run(seconds(12));
-    for (std::size_t each = partitions; each < model.nodes.size(); ++each) {
-        CHECK(model.nodes[each].members.quota_share(model.now) > 0);
+    cluster.run(seconds(12));
+    for (std::size_t each = partitions; each < cluster.nodes.size(); ++each) {
+        CHECK(cluster.nodes[each].members.quota_share(cluster.now) > 0);
     }
-    CHECK(model.sum_of_quota_shares() <= all_there_is);
+    CHECK(cluster.sum_of_quota_shares() <= full_limit);
 }
 
 // Guards against any order of restarts, losses and cuts that was not thought
 // of.
 TEST_CASE("shares add up to the limit at most whatever happens") {
     // More by hand: LIMIT_SHARES_SEEDS names how many.
-    char const* const more = std::getenv("LIMIT_SHARES_SEEDS");
+    char const* const seed_count = std::getenv("LIMIT_SHARES_SEEDS");
     std::uint64_t const seeds =
-        more == nullptr ? 10 : std::strtoull(more, nullptr, 10);
+        seed_count == nullptr ? 10 : std::strtoull(seed_count, nullptr, 10);
     constexpr int events = 12;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         CAPTURE(seed);
         std::mt19937_64 random(seed);
         std::size_t const count = 2 + random() % 150;
-        membership_simulation model(count, domains, partitions, seed);
-        double most = 0;
+        membership_simulation cluster(count, domains, partitions, seed);
+        double max_sum = 0;
         for (std::uint64_t event = 0; event < events; ++event) {
-            disturb(model, random, event + 2);
+            inject_fault(cluster, random, event + 2);
             milliseconds const until_next(random() % 5'000);
-            most = std::max(most, largest_sum(model, until_next));
+            max_sum =
+                std::max(max_sum, max_sum_of_quota_shares(cluster, until_next));
         }
-        CHECK(most <= all_there_is);
+        CHECK(max_sum <= full_limit);
     }
 }
 
--- a/test/spare_replicas_test.cpp
+++ b/test/spare_replicas_test.cpp
@@ -36,10 +36,10 @@
     /// Requests of one second each, answered at once.
     /// @returns the replicas that were chosen
     std::set<endpoint_id>
-    run(seconds length, milliseconds apart, milliseconds wait = {}) {
+    run(seconds length, milliseconds interval, milliseconds wait = {}) {
         std::set<endpoint_id> used;
         instant const end = now_ + length;
-        for (; now_ < end; now_ += apart) {
+        for (; now_ < end; now_ += interval) {
             adapter_ref const adapter{
                 adapter_id("a" + std::to_string(count_++ % adapters)), 1};
             placement_.on_demand(adapter, now_);
@@ -73,34 +73,34 @@
 
 TEST_CASE("a model's demand fills some replicas, and the rest is left spare") {
     SUBCASE("by default as many are used later on as at first") {
-        steady_demand story(0);
-        auto const at_first = story.run(seconds(80), milliseconds(50));
-        story.run(seconds(300), milliseconds(50));
+        steady_demand demand(0);
+        auto const at_first = demand.run(seconds(80), milliseconds(50));
+        demand.run(seconds(300), milliseconds(50));
         CHECK(at_first.size() > 10);
-        CHECK(story.run(seconds(80), milliseconds(50)) == at_first);
+        CHECK(demand.run(seconds(80), milliseconds(50)) == at_first);
     }
 
     // Right after a start the measured demand is far below the true one. All
     // requests would crowd on one or two replicas and queue for minutes, while
     // the others stand idle.
     SUBCASE("none is spare before the demand has been measured") {
-        steady_demand story(0.75);
-        steady_demand without(0);
+        steady_demand demand(0.75);
+        steady_demand without_spares(0);
         CHECK(
-            story.run(seconds(80), milliseconds(50)) ==
-            without.run(seconds(80), milliseconds(50)));
+            demand.run(seconds(80), milliseconds(50)) ==
+            without_spares.run(seconds(80), milliseconds(50)));
     }
 
     SUBCASE("twenty requests of a second need one replica of 24 places") {
-        steady_demand story(0.75);
-        story.run(seconds(300), milliseconds(50));
-        auto const used = story.run(seconds(30), milliseconds(50));
+        steady_demand demand(0.75);
+        demand.run(seconds(300), milliseconds(50));
+        auto const used = demand.run(seconds(30), milliseconds(50));
         CHECK(used.size() <= 3);
 
         SUBCASE("and a queue there brings the others back at once") {
-            auto const then =
-                story.run(seconds(5), milliseconds(50), milliseconds(1'500));
-            CHECK(then.size() > used.size());
+            auto const used_when_queueing =
+                demand.run(seconds(5), milliseconds(50), milliseconds(1'500));
+            CHECK(used_when_queueing.size() > used.size());
         }
     }
 }
