--- a/src/Limits/concurrency_limiter.hpp
+++ b/src/Limits/concurrency_limiter.hpp
@@ -7,20 +7,22 @@
 
 namespace camphorpoint {
 
-/// What one ended request says of its endpoint.
+/// Measurement that one finished request gives of its endpoint.
 struct limit_sample {
-    /// From dispatch to end.
+    /// Time from dispatch to completion.
     duration latency{};
-    /// Requests of this node in flight on the endpoint, this one counted.
+    /// Requests of this node in flight on the endpoint, including this one.
     std::uint32_t in_flight = 0;
-    /// True when it was refused for overload or timed out.
+    /// True when the endpoint refused the request for overload or it timed out.
     bool dropped = false;
 };
 
-/// A policy that says how many requests one node sends to an endpoint at a
-/// time. It is told the node's share of the capacity that the platform knows, 0
-/// when it knows none. Below one, several endpoints together get one at a time:
-/// with many nodes even one each would be too many.
+/// Policy that limits how many requests one node has in flight on an endpoint.
+/// Its constructor takes the node's quota share of the endpoint's capacity in
+/// concurrent requests, or 0 when the platform does not know the capacity. A
+/// limit below 1 means that several endpoints together get one request at a
+/// time: with many nodes, even one request per node and endpoint would exceed
+/// the endpoint's capacity.
 template <class Limiter>
 concept concurrency_limiter = std::constructible_from<Limiter, std::uint32_t> &&
     requires(Limiter limiter, Limiter const& fixed, limit_sample sample) {
--- a/src/Limits/delay_based_limit.hpp
+++ b/src/Limits/delay_based_limit.hpp
@@ -9,24 +9,30 @@
 
 /// Settings of delay_based_limit.
 struct delay_based_limit_settings {
+    /// Smallest limit, in concurrent requests. Below 1, several endpoints share
+    /// one request at a time.
     double min_limit = 0.25;
+    /// Largest limit, in concurrent requests.
     double max_limit = 512.0;
-    /// The limit before anything was measured.
+    /// Initial limit for an endpoint of unknown capacity, in concurrent
+    /// requests.
     double initial_limit = 4.0;
-    /// Samples in a window. Service times scatter, so single ones say little.
+    /// Samples per window. Single service times vary too widely to decide by.
     std::uint32_t window_samples = 30;
-    /// A window's mean latency above this many times the best one's means that
-    /// requests queue on the endpoint.
+    /// Requests are taken to queue on the endpoint when the mean latency of a
+    /// window exceeds the baseline latency by this factor.
     double latency_tolerance = 1.7;
-    /// What is left of the limit after such a window.
+    /// The limit is multiplied by this factor after such a window.
     double decrease_factor = 0.85;
-    /// How fast the best mean is forgotten, for each window.
+    /// Factor by which the baseline latency rises with each window, so that it
+    /// follows an endpoint that has become slower.
     double baseline_drift = 1.002;
 };
 
-/// Infers the limit of an endpoint whose capacity is not known, or shifts: up
-/// by one for each window of samples that used the limit, down by a share for
-/// each window whose mean latency shows queueing.
+/// Infers the concurrency limit of an endpoint whose capacity is unknown or
+/// changes. The limit rises by one, or by half its value if that is less, after
+/// a window of samples in which it was fully used. It falls by a factor after a
+/// window in which a request was dropped or the mean latency shows queueing.
 /// References: D. Chiu, R. Jain, "Analysis of the increase and decrease
 /// algorithms for congestion avoidance in computer networks", Computer Networks
 /// and ISDN Systems 17(1), 1989; L. Brakmo, L. Peterson, "TCP Vegas", IEEE JSAC
@@ -38,7 +44,7 @@
         : settings_(settings)
         , limit_(capacity == 0 ? settings.initial_limit : capacity) {}
 
-    /// @returns requests at a time
+    /// @returns the number of concurrent requests
     double limit() const noexcept { return limit_; }
     void on_sample(limit_sample const& sample) {
         latency_sum_ += static_cast<double>(sample.latency.count());
@@ -52,9 +58,9 @@
 private:
     void end_window() {
         double const mean_latency = latency_sum_ / sample_count_;
-        // Forgotten slowly: a best mean that follows an overload within
-        // seconds would take the queueing for the endpoint's own speed, and
-        // the limit would grow without end.
+        // The baseline rises slowly: if it followed an overload within seconds,
+        // it would take the queueing delay for the endpoint's own latency, and
+        // the limit would grow without bound.
         baseline_latency_ =
             baseline_latency_ == 0.0
                 ? mean_latency
--- a/src/Limits/endpoint_health.hpp
+++ b/src/Limits/endpoint_health.hpp
@@ -9,43 +9,47 @@
 
 namespace camphorpoint {
 
-/// When an endpoint is skipped.
+/// When an endpoint is skipped, and for how long.
 struct health_settings {
-    /// Failures in a row after which it is skipped.
+    /// Consecutive failures after which the endpoint is skipped.
     std::uint32_t failure_threshold = 3;
+    /// Time before the first probe; doubled after each failed probe.
     std::chrono::milliseconds initial_skip_time{500};
+    /// Upper bound of the time before a probe.
     std::chrono::milliseconds max_skip_time{15'000};
 };
 
-/// Skips an endpoint that fails again and again, and lets one request at a time
-/// probe it. Guards against a dead endpoint that answers fast with errors and
-/// so draws most of the work: it shows as a high share of failures while the
-/// others idle.
+/// Circuit breaker of one endpoint: an endpoint that fails repeatedly is
+/// skipped, and one request at a time probes it. Guards against a dead endpoint
+/// that answers quickly with errors and therefore attracts most of the load;
+/// the symptom is a high fraction of failed requests while other endpoints are
+/// idle.
 /// Reference: M. Nygard, "Release It!", 2nd edition, 2018, on circuit breakers.
 class endpoint_health {
 public:
-    /// @returns true when a request may be sent
+    /// @returns true when a request may be sent to the endpoint
     bool usable(health_settings const& settings, instant now) const noexcept {
         if (consecutive_failures_ < settings.failure_threshold) {
             return true;
         }
         return now >= skip_until_ && !probing_;
     }
-    /// @returns true while it is skipped or only probed
+    /// @returns true while the endpoint is skipped or only probed
     bool suspect(health_settings const& settings) const noexcept {
         return consecutive_failures_ >= settings.failure_threshold;
     }
-    /// A request goes out; to a suspect endpoint it is the probe.
+    /// Records that a request is sent. To a suspect endpoint it is the probe.
     void on_dispatch(health_settings const& settings) noexcept {
         probing_ = suspect(settings);
     }
-    /// The endpoint answered.
+    /// Records that the endpoint answered.
     void on_success() noexcept {
         consecutive_failures_ = 0;
         skip_doublings_ = 0;
         probing_ = false;
     }
-    /// The endpoint was not reached, or failed.
+    /// Records that the endpoint could not be reached or failed.
+    /// @param random source of the jitter in the time before the next probe
     void on_failure(
         health_settings const& settings, instant now, std::mt19937_64& random) {
         ++consecutive_failures_;
@@ -55,10 +59,10 @@
             skip_doublings_ = std::min(skip_doublings_ + 1, max_doublings);
         }
     }
-    /// A request ended that says nothing of the endpoint, such as a
-    /// cancelled one.
+    /// Records a request whose outcome does not show the endpoint's health,
+    /// such as a cancelled one.
     void on_inconclusive() noexcept { probing_ = false; }
-    /// @returns when the next probe may go out
+    /// @returns when the next probe may be sent
     instant skip_until() const noexcept { return skip_until_; }
 
 private:
@@ -70,7 +74,8 @@
             settings.max_skip_time,
             settings.initial_skip_time * (1U << skip_doublings_));
         duration const max_time = nominal;
-        // From half to the whole, so that nodes do not probe in step.
+        // Jitter between half and all of it, so that nodes do not probe at the
+        // same time.
         std::uniform_int_distribution<std::int64_t> distribution(
             max_time.count() / 2, max_time.count());
         return duration(distribution(random));
--- a/src/Limits/retry_budget.hpp
+++ b/src/Limits/retry_budget.hpp
@@ -14,39 +14,42 @@
 
 namespace camphorpoint {
 
-/// How many retries are allowed, and how they are spread.
+/// How many retries are allowed, and how they are spread over time.
 struct retry_settings {
-    /// Retries allowed for each request.
+    /// Retries allowed per request.
     double retries_per_request = 0.1;
-    /// Retries a second that are allowed however few requests there are, so
-    /// that a quiet caller may retry at all.
+    /// Retries per second that are allowed at any request rate, so that a
+    /// caller that sends few requests can retry at all.
     double min_retries_per_second = 0.5;
-    /// The most that a budget saves up, in retries.
+    /// Most retries that an unused budget accumulates.
     double max_saved_retries = 10.0;
-    /// Budgets kept, of callers' groups and of endpoints each.
+    /// Most budgets in memory, for caller groups and for endpoints separately.
     std::size_t max_budgets = 4'096;
-    /// The first retry waits up to this, each further one up to twice as long.
+    /// Longest delay of the first retry; doubled for each further retry.
     std::chrono::milliseconds initial_backoff{25};
-    /// No retry waits longer.
+    /// Longest delay of any retry.
     std::chrono::milliseconds max_backoff{2'000};
 };
 
-/// A token bucket that requests fill and retries drain.
+/// Token bucket that is filled by requests and by the passing of time, and
+/// emptied by retries. One token is one retry.
 /// Reference: B. Beyer et al., "Site Reliability Engineering", O'Reilly 2016,
 /// chapter 21, on per-client retry budgets.
 class token_bucket {
 public:
-    /// Starts with one retry saved, so that a first failure may be retried.
+    /// The bucket starts with one token, so that a first failure can be
+    /// retried.
     token_bucket(retry_settings const& settings, instant now)
         : tokens_(std::min(1.0, settings.max_saved_retries))
         , refilled_at_(now) {}
 
-    /// A request (not a retry) was made.
+    /// Credits the bucket for a request that is not a retry.
     void deposit(retry_settings const& settings) noexcept {
         tokens_ = std::min(
             settings.max_saved_retries, tokens_ + settings.retries_per_request);
     }
-    /// @returns true when one retry may be taken now
+    /// Refills the bucket for the time since the last call.
+    /// @returns true when one retry is allowed now
     bool has_token(retry_settings const& settings, instant now) noexcept {
         std::chrono::duration<double> const elapsed = now - refilled_at_;
         double const refill = elapsed.count() * settings.min_retries_per_second;
@@ -54,7 +57,7 @@
         refilled_at_ = now;
         return tokens_ >= 1.0;
     }
-    /// Takes one retry; `has_token` must just have said true.
+    /// Consumes one token. `has_token` must have returned true just before.
     void consume_token() noexcept { tokens_ -= 1.0; }
 
 private:
@@ -62,11 +65,12 @@
     instant refilled_at_;
 };
 
-/// Token buckets by name; the one unused for longest makes room for a new one.
+/// Token buckets by name. When the map is full, the least recently used bucket
+/// is evicted for a new one.
 template <class Name>
 class bucket_map {
 public:
-    /// @returns the name's bucket, a new one when there is none
+    /// @returns the bucket of the name, created if absent
     token_bucket&
     at(Name const& name, retry_settings const& settings, instant now) {
         auto const found = index_.find(name);
@@ -82,7 +86,7 @@
         index_[name] = by_recency_.begin();
         return by_recency_.front().bucket;
     }
-    /// @returns how many buckets are kept
+    /// @returns how many buckets are in memory
     std::size_t size() const noexcept { return index_.size(); }
 
 private:
@@ -94,29 +98,33 @@
     std::map<Name, typename std::list<named_bucket>::iterator> index_;
 };
 
-/// Decides whether a retry may be made. Guards against the storm that shows
-/// when a failure domain falls: each failed request would come back as several,
-/// and the endpoints left would fail under them too. It holds since retries are
-/// paid from what requests put in: over any span, retries are at most
-/// ratio * requests + floor * seconds + max_saved_retries, for each endpoint
-/// and for each caller's group.
+/// Decides whether a retry is allowed. Guards against a retry storm after the
+/// failure of a failure domain: each failed request would be repeated several
+/// times, and the remaining endpoints would fail under that load too. Each
+/// retry consumes a token that requests or time have deposited, so that over
+/// any period the number of retries, for each endpoint and for each caller
+/// group, is at most
+/// `retries_per_request * requests + min_retries_per_second * seconds +
+/// max_saved_retries`.
 class retry_budget {
 public:
     explicit retry_budget(retry_settings const& settings)
         : settings_(settings) {}
 
-    /// A first attempt goes to an endpoint.
-    /// @param group whose request it is, such as the caller's API key
+    /// Credits the budgets for the first attempt of a request.
+    /// @param to    the endpoint that the attempt is sent to
+    /// @param group the caller group of the request, such as an API key
     void
     on_request(endpoint_id const& to, std::string const& group, instant now) {
         endpoints_.at(to, settings_, now).deposit(settings_);
         groups_.at(group, settings_, now).deposit(settings_);
     }
 
-    /// Takes one retry from both budgets, or from neither.
-    /// @param after the endpoint that the earlier attempt failed on
-    /// @param group whose request it is
-    /// @returns true when the retry may be made
+    /// Takes one retry from the endpoint's and the caller group's budget, or
+    /// from neither.
+    /// @param failed_endpoint the endpoint that the earlier attempt failed on
+    /// @param group           the caller group of the request
+    /// @returns true when the retry is allowed
     bool try_retry(
         endpoint_id const& failed_endpoint, std::string const& group,
         instant now) {
@@ -137,13 +145,13 @@
         return true;
     }
 
-    /// Spreads retries over time, so that requests that failed together do not
-    /// come back together.
+    /// Computes a random delay before a retry, so that requests that failed at
+    /// the same time are not retried at the same time.
     /// Reference: M. Brooker, "Exponential Backoff And Jitter", AWS
     /// Architecture Blog, 2015 ("full jitter").
-    /// @param retry  1 for a request's first retry
+    /// @param retry  number of the retry; 1 for the first retry of a request
     /// @param random seeded generator
-    /// @returns how long to wait
+    /// @returns the delay before the retry
     duration backoff(std::uint32_t retry, std::mt19937_64& random) const {
         constexpr std::uint32_t max_doublings = 16;
         std::uint32_t const doublings =
@@ -159,15 +167,15 @@
 
     /// @returns retries allowed so far
     std::uint64_t allowed() const noexcept { return allowed_; }
-    /// @returns retries refused since the endpoint's budget was empty
+    /// @returns retries refused because the endpoint's budget was empty
     std::uint64_t refused_by_endpoint() const noexcept {
         return refused_by_endpoint_;
     }
-    /// @returns retries refused since the caller group's budget was empty
+    /// @returns retries refused because the caller group's budget was empty
     std::uint64_t refused_by_group() const noexcept {
         return refused_by_group_;
     }
-    /// @returns caller groups that have a budget
+    /// @returns how many caller groups have a budget in memory
     std::size_t groups() const noexcept { return groups_.size(); }
 
 private:
--- a/src/Limits/service_messages.hpp
+++ b/src/Limits/service_messages.hpp
@@ -17,63 +17,65 @@
     request_id id;
     urgency how_urgent = urgency::normal;
     instant deadline;
-    /// Not to be tried again here, such as where the last attempt failed;
-    /// empty when any will do.
+    /// Endpoint to avoid if another one is available, such as the one that the
+    /// last attempt failed on; empty when there is none.
     endpoint_id avoid_endpoint;
 };
 
-/// A replica of a plain service, as the instance list has it.
+/// A replica of a plain service, as the platform's list of instances has it.
 struct service_endpoint {
     endpoint_id id;
     domain_id domain;
-    /// This node's share of the requests that it takes at a time; 0 when not
-    /// known.
+    /// This node's quota share of the replica's capacity, in concurrent
+    /// requests; 0 when not known.
     std::uint32_t capacity = 0;
-    /// A leaving endpoint gets no new work.
+    /// True while the replica shuts down: it gets no new requests.
     bool leaving = false;
 };
 
-/// How a dispatched request ended, as far as the endpoint is concerned.
+/// Outcome of a dispatched request, from the view of the endpoint's limits and
+/// health.
 enum class service_outcome : std::uint8_t {
     completed,
-    /// It refused for overload.
+    /// The endpoint refused the request for overload.
     overloaded,
     not_sent,
     failed,
     timed_out,
-    /// Cancelled from this side; says nothing of the endpoint.
+    /// Cancelled by this node; does not show the endpoint's health.
     cancelled
 };
 
-/// Send the request to the endpoint.
+/// Action: send the request to the endpoint.
 struct service_dispatch {
     request_id id;
     endpoint_id endpoint;
-    /// How long it was queued.
+    /// How long the request was queued.
     duration queued{};
 };
 
-/// Tell the caller "not run": the request was never dispatched.
+/// Action: answer the caller with "not run". The request was never dispatched.
 struct service_refusal {
     request_id id;
     reason why = reason::none;
     std::chrono::milliseconds retry_after{};
 };
 
-/// All that a service_router can ask for.
+/// Every action that a service_router can request.
 using service_action = std::variant<service_dispatch, service_refusal>;
 
-/// Bounds of a service_router.
+/// Queue bounds and time estimates of a service_router.
 struct service_settings {
-    /// The longest that a request of each urgency class is queued.
+    /// Longest time that a request is queued, by urgency class, most urgent
+    /// first.
     std::array<std::chrono::milliseconds, urgency_count> max_queue_time{
         std::chrono::milliseconds(5), std::chrono::milliseconds(5),
         std::chrono::milliseconds(200), std::chrono::milliseconds(1'000)};
-    /// Requests queued at the most, over all classes.
+    /// Most requests in the queue, over all classes.
     std::size_t max_queued = 1'024;
-    /// Service time that is assumed before any was measured.
+    /// Service time that is assumed until one has been measured.
     std::chrono::milliseconds initial_service_time{10};
-    /// The least that a refused caller is told to wait.
+    /// Shortest time after which a refused caller is asked to retry.
     std::chrono::milliseconds min_retry_after{100};
 };
 
--- a/src/Limits/service_queue.hpp
+++ b/src/Limits/service_queue.hpp
@@ -11,8 +11,8 @@
 
 namespace camphorpoint::internal {
 
-/// Requests that wait for a plain service: by urgency, and within one class by
-/// earliest deadline.
+/// Queue of requests for a plain service, ordered by urgency class and within a
+/// class by earliest deadline.
 class service_queue {
 public:
     struct entry {
@@ -28,7 +28,7 @@
         }
     };
 
-    /// Adds a request.
+    /// Adds a request to the queue.
     void push(service_request const& request, instant now) {
         class_of(request.how_urgent).insert({request, now, ++last_number_});
     }
@@ -41,7 +41,7 @@
         return count;
     }
     bool empty() const noexcept { return size() == 0; }
-    /// @returns how many requests of this class and more urgent ones wait
+    /// @returns how many requests of this and of more urgent classes are queued
     std::size_t ahead_of(urgency how_urgent) const noexcept {
         std::size_t count = 0;
         for (std::size_t each = 0; each <= index_of(how_urgent); ++each) {
@@ -49,9 +49,10 @@
         }
         return count;
     }
-    /// Takes the next request to dispatch. Every `fairness_interval`th goes to
-    /// the least urgent class that waits: strict order would starve it for good
-    /// while more urgent work fills the services.
+    /// Removes the next request to dispatch. Every `fairness_interval`th call
+    /// serves the least urgent class that has requests: strict priority would
+    /// starve that class while more urgent requests use all the capacity.
+    /// @returns the request; empty when the queue is empty
     std::optional<entry> pop() {
         bool const least_urgent_first = ++pop_count_ % fairness_interval == 0;
         for (std::size_t step = 0; step < urgency_count; ++step) {
@@ -65,7 +66,9 @@
         }
         return std::nullopt;
     }
-    /// Takes the request that can wait best, if it is less urgent.
+    /// Removes the request with the latest deadline from the least urgent class
+    /// that has requests, if that class is less urgent than this one.
+    /// @returns the request; empty when there is no less urgent one
     std::optional<entry> pop_less_urgent(urgency how_urgent) {
         for (std::size_t class_index = urgency_count - 1;
              class_index > index_of(how_urgent); --class_index) {
@@ -76,7 +79,8 @@
         }
         return std::nullopt;
     }
-    /// Takes out all requests for which a condition holds.
+    /// Removes all requests for which a condition holds.
+    /// @returns the removed requests, more urgent classes first
     template <class Condition>
     std::vector<entry> extract_if(Condition condition) {
         std::vector<entry> result;
--- a/src/Limits/service_router.hpp
+++ b/src/Limits/service_router.hpp
@@ -15,20 +15,25 @@
 
 namespace camphorpoint {
 
-/// Sends requests to the replicas of one plain service, within each replica's
-/// limit; queues a few for a short time and refuses the rest at once, as not
-/// run. A request is decided here alone: it is dispatched, refused or
-/// withdrawn, whichever comes first, so a refused one cannot run later.
+/// Dispatches requests to the replicas of one plain service, within the
+/// concurrency limit of each replica. Requests above the limits are queued for
+/// a short time, within bounds; the others are refused immediately as not run.
+/// Each request gets exactly one result here: it is dispatched, refused or
+/// withdrawn, whichever comes first, so that a refused request cannot run
+/// later.
+///
 /// Reference for the choice of replica: M. Mitzenmacher, "The power of two
 /// choices in randomized load balancing", IEEE TPDS 12(10), 2001.
-/// @tparam Limiter how many requests a replica gets at a time
+///
+/// @tparam Limiter limits the concurrent requests to a replica
 template <concurrency_limiter Limiter>
 class service_router {
 public:
-    /// @param settings bounds of the queue
-    /// @param health   when a replica is skipped
-    /// @param own      this node's failure domain, whose replicas are preferred
-    /// @param seed     of the choices between replicas
+    /// @param settings   bounds of the queue
+    /// @param health     when a replica is skipped
+    /// @param own_domain this node's failure domain, whose replicas are
+    ///                   preferred
+    /// @param seed       seed of the random choices between replicas
     service_router(
         service_settings const& settings, health_settings const& health,
         domain_id own_domain, std::uint64_t seed)
@@ -37,44 +42,51 @@
         , own_domain_(std::move(own_domain))
         , random_(seed) {}
 
-    /// Puts the list of replicas in force.
+    /// Replaces the list of replicas.
     void
     set_endpoints(std::vector<service_endpoint> const& endpoints, instant now);
-    /// Takes a request; a dispatch or a refusal follows.
+    /// Accepts a request. A dispatch or a refusal follows, unless the request
+    /// is withdrawn first.
     void submit(service_request const& request, instant now);
-    /// Takes a queued request back, as when its caller went away.
-    /// @returns true when it was queued: it does not run
+    /// Removes a queued request, for instance after its caller disconnected.
+    /// @returns true when the request was queued and therefore does not run
     bool withdraw(request_id const& id);
-    /// A dispatched request has ended.
+    /// Reports that a dispatched request has finished.
     void
     on_finished(request_id const& id, service_outcome outcome, instant now);
-    /// Refuses what has waited long enough, dispatches what can go.
+    /// Refuses queued requests that have waited too long or can no longer meet
+    /// their deadline, and dispatches those that a replica has capacity for.
     void on_tick(instant now);
 
-    /// @returns what is to be done, in order; empties the list
+    /// Removes the pending actions.
+    /// @returns the actions, in the order in which they are to be performed
     std::vector<service_action> take_actions() {
         return std::exchange(actions_, {});
     }
-    /// @returns requests queued
+    /// @returns how many requests are queued
     std::size_t queued() const noexcept { return queue_.size(); }
-    /// @returns requests in flight on a replica
+    /// @returns how many requests are in flight on a replica
     std::uint32_t in_flight(endpoint_id const& id) const {
         auto const found = replicas_.find(id);
         return found == replicas_.end() ? 0 : found->second.in_flight;
     }
-    /// @returns requests that a replica gets at a time; 0 when not listed
+    /// @returns the limit of concurrent requests to a replica; 0 when the
+    ///          replica is not listed
     double limit(endpoint_id const& id) const {
         auto const found = replicas_.find(id);
         return found == replicas_.end() ? 0.0 : found->second.limiter.limit();
     }
 
 private:
-    /// A replica elsewhere is chosen when it is emptier by this share of its
-    /// limit.
+    /// A replica in another failure domain is preferred only when its
+    /// utilization is lower by more than this fraction of its limit.
     static constexpr double remote_domain_penalty = 0.25;
+    /// Weight of a new sample in the mean service time.
     static constexpr double service_time_weight = 0.05;
 
-    /// A limit below one allows one at a time; the total holds it down.
+    /// Rounds a limit down to whole requests, but not below 1. Where the limits
+    /// of single replicas are below 1, the limit over all replicas bounds the
+    /// requests in flight.
     static std::uint32_t slot_count(double limit) noexcept {
         return std::max(1U, static_cast<std::uint32_t>(limit));
     }
@@ -130,8 +142,8 @@
 template <concurrency_limiter Limiter>
 void service_router<Limiter>::set_endpoints(
     std::vector<service_endpoint> const& endpoints, instant now) {
-    // One that is gone keeps its count while requests run on it, so that it
-    // does not seem empty when the lagging list shows it again.
+    // A replica that is no longer listed keeps its entry while requests run on
+    // it. Otherwise it would seem idle if an outdated list contained it again.
     for (auto& [id, each] : replicas_) {
         each.endpoint.leaving = true;
     }
@@ -157,8 +169,9 @@
         refuse(request.id, reason::no_endpoint, suggested_retry_after(now));
         return;
     }
-    // With nothing in flight no new measurement comes: after a slow spell all
-    // would be refused for good by an old mean. So one goes through then.
+    // While nothing is in flight, no service time is measured: after a slow
+    // period, the old mean would cause all requests to be refused permanently.
+    // Therefore a request is admitted then whatever the mean is.
     bool const idle = running_requests_.empty();
     if (!idle && now + service_time() > request.deadline) {
         refuse(
@@ -301,7 +314,9 @@
 void service_router<Limiter>::dispatch(
     service_request const& request, duration queued, instant now) {
     replica* const chosen = choose(request.avoid_endpoint, now);
-    assert(chosen != nullptr && "a replica must be free before a dispatch");
+    assert(
+        chosen != nullptr &&
+        "a dispatch needs a replica with available capacity");
     ++chosen->in_flight;
     chosen->health.on_dispatch(health_);
     running_requests_[request.id] = {chosen->endpoint.id, now};
@@ -346,7 +361,8 @@
     return slot_count(total);
 }
 
-/// What still runs on leaving replicas takes nothing from the others.
+/// Requests that still run on leaving replicas are not counted: they use no
+/// capacity of the other replicas.
 template <concurrency_limiter Limiter>
 std::uint32_t service_router<Limiter>::total_in_flight() const {
     std::uint32_t total = 0;
--- a/test/limits_retry_test.cpp
+++ b/test/limits_retry_test.cpp
@@ -13,15 +13,15 @@
 
 } // namespace
 
-// A failure domain falls, and all that is sent there fails. Each request would
-// be retried three times, and the load on what is left would be fourfold.
-TEST_CASE("a failing domain gets no storm") {
+// Guards against a retry storm: a failure domain fails, each request to it is
+// retried three times, and the load on the remaining endpoints is fourfold.
+TEST_CASE("a failing failure domain causes no retry storm") {
     retry_settings settings;
     retry_budget budget(settings);
     instant const start{};
     std::uint64_t requests = 0;
     std::uint64_t retries = 0;
-    // 60 s of 200 requests a second of 20 callers to 4 endpoints.
+    // 200 requests per second for 60 s, from 20 caller groups to 4 endpoints.
     for (int index = 0; index < 12'000; ++index) {
         instant const now = start + index * milliseconds(5);
         endpoint_id const to("e" + std::to_string(index % 4));
@@ -44,19 +44,19 @@
         3 * requests - retries);
 }
 
-TEST_CASE("retries in ordinary times") {
+TEST_CASE("retries while most requests succeed") {
     retry_settings settings;
     settings.max_budgets = 4;
     retry_budget budget(settings);
     instant const now{};
     endpoint_id const to("e");
 
-    SUBCASE("a quiet caller's first failure may be retried") {
+    SUBCASE("the first failure of a new caller group can be retried") {
         budget.on_request(to, "g", now);
         CHECK(budget.try_retry(to, "g", now));
         CHECK_FALSE(budget.try_retry(to, "g", now));
     }
-    SUBCASE("one caller's failures do not use up the others' budget") {
+    SUBCASE("one caller group's failures do not use the budget of others") {
         for (int index = 0; index < 100; ++index) {
             budget.on_request(to, "good", now);
         }
@@ -65,13 +65,13 @@
         CHECK(budget.refused_by_group() == 1);
         CHECK(budget.try_retry(to, "good", now));
     }
-    SUBCASE("budgets are bounded: the one unused for longest goes") {
+    SUBCASE("the number of budgets in memory is bounded") {
         for (int index = 0; index < 10; ++index) {
             budget.on_request(to, "g" + std::to_string(index), now);
         }
         CHECK(budget.groups() == 4);
     }
-    SUBCASE("backoff grows, is spread, and has an end") {
+    SUBCASE("backoff grows, is random, and has an upper bound") {
         std::mt19937_64 random(1);
         duration longest{};
         for (int index = 0; index < 1'000; ++index) {
--- a/test/limits_router_test.cpp
+++ b/test/limits_router_test.cpp
@@ -13,7 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// One node's router before two replicas that take one request each.
+/// One node's router with two replicas that take one request each: "near" is in
+/// the node's failure domain, "far" is not.
 struct router_fixture {
     router_fixture() { router.set_endpoints(list, now); }
     void submit(
@@ -58,20 +59,20 @@
 
 } // namespace
 
-TEST_CASE("a plain service within its limits") {
+TEST_CASE("service_router keeps to the limits of a plain service") {
     router_fixture fixture;
     fixture.submit("a");
     fixture.submit("b");
     REQUIRE(fixture.sent.size() == 2);
     CHECK(fixture.sent["a"] != fixture.sent["b"]);
 
-    SUBCASE("both are busy: a third waits its turn") {
+    SUBCASE("a request is queued while both replicas are at their limit") {
         fixture.submit("c");
         CHECK(fixture.router.queued() == 1);
         fixture.finish("a");
         CHECK(fixture.sent["c"] == fixture.sent["a"]);
     }
-    SUBCASE("the urgent go first, then the earlier deadline") {
+    SUBCASE("more urgent requests go first, then earlier deadlines") {
         fixture.submit("late", urgency::normal, seconds(20));
         fixture.submit("early", urgency::normal, seconds(10));
         fixture.submit("background", urgency::background);
@@ -84,7 +85,7 @@
             fixture.order ==
             std::vector<std::string>{"urgent", "early", "late", "background"});
     }
-    SUBCASE("a wait that cannot be kept short is refused at once") {
+    SUBCASE("a request whose queue time would be too long is refused") {
         fixture.advance(milliseconds(10));
         fixture.finish("a");
         fixture.submit("c");
@@ -93,25 +94,25 @@
         CHECK(fixture.refused["scan"].why == reason::limit_reached);
         CHECK(fixture.refused["scan"].retry_after > milliseconds(0));
     }
-    SUBCASE("a deadline that cannot be met is refused at once") {
+    SUBCASE("a request that would miss its deadline is refused") {
         fixture.submit("c", urgency::normal, milliseconds(5));
         CHECK(fixture.refused["c"].why == reason::deadline_unreachable);
     }
-    SUBCASE("what has waited too long is refused, and cannot run later") {
+    SUBCASE("a request that was queued too long is refused and never runs") {
         fixture.submit("c");
         fixture.advance(milliseconds(201));
         CHECK(fixture.refused["c"].why == reason::limit_reached);
         fixture.finish("a");
         CHECK_FALSE(fixture.sent.contains("c"));
     }
-    SUBCASE("what its caller took back does not run") {
+    SUBCASE("a withdrawn request does not run") {
         fixture.submit("c");
         CHECK(fixture.router.withdraw(request_id("c")));
         fixture.finish("a");
         CHECK_FALSE(fixture.sent.contains("c"));
         CHECK_FALSE(fixture.router.withdraw(request_id("a")));
     }
-    SUBCASE("the least urgent is not starved by a stream of normal work") {
+    SUBCASE("background requests are not starved by a stream of normal ones") {
         fixture.submit("low", urgency::background);
         std::string running = "a";
         for (int index = 0; index < 16; ++index) {
@@ -124,9 +125,10 @@
     }
 }
 
-// A replica leaves, and the lagging list shows it once more: nothing new goes
-// to it, and what runs there ends in peace.
-TEST_CASE("a replica leaves") {
+// Guards against new requests to a replica that shuts down, and against the
+// loss of those that still run on it: the list of replicas contains it until
+// they have finished.
+TEST_CASE("a leaving replica gets no new requests") {
     router_fixture fixture;
     fixture.submit("a");
     fixture.submit("b");
@@ -146,9 +148,10 @@
     CHECK(fixture.refused["d"].why == reason::no_endpoint);
 }
 
-// A replica that has room leaves while a request runs on it. It gets nothing
-// more, and what it still runs takes nothing from the room of the other.
-TEST_CASE("a replica with room leaves") {
+// Guards against requests to a leaving replica that still has capacity, and
+// against counting the request that runs on it against the capacity of the
+// other replica.
+TEST_CASE("a leaving replica with available capacity gets no new requests") {
     router_fixture fixture;
     for (service_endpoint& each : fixture.list) {
         each.capacity = 2;
@@ -169,9 +172,9 @@
     CHECK_FALSE(fixture.sent.contains("d"));
 }
 
-// A replica dies and answers each request with an error at once. Being always
-// idle, it would draw all the work.
-TEST_CASE("a replica fails again and again") {
+// Guards against a failed replica that answers each request with an error
+// immediately: since it is always idle, it would attract all requests.
+TEST_CASE("a replica that fails repeatedly is skipped") {
     router_fixture fixture;
     int to_near = 0;
     for (int index = 0; index < 100; ++index) {
@@ -183,12 +186,12 @@
             id, near ? service_outcome::failed : service_outcome::completed);
         fixture.advance(milliseconds(10));
     }
-    // Three failures, then a probe after each skip of 0.25 to 0.5 s, then up
+    // Three failures, then one probe after 0.25 to 0.5 s and the next after up
     // to 1 s.
     CHECK(to_near >= 4);
     CHECK(to_near <= 6);
 
-    SUBCASE("one probe at a time, and a good one ends the skipping") {
+    SUBCASE("one probe at a time; after a successful one it is used again") {
         fixture.advance(seconds(20));
         fixture.submit("p0");
         fixture.submit("p1");
@@ -200,9 +203,10 @@
     }
 }
 
-// A service was so slow for a while that the mean time is above all deadlines.
-// Refusing by that mean for good would keep anybody from seeing it recover.
-TEST_CASE("a service recovers from a slow spell") {
+// Guards against a service that is never used again after a slow period: when
+// the mean service time exceeds all deadlines and every request is refused for
+// it, no new service time is measured.
+TEST_CASE("a service is used again after a slow period") {
     router_fixture fixture;
     for (int index = 0; index < 50; ++index) {
         std::string const id = "r" + std::to_string(index);
@@ -214,9 +218,10 @@
     CHECK(fixture.sent.contains("c"));
 }
 
-// The capacity of a service halves for 30 s and comes back; nobody says so. Too
-// many requests would queue on its replicas, where nothing can shed them.
-TEST_CASE("scans do not queue when capacity shifts") {
+// Guards against long queues on the replicas of a service, where requests can
+// no longer be refused: its capacity halves for 30 s and recovers, without a
+// report to the routers.
+TEST_CASE("scans do not queue on a service whose capacity changes") {
     service_simulation<delay_based_limit>::setup setup;
     SUBCASE("through 3 nodes") {
         setup.nodes = 3;
@@ -238,7 +243,7 @@
     CHECK(back.p99_ms() < 20.0);
     CHECK(calm.refused_fraction() < 0.01);
     CHECK(back.refused_fraction() < 0.01);
-    // 1,800 a second meet a capacity of 1,500.
+    // 1,800 requests per second arrive at a capacity of 1,500 per second.
     CHECK(half.p99_ms() < 22.0);
     CHECK(half.completed > 25 * 1'200);
 }
--- a/test/limits_simulation.hpp
+++ b/test/limits_simulation.hpp
@@ -13,12 +13,13 @@
 
 namespace camphorpoint::test {
 
-/// What came of the requests that arrived in one span of time.
+/// Results of the requests that arrived in one period of the simulation.
 struct phase_result {
     std::uint32_t arrived = 0;
     std::uint32_t completed = 0;
     std::uint32_t refused = 0;
-    /// Waits in the router and in the service together, sorted.
+    /// Queue time of each completed request in the router and in the service
+    /// together, in ascending order.
     std::vector<duration> waits;
 
     double p99_ms() const {
@@ -33,8 +34,9 @@
     }
 };
 
-/// Several nodes send scans to the replicas of one service, on virtual time.
-/// A replica serves so many at a time and queues the rest, unseen.
+/// Simulates, in virtual time, several nodes that send scans to the replicas of
+/// one service. A replica runs as many requests concurrently as it has workers
+/// and queues the others; the routers do not see this queue.
 template <concurrency_limiter Limiter>
 class service_simulation {
 public:
@@ -42,7 +44,8 @@
         std::uint32_t nodes = 9;
         std::uint32_t replicas = 3;
         std::uint32_t workers = 8;
-        /// Told to the routers; 0 when the platform does not know it.
+        /// Capacity that the routers are given; 0 when the platform does not
+        /// know it.
         std::uint32_t reported_capacity = 0;
         double arrivals_per_second = 1'800.0;
         std::chrono::milliseconds mean_service{8};
@@ -71,13 +74,14 @@
         schedule(now_, kind::tick);
     }
 
-    /// The replicas' workers become so many each.
+    /// Sets the number of workers of each replica.
     void set_workers(std::uint32_t workers) {
         for (auto& [id, each] : replicas_) {
             each.workers = workers;
         }
     }
-    /// @returns what came of the requests of the next span
+    /// Continues the simulation for a period.
+    /// @returns the results of this period
     phase_result run(std::chrono::seconds span) {
         result_ = {};
         instant const end = now_ + span;
--- a/test/quota_shares_test.cpp
+++ b/test/quota_shares_test.cpp
@@ -34,7 +34,8 @@
     }
 }
 
-/// One thing that happens to the nodes and the ways between them.
+/// Injects one random fault: restarts of one, of half or of all nodes, another
+/// loss rate, or the isolation of a failure domain or its end.
 void inject_fault(
     membership_simulation& cluster, std::mt19937_64& random,
     std::uint64_t incarnation) {
@@ -65,9 +66,9 @@
 
 } // namespace
 
-// Guards against nodes that take too much of a common limit, since loss keeps
-// them from hearing of each other after a restart of all.
-TEST_CASE("shares add up to the limit at most on a way that loses datagrams") {
+// Guards against nodes that together exceed a common limit: after a restart of
+// all nodes, lost datagrams keep them from learning of each other.
+TEST_CASE("quota shares stay within the limit while datagrams are lost") {
     for (double const loss : {0.1, 0.3, 0.5}) {
         CAPTURE(loss);
         membership_simulation cluster(200, domains, partitions);
@@ -78,8 +79,9 @@
     }
 }
 
-// Guards against the same where one failure domain hears no other.
-TEST_CASE("shares add up to the limit at most while a domain is cut off") {
+// Guards against nodes that together exceed a common limit: after a restart of
+// all nodes, one failure domain receives no messages from the others.
+TEST_CASE("quota shares stay within the limit while a domain is isolated") {
     membership_simulation cluster(200, domains, partitions);
     cluster.run(seconds(5));
     cluster.isolated_domains = {domain_id("domain-0")};
@@ -89,15 +91,16 @@
     CHECK(max_sum_of_quota_shares(cluster, seconds(10)) <= full_limit);
 }
 
-TEST_CASE("shares add up to the limit at most at 400 nodes") {
+TEST_CASE("quota shares stay within the limit with 400 nodes") {
     membership_simulation cluster(400, domains, partitions);
     cluster.run(seconds(5));
     restart_all(cluster, 2);
     CHECK(max_sum_of_quota_shares(cluster, seconds(15)) <= full_limit);
 }
 
-// Guards against nodes that keep within the limit by using none of it.
-TEST_CASE("each node has a tenth of an equal share at the least") {
+// Guards against nodes that stay within the limit only because they use almost
+// none of it.
+TEST_CASE("each node has at least a tenth of an equal quota share") {
     for (std::size_t const count : {2U, 9U, 66U, 200U}) {
         CAPTURE(count);
         membership_simulation cluster(count, domains, partitions);
@@ -114,9 +117,9 @@
     }
 }
 
-// Guards against a node that can't send again since the holder it borrows from
-// has died.
-TEST_CASE("a node without a part borrows from another holder when one dies") {
+// Guards against a node that can no longer send requests because the node that
+// lends it a quota share has crashed.
+TEST_CASE("a node borrows from another node when its lender has crashed") {
     membership_simulation cluster(120, domains, partitions);
     cluster.run(seconds(12));
     for (std::size_t each = 0; each < partitions / 2; ++each) {
@@ -129,10 +132,11 @@
     CHECK(cluster.sum_of_quota_shares() <= full_limit);
 }
 
-// Guards against any order of restarts, losses and cuts that was not thought
-// of.
-TEST_CASE("shares add up to the limit at most whatever happens") {
-    // More by hand: LIMIT_SHARES_SEEDS names how many.
+// Guards against nodes that together exceed a common limit after a sequence of
+// restarts, losses and isolated domains that no other test covers.
+TEST_CASE("quota shares stay within the limit under random faults") {
+    // The environment variable LIMIT_SHARES_SEEDS sets the number of seeds, for
+    // longer runs by hand.
     char const* const seed_count = std::getenv("LIMIT_SHARES_SEEDS");
     std::uint64_t const seeds =
         seed_count == nullptr ? 10 : std::strtoull(seed_count, nullptr, 10);
