--- a/src/Placement/endpoint_table.cpp
+++ b/src/Placement/endpoint_table.cpp
@@ -28,8 +28,8 @@
     for (placement_endpoint const& each : endpoints) {
         present.push_back(add_or_update(each));
     }
-    // Positions stay valid, so an endpoint that left keeps its entry. Those
-    // are dropped by starting anew once they are the larger part.
+    // Positions must stay valid, so an endpoint that has left keeps its entry.
+    // Once such entries are the majority, the table is rebuilt without them.
     bool const rebuild = endpoints_.size() > 2 * endpoints.size() + 16;
     if (rebuild) {
         endpoints_.clear();
@@ -114,8 +114,9 @@
     }
     std::size_t const count = std::min(max_count, ranked.size());
     auto const end = ranked.begin() + static_cast<std::ptrdiff_t>(count);
-    // Positions depend on the order in which a node met the endpoints, so a
-    // tie is broken by their names: all nodes must agree.
+    // Ties are broken by endpoint id, because all nodes must agree on the
+    // ranking. Positions differ between nodes: they depend on the order in
+    // which a node first saw the endpoints.
     std::ranges::partial_sort(
         ranked, end, [&](scored const& left, scored const& right) {
             if (left.score != right.score) {
--- a/src/Placement/placement_impl.hpp
+++ b/src/Placement/placement_impl.hpp
@@ -10,11 +10,12 @@
 
 namespace camphorpoint {
 
-// How placement decides.
+// Member functions of the class template `placement`.
 
 namespace internal {
 
-/// @returns the part that is left after some time, with this half-life
+/// Exponential decay.
+/// @returns the weight of a value after this time, from 0 to 1
 inline double decay_weight(duration passed, duration half_life) {
     double const half_lives = static_cast<double>(passed.count()) /
                               static_cast<double>(half_life.count());
@@ -36,9 +37,10 @@
     , mean_service_seconds_(
           std::chrono::duration<double>(settings.service_time).count())
     , load_time_(settings.load_time) {
+    assert(settings.max_candidates > 0 && "max_candidates must be positive");
     assert(
-        settings.max_candidates > 0 && "a request needs a replica to ask at");
-    assert(settings.queue_half_life.count() > 0 && "a half-life is positive");
+        settings.queue_half_life.count() > 0 &&
+        "queue_half_life must be positive");
 }
 
 template <placement_policy Policy>
@@ -49,7 +51,7 @@
         max_batch_limit_ = std::max<double>(max_batch_limit_, each.batch_limit);
     }
     if (endpoints_.set(endpoints)) {
-        // Positions have changed their meaning.
+        // Hints and candidates refer to positions that are no longer valid.
         for (auto& [adapter, entry] : adapters_) {
             entry.hints.clear();
             entry.generation = 0;
@@ -70,8 +72,9 @@
     entry.last_use = now;
     std::uint64_t const generation = endpoints_.generation(model);
     if (entry.generation != generation || generation == 0) {
-        // Versions of an adapter share their replicas: their owners can then
-        // warm the newer one before the older is let go.
+        // All versions of an adapter have the same candidates, so that the
+        // replicas' owners can load the newer version before they unload the
+        // older one.
         std::uint64_t const key = hash_text(adapter.id.str());
         entry.candidates = endpoints_.top(model, key, settings_.max_candidates);
         entry.generation = generation;
@@ -99,8 +102,9 @@
 template <placement_policy Policy>
 duration placement<Policy>::decayed_wait(
     internal::known_endpoint const& each, instant now) const {
-    // Requests that went there since the last reply take its free places
-    // first, then its queue; a burst would otherwise all go to one replica.
+    // Requests sent to the replica since its last report are assumed to use its
+    // free batch slots first and then to queue. Otherwise all requests of a
+    // burst would go to one replica.
     std::uint32_t const limit = std::max(1U, each.endpoint.batch_limit);
     std::uint32_t const free_slots = limit - std::min(limit, each.running);
     std::uint32_t const queued_requests =
@@ -117,7 +121,7 @@
 template <placement_policy Policy>
 double placement<Policy>::batch_utilization(
     internal::known_endpoint const& each, instant now) const {
-    // Replicas of which nothing is known are taken as this busy.
+    // Assumed utilization of a replica without feedback.
     constexpr double unknown = 0.6;
     if (!each.last_feedback_at) {
         return unknown;
@@ -134,7 +138,8 @@
 double placement<Policy>::residency(
     adapter_entry const& entry, std::size_t candidate_index, std::size_t rank,
     instant now) const {
-    // Without word, the home is the best guess: other nodes send there too.
+    // Without a report, the preferred replica is the most likely one to have
+    // the adapter, because the other nodes send their requests there too.
     double const prior = rank == 0 ? 0.5 : 0.0;
     internal::endpoint_index const index = entry.candidates[candidate_index];
     auto const hint =
@@ -161,18 +166,19 @@
     if (demand.needed == 0) {
         demand.first_request_at = now;
     }
-    // A rate that decays takes some half-lives to be measured; until then it
-    // is too low, and requests would crowd on a few replicas.
+    // A decayed rate is too low until several half-lives have passed. Too few
+    // replicas would be used until then, and requests would queue on them.
     constexpr std::chrono::seconds measurement_time{90};
     if (now - demand.first_request_at < measurement_time) {
         demand.needed = usable;
         return usable;
     }
-    // Steps of an engine cost about the same full or empty, so that the same
-    // tokens take fewer steps on fewer engines. Requests that run at once are
-    // their rate times their length: J. D. C. Little, "A proof for the queuing
-    // formula L = lambda W", Operations Research 9(3), 1961. A request that is
-    // asked for several times counts once.
+    // A step of an engine costs about the same with a full and with an almost
+    // empty batch, so that the same tokens take fewer steps on fewer engines.
+    // The number of concurrent requests is their rate times their service time:
+    // J. D. C. Little, "A proof for the queuing formula L = lambda W",
+    // Operations Research 9(3), 1961. A request for which several replicas are
+    // tried counts once.
     double const choices_per_second =
         std::max(choice_rate_.per_second(now), 1e-9);
     double const first_choice_fraction =
@@ -183,8 +189,8 @@
     double const target =
         rate * mean_service_seconds_ /
         (settings_.target_batch_utilization * max_batch_limit_);
-    // More at once when they are needed, fewer only one by one: each replica
-    // that comes or goes moves some adapters.
+    // An increase takes effect immediately, a decrease one replica at a time:
+    // each replica that is added or removed moves some adapters.
     constexpr std::chrono::seconds reduction_interval{5};
     auto const current = static_cast<double>(demand.needed);
     if (target > current + 0.5) {
@@ -272,8 +278,9 @@
     }
     internal::known_endpoint& known = endpoints_.at(*index);
     known.wait = feedback.expected_wait;
-    // The replicas share the weight store: a long wait for it at one is no
-    // reason to load at another.
+    // One load time is kept for all replicas because they share the weight
+    // store: a long wait for the store on one replica is no reason to load the
+    // adapter on another.
     load_time_ = move_average(load_time_, feedback.expected_load);
     known.running = feedback.running;
     known.last_feedback_at = now;
@@ -314,9 +321,10 @@
 template <placement_policy Policy>
 void placement<Policy>::on_served(duration service_time) {
     service_time_ = move_average(service_time_, service_time);
-    // Lengths of answers vary widely, and the number of replicas in use must
-    // not follow each long one. The first ones count in full: too short a time
-    // taken for granted would crowd requests on a few replicas after a start.
+    // Answer lengths vary widely, and the number of replicas in use must not
+    // follow each long answer, so the mean covers many requests. The first
+    // measurement replaces the configured time: if that were too short,
+    // requests would queue on too few replicas after a start.
     constexpr double max_averaged_samples = 128;
     served_count_ = std::min(served_count_ + 1, max_averaged_samples);
     double const seconds = std::chrono::duration<double>(service_time).count();
--- a/src/Placement/placement_policy.hpp
+++ b/src/Placement/placement_policy.hpp
@@ -8,35 +8,37 @@
 
 namespace camphorpoint {
 
-/// What an entry node believes of a replica for one request.
+/// An entry node's estimates for one replica and one request.
 struct placement_candidate {
-    /// Place in the adapter's rendezvous order; 0 is its home.
+    /// Rank in the adapter's rendezvous order; 0 is its preferred replica.
     std::size_t rank = 0;
-    /// Expected wait of a request whose adapter is resident, aged.
+    /// Expected wait of a request whose adapter is resident; an older report
+    /// counts less.
     duration wait{};
-    /// Expected wait for a load.
+    /// Expected time of an adapter load.
     duration load{};
-    /// How full its batch is, from 0 to 1, aged.
+    /// Used fraction of the replica's batch, from 0 to 1; an older report
+    /// counts less.
     double batch_utilization = 0;
-    /// How sure it is that the adapter is resident, from 0 to 1.
+    /// Estimated probability that the adapter is resident, from 0 to 1.
     double residency = 0;
-    /// True when the prompt's prefix was cached there of late.
+    /// True when the replica has recently cached the prompt's prefix.
     bool prefix_cached = false;
     /// True when the replica is in this node's failure domain.
     bool same_domain = false;
-    /// True when the other replicas suffice for the demand.
+    /// True when the demand does not need this replica.
     bool spare = false;
 };
 
-/// What is asked for.
+/// What a request and the demand for its adapter require.
 struct placement_demand {
     urgency how_urgent = urgency::normal;
-    /// Copies that the measured demand needs.
+    /// Replicas that should have the adapter resident, by the measured demand.
     std::size_t target_replica_count = 1;
 };
 
-/// Says what a candidate costs; the cheapest is chosen, the earlier rank wins
-/// a tie.
+/// Policy that computes the cost of a candidate. The candidate with the lowest
+/// cost is chosen; of candidates with equal cost, the one with the lowest rank.
 template <class Policy>
 concept placement_policy = std::default_initializable<Policy> && requires(
     Policy const& policy, placement_candidate const& each,
@@ -44,22 +46,26 @@
     { policy.cost(each, demand) } -> std::convertible_to<duration>;
 };
 
-/// The least expected wait: where the adapter is resident unless its queue is
-/// longer than a load elsewhere would take.
+/// Chooses the replica with the least expected wait: one that has the adapter
+/// resident, unless its queue takes longer than a load on another replica.
 struct least_expected_wait {
-    /// What a cached prefix saves.
+    /// Time that a cached prefix saves.
     static constexpr std::chrono::milliseconds prefix_cache_saving{30};
-    /// Breaks ties in favour of the near replica.
+    /// Cost of a replica in another failure domain; small, so that it decides
+    /// only between otherwise equal replicas.
     static constexpr std::chrono::microseconds remote_domain_cost{500};
-    /// What a full batch costs: requests that come next would wait. Less full
-    /// batches cost far less, by the fourth power.
+    /// Cost of a replica with a full batch, since subsequent requests would
+    /// wait there. The cost grows with the fourth power of the utilization, so
+    /// that it is far smaller for a partly used batch.
     static constexpr std::chrono::milliseconds full_batch_cost{400};
-    /// Each place further down the order of an adapter that is not resident.
+    /// Cost per rank in the rendezvous order of an adapter that is not resident
+    /// on the replica.
     static constexpr std::chrono::milliseconds rank_cost{20};
-    /// A load elsewhere costs the store a load and some other adapter its
-    /// slot, so it must be worth this many times its time.
+    /// Weight of the load time on a replica beyond those that the demand needs.
+    /// Such a load uses the weight store and evicts another adapter, so it must
+    /// save this many times its duration.
     static constexpr double extra_load_weight = 2.0;
-    /// A spare replica is used when the others cost this much more.
+    /// Cost of a spare replica: it is used when the others cost more by this.
     static constexpr std::chrono::milliseconds spare_cost{200};
 
     duration
--- a/src/Placement/placement_settings.hpp
+++ b/src/Placement/placement_settings.hpp
@@ -7,30 +7,34 @@
 
 namespace camphorpoint {
 
-/// What an entry node tells its placement at the start.
+/// Settings of an entry node's placement.
 struct placement_settings {
     /// This node's failure domain.
     domain_id domain;
-    /// Replicas that are looked at for an adapter.
+    /// Replicas considered for an adapter.
     std::size_t max_candidates = 12;
-    /// Entry nodes that share the callers evenly; scales measured demand.
+    /// Entry nodes that the callers are spread over evenly. The demand measured
+    /// on this node is multiplied by it.
     std::size_t nodes = 1;
-    /// Share of a batch that one adapter may fill before it gets a copy.
+    /// Fraction of a batch that requests for one adapter may use before the
+    /// adapter is loaded on a further replica.
     double replication_batch_fraction = 0.5;
-    /// Replicas are left spare while the demand fills the others' batches less
-    /// than this; 0 uses all. Spare replicas' slots lie idle, so that fuller
-    /// steps are paid for with more loads.
+    /// Replicas stay spare while the demand uses less than this fraction of the
+    /// other replicas' batches; 0 uses all replicas. Fewer replicas run fuller
+    /// steps, but the adapter slots of spare replicas are unused, so that
+    /// adapters are loaded more often.
     double target_batch_utilization = 0;
-    /// After this time half of a reply's word on queues counts no more.
+    /// Half-life of the weight of a reported queue.
     std::chrono::milliseconds queue_half_life{5'000};
-    /// After this time half of a reply's word on residency counts no more.
+    /// Half-life of the weight of a reported residency.
     std::chrono::milliseconds residency_half_life{30'000};
-    /// A prefix hint is believed this long.
+    /// How long a prefix hint is valid.
     std::chrono::milliseconds prefix_hint_lifetime{60'000};
-    /// Prefix hints that are kept.
+    /// Most prefix hints in memory.
     std::size_t max_prefix_hints = 20'000;
-    /// Assumed until measured.
+    /// Service time of a request that is assumed until it is measured.
     std::chrono::milliseconds service_time{2'000};
+    /// Time of an adapter load that is assumed until it is measured.
     std::chrono::milliseconds load_time{400};
 };
 
--- a/src/Placement/prefix_hints.cpp
+++ b/src/Placement/prefix_hints.cpp
@@ -26,7 +26,8 @@
                          known->second.endpoint == endpoint &&
                          when >= known->second.when;
     if (applies) {
-        // The entry stays, out of date, until its turn in the order comes.
+        // The entry stays without an endpoint until it is the oldest one:
+        // `insertion_order_` still contains its prefix.
         known->second = {endpoint_id(), when};
     }
 }
--- a/src/Placement/prefix_hints.hpp
+++ b/src/Placement/prefix_hints.hpp
@@ -10,23 +10,26 @@
 
 namespace camphorpoint::internal {
 
-/// Where prompt prefixes were cached of late. Engines tell late and with gaps,
-/// so a hint is believed for a limited time only and never relied upon.
+/// Endpoints that have recently cached prompt prefixes. Engines report with
+/// delays and gaps, so a hint is valid for a limited time, and correctness
+/// never depends on it.
 class prefix_hints {
 public:
-    /// @param most   hints that are kept
-    /// @param memory how long a hint is believed
+    /// @param max_hints most hints in memory; the oldest is evicted first
+    /// @param lifetime  how long a hint is valid
     prefix_hints(std::size_t max_hints, duration lifetime)
         : max_hints_(max_hints)
         , lifetime_(lifetime) {}
 
-    /// The prefix was stored on the endpoint at this time.
+    /// Records that the endpoint stored the prefix at this time.
     void
     on_stored(std::uint64_t prefix, endpoint_id const& endpoint, instant when);
-    /// The prefix was dropped; an older word than what is known is skipped.
+    /// Records that the endpoint evicted the prefix at this time. Ignored when
+    /// the known hint is newer.
     void
     on_dropped(std::uint64_t prefix, endpoint_id const& endpoint, instant when);
-    /// @returns the endpoint, or nullptr when nothing fresh is known
+    /// @returns the endpoint that has the prefix, or nullptr when no valid hint
+    ///          is known
     endpoint_id const* find(std::uint64_t prefix, instant now) const;
 
 private:
@@ -38,7 +41,7 @@
     std::size_t max_hints_;
     duration lifetime_;
     std::unordered_map<std::uint64_t, hint> hints_;
-    /// Prefixes in the order in which they were first met.
+    /// Prefixes in the order in which they were first reported.
     std::deque<std::uint64_t> insertion_order_;
 };
 
--- a/src/Placement/rendezvous.hpp
+++ b/src/Placement/rendezvous.hpp
@@ -9,14 +9,14 @@
 
 namespace camphorpoint {
 
-/// Ranks members for a key by rendezvous hashing: each member's place depends
-/// on that member and the key alone, so that a member which comes or goes
-/// moves only the keys that it wins or held.
+/// Ranks members for a key by rendezvous hashing. A member's score depends only
+/// on that member and the key, so that adding or removing a member moves only
+/// the keys that this member gains or loses.
 /// Reference: D. G. Thaler, C. V. Ravishankar, "Using name-based mappings to
 /// increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998.
-/// @param key     what is placed
-/// @param members the identifiers to choose from, in any order
-/// @param most    how many to return
+/// @param key       the key to place
+/// @param members   the identifiers to choose from, in any order
+/// @param max_count how many to return
 /// @returns the members with the highest scores, best first
 template <class Id>
 std::vector<Id> rendezvous_top(
--- a/test/placement_test.cpp
+++ b/test/placement_test.cpp
@@ -30,7 +30,7 @@
     return {adapter_id(name), version};
 }
 
-/// An entry node's placement over 18 replicas, in virtual time.
+/// An entry node's placement with 18 replicas, in virtual time.
 class placement_fixture {
 public:
     placement_fixture()
@@ -66,12 +66,12 @@
 
 } // namespace
 
-TEST_CASE("an adapter has its home") {
+TEST_CASE("an adapter has a preferred replica") {
     placement_fixture fixture;
     adapter_ref const audit = adapter_named("audit");
     endpoint_id const preferred = *fixture.choose(audit);
 
-    SUBCASE("which another node finds as well, and so does another version") {
+    SUBCASE("it is the same on all nodes and for all versions") {
         placement_fixture other;
         std::ranges::reverse(other.endpoints);
         other.subject().set_endpoints(other.endpoints);
@@ -79,24 +79,25 @@
         CHECK(other.choose(adapter_named("audit", 2)) == preferred);
     }
 
-    SUBCASE("and is kept while its queue is short") {
+    SUBCASE("it is chosen while its queue is short") {
         fixture.feedback(preferred, audit, true, milliseconds(300));
         CHECK(fixture.choose(audit) == preferred);
     }
 
-    SUBCASE("a queue longer than a load elsewhere spills over") {
+    SUBCASE("another one is chosen when its queue takes longer than a load") {
         fixture.feedback(preferred, audit, true, milliseconds(5'000));
         CHECK(fixture.choose(audit) != preferred);
 
-        SUBCASE("which is forgotten after a while") {
+        SUBCASE("an old report of the queue no longer counts") {
             fixture.now += seconds(30);
             CHECK(fixture.choose(audit) == preferred);
         }
     }
 
-    // All replicas of a slow store seem slow; taking that for the fault of one
-    // replica sends its adapters to others, where each needs a further load.
-    SUBCASE("a long wait for the store moves no adapter") {
+    // While the weight store is slow, loads are slow on all replicas. If one
+    // replica were taken to be slow for it, its adapters would go to others,
+    // where each needs a further load.
+    SUBCASE("a slow weight store moves no adapter") {
         endpoint_id const second = *fixture.choose(audit, 0, {preferred});
         for (int count = 0; count < 50; ++count) {
             fixture.feedback(
@@ -107,14 +108,14 @@
         CHECK(fixture.choose(audit) == preferred);
     }
 
-    SUBCASE("a replica that was found to hold it is chosen") {
+    SUBCASE("a replica that has the adapter resident is chosen instead") {
         endpoint_id const second = *fixture.choose(audit, 0, {preferred});
         fixture.feedback(second, audit, true);
         fixture.feedback(preferred, audit, false);
         CHECK(fixture.choose(audit) == second);
     }
 
-    SUBCASE("a burst doesn't all go to one replica") {
+    SUBCASE("a burst of requests does not all go to one replica") {
         fixture.feedback(preferred, audit, true);
         bool spilled = false;
         for (int count = 0; count < 40; ++count) {
@@ -123,7 +124,7 @@
         CHECK(spilled);
     }
 
-    SUBCASE("a leaving or suspected replica gets nothing new") {
+    SUBCASE("a leaving or suspected replica gets no new requests") {
         auto const is_preferred = [&](auto const& each) {
             return each.id == preferred;
         };
@@ -135,7 +136,7 @@
         CHECK(fixture.choose(audit) == preferred);
     }
 
-    SUBCASE("replicas that refused are passed over, down to none") {
+    SUBCASE("excluded replicas are not chosen, even if none is left") {
         std::vector<endpoint_id> excluded;
         for (placement_endpoint const& each : fixture.endpoints) {
             excluded.push_back(each.id);
@@ -144,12 +145,13 @@
     }
 }
 
-// After one replica's failure hundreds of adapters are loaded again elsewhere
-// and all callers stall: the homes of adapters that it never had moved too.
-TEST_CASE("a replica that goes moves only its own adapters") {
+// Guards against a replica's failure that changes the preferred replica of
+// adapters it never had: hundreds of adapters would be loaded on other
+// replicas, and all callers would stall.
+TEST_CASE("removing a replica moves only its own adapters") {
     placement_fixture fixture;
     for (placement_endpoint& each : fixture.endpoints) {
-        // So large that no queue makes a request spill over.
+        // So large that no request goes to another replica because of a queue.
         each.batch_limit = 1'000;
     }
     fixture.subject().set_endpoints(fixture.endpoints);
@@ -174,11 +176,11 @@
     CHECK(moved > 0);
 }
 
-TEST_CASE("copies follow the measured demand") {
+TEST_CASE("an adapter in high demand uses further replicas") {
     placement_fixture fixture;
     adapter_ref const hot = adapter_named("hot");
     endpoint_id const preferred = *fixture.choose(hot);
-    // A short queue: not worth pushing another adapter out.
+    // The queue is too short to justify the eviction of another adapter.
     fixture.feedback(preferred, hot, true, milliseconds(300));
     CHECK(fixture.choose(hot) == preferred);
     for (int count = 0; count < 400; ++count) {
@@ -189,7 +191,7 @@
     CHECK(fixture.choose(hot) != preferred);
 }
 
-TEST_CASE("a cached prefix is a hint with an age") {
+TEST_CASE("a replica that has cached the prompt's prefix is preferred") {
     placement_fixture fixture;
     adapter_ref const audit = adapter_named("audit");
     endpoint_id const preferred = *fixture.choose(audit);
@@ -200,18 +202,18 @@
     fixture.subject().on_cache_event({second, 77, true, {}}, fixture.now);
     CHECK(fixture.choose(audit, 77) == second);
 
-    SUBCASE("an older word doesn't undo a newer one") {
+    SUBCASE("an older notification does not replace a newer one") {
         fixture.subject().on_cache_event(
             {second, 77, false, seconds(2)}, fixture.now);
         CHECK(fixture.choose(audit, 77) == second);
     }
 
-    SUBCASE("it is dropped when the engine says so") {
+    SUBCASE("the hint ends when the engine evicts the prefix") {
         fixture.subject().on_cache_event({second, 77, false, {}}, fixture.now);
         CHECK(fixture.choose(audit, 77) == preferred);
     }
 
-    SUBCASE("it is not believed for ever") {
+    SUBCASE("the hint expires") {
         fixture.now += seconds(61);
         fixture.feedback(preferred, audit, true);
         fixture.feedback(second, audit, true);
--- a/test/spare_replicas_test.cpp
+++ b/test/spare_replicas_test.cpp
@@ -16,7 +16,7 @@
 model_id const base{"base"};
 constexpr int adapters = 200;
 
-/// One entry node before 18 replicas, with requests that come evenly.
+/// One entry node with 18 replicas and requests at a constant rate.
 class steady_demand {
 public:
     explicit steady_demand(double target_batch_utilization)
@@ -33,7 +33,9 @@
         placement_.set_endpoints(list);
     }
 
-    /// Requests of one second each, answered at once.
+    /// Sends requests at this interval; feedback on each arrives at once and
+    /// reports a service time of 1 s.
+    /// @param wait expected wait that the replicas report
     /// @returns the replicas that were chosen
     std::set<endpoint_id>
     run(seconds length, milliseconds interval, milliseconds wait = {}) {
@@ -59,7 +61,8 @@
     static placement_settings settings_with(double target_batch_utilization) {
         placement_settings result;
         result.target_batch_utilization = target_batch_utilization;
-        // All are looked at, so that none is used for want of another.
+        // All replicas are candidates, so that a spare one is never chosen
+        // merely because no other replica is a candidate.
         result.max_candidates = 18;
         return result;
     }
@@ -71,8 +74,8 @@
 
 } // namespace
 
-TEST_CASE("a model's demand fills some replicas, and the rest is left spare") {
-    SUBCASE("by default as many are used later on as at first") {
+TEST_CASE("replicas that a model's demand does not need stay spare") {
+    SUBCASE("by default the replicas in use stay the same over time") {
         steady_demand demand(0);
         auto const at_first = demand.run(seconds(80), milliseconds(50));
         demand.run(seconds(300), milliseconds(50));
@@ -80,10 +83,10 @@
         CHECK(demand.run(seconds(80), milliseconds(50)) == at_first);
     }
 
-    // Right after a start the measured demand is far below the true one. All
-    // requests would crowd on one or two replicas and queue for minutes, while
-    // the others stand idle.
-    SUBCASE("none is spare before the demand has been measured") {
+    // Immediately after a start, the measured demand is far below the actual
+    // one. All requests would go to one or two replicas and queue there for
+    // minutes, while the others are idle.
+    SUBCASE("no replica is spare before the demand has been measured") {
         steady_demand demand(0.75);
         steady_demand without_spares(0);
         CHECK(
@@ -91,13 +94,15 @@
             without_spares.run(seconds(80), milliseconds(50)));
     }
 
-    SUBCASE("twenty requests of a second need one replica of 24 places") {
+    // One replica suffices for 20 concurrent requests: 0.75 of its 32 batch
+    // slots are 24.
+    SUBCASE("twenty requests per second of 1 s each use few replicas") {
         steady_demand demand(0.75);
         demand.run(seconds(300), milliseconds(50));
         auto const used = demand.run(seconds(30), milliseconds(50));
         CHECK(used.size() <= 3);
 
-        SUBCASE("and a queue there brings the others back at once") {
+        SUBCASE("spare replicas are used at once when requests queue") {
             auto const used_when_queueing =
                 demand.run(seconds(5), milliseconds(50), milliseconds(1'500));
             CHECK(used_when_queueing.size() > used.size());
