--- a/src/Placement/rendezvous.hpp
+++ b/src/Placement/rendezvous.hpp
@@ -9,18 +9,19 @@
 
 namespace camphorpoint {
 
-/// Ranks members for a key by rendezvous hashing: each member's place depends
-/// on that member and the key alone, so that a member which comes or goes
-/// moves only the keys that it wins or held.
+/// Ranks members for a key by rendezvous hashing. A member's score depends only
+/// on that member and the key, so that adding or removing a member moves only
+/// the keys that this member gains or loses.
 /// Reference: D. G. Thaler, C. V. Ravishankar, "Using name-based mappings to
 /// increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998.
-/// @param key     what is placed
-/// @param members the identifiers to choose from, in any order
-/// @param most    how many to return
+/// @param key       the key to place
+/// @param members   the identifiers to choose from, in any order
+/// @param max_count how many to return
 /// @returns the members with the highest scores, best first
 template <class Id>
 std::vector<Id> rendezvous_top(
-    std::string_view key, std::vector<Id> const& members, std::size_t most) {
+    std::string_view key, std::vector<Id> const& members,
+    std::size_t max_count) {
     struct scored {
         std::uint64_t score;
         Id const* id;
@@ -32,7 +33,7 @@
         std::uint64_t const member_hash = hash_text(each.str());
         ranked.push_back({combine_hashes(key_hash, member_hash), &each});
     }
-    std::size_t const count = std::min(most, ranked.size());
+    std::size_t const count = std::min(max_count, ranked.size());
     auto const better = [](scored const& left, scored const& right) {
         if (left.score != right.score) {
             return left.score > right.score;
