--- a/src/Membership/endpoint_table.cpp
+++ b/src/Membership/endpoint_table.cpp
@@ -2,79 +2,80 @@
 
 namespace camphorpoint {
 
-std::vector<endpoint_id> endpoint_table::on_list(
+std::vector<endpoint_id> endpoint_table::apply_list(
     std::vector<endpoint_instance> const& list, instant now) {
-    std::vector<endpoint_id> news;
+    std::vector<endpoint_id> newly_leaving;
     for (auto& [id, each] : entries_) {
-        each.seen = false;
+        each.in_new_list = false;
     }
     for (endpoint_instance const& each : list) {
-        entry& place = entries_[each.id];
-        place.seen = true;
-        if (!place.listed || place.instance != each) {
+        entry& item = entries_[each.id];
+        item.in_new_list = true;
+        if (!item.listed || item.instance != each) {
             ++change_count_;
         }
-        place.listed = true;
-        place.instance = each;
-        if (each.state == instance_state::leaving && leaving(each.id, now)) {
-            news.push_back(each.id);
+        item.listed = true;
+        item.instance = each;
+        if (each.state == instance_state::leaving &&
+            report_leaving(each.id, now)) {
+            newly_leaving.push_back(each.id);
         }
     }
-    unlist();
-    return news;
+    remove_unlisted();
+    return newly_leaving;
 }
 
 // An endpoint that was gone from the list and comes back is a new start of it;
 // only a list that named it all along can be late.
-void endpoint_table::unlist() {
-    for (auto entry_at = entries_.begin(); entry_at != entries_.end();) {
-        entry& each = entry_at->second;
+void endpoint_table::remove_unlisted() {
+    for (auto position = entries_.begin(); position != entries_.end();) {
+        entry& each = position->second;
         bool const was_listed = each.listed;
-        if (!each.seen && was_listed) {
-            entry_at = entries_.erase(entry_at);
+        if (!each.in_new_list && was_listed) {
+            position = entries_.erase(position);
             ++change_count_;
         } else {
-            ++entry_at;
+            ++position;
         }
     }
 }
 
-bool endpoint_table::leaving(endpoint_id const& endpoint, instant now) {
-    entry& place = entries_[endpoint];
-    bool const news = !place.leaving_until;
-    if (news) {
-        place.leaving_until = now + settings_.leaving_report_lifetime;
+bool endpoint_table::report_leaving(endpoint_id const& endpoint, instant now) {
+    entry& item = entries_[endpoint];
+    bool const is_new = !item.leaving_until;
+    if (is_new) {
+        item.leaving_until = now + settings_.leaving_report_lifetime;
         ++change_count_;
     }
-    return news;
+    return is_new;
 }
 
-void endpoint_table::called(
+void endpoint_table::record_call(
     endpoint_id const& endpoint, bool succeeded, instant now) {
     auto const found = entries_.find(endpoint);
     if (found == entries_.end()) {
         return;
     }
-    entry& place = found->second;
+    entry& item = found->second;
     if (succeeded) {
-        change_count_ += place.avoid_until ? 1 : 0;
-        place.failures = 0;
-        place.avoid_until.reset();
+        change_count_ += item.avoid_until ? 1 : 0;
+        item.failures = 0;
+        item.avoid_until.reset();
         return;
     }
-    ++place.failures;
-    if (place.failures >= settings_.endpoint_failure_threshold) {
-        change_count_ += place.avoid_until ? 0 : 1;
-        place.avoid_until = now + settings_.endpoint_retry_delay;
-        note_end(*place.avoid_until);
+    ++item.failures;
+    if (item.failures >= settings_.endpoint_failure_threshold) {
+        change_count_ += item.avoid_until ? 0 : 1;
+        item.avoid_until = now + settings_.endpoint_retry_delay;
+        schedule_retry_check(*item.avoid_until);
     }
 }
 
 void endpoint_table::on_tick(instant now) {
-    if (!next_end_ || now < *next_end_) {
+    if (!next_retry_check_ || now < *next_retry_check_) {
         return;
     }
-    next_end_.reset();
+    next_retry_check_.reset();
     for (auto& [id, each] : entries_) {
         if (!each.avoid_until) {
             continue;
@@ -84,33 +85,33 @@
             each.avoid_until.reset();
             ++change_count_;
         } else {
-            note_end(*each.avoid_until);
+            schedule_retry_check(*each.avoid_until);
         }
     }
 }
 
-void endpoint_table::end_holds(instant now) {
-    for (auto entry_at = entries_.begin(); entry_at != entries_.end();) {
-        entry& each = entry_at->second;
-        bool const over = each.leaving_until && now >= *each.leaving_until;
-        bool const says_live =
+void endpoint_table::expire_leaving_reports(instant now) {
+    for (auto position = entries_.begin(); position != entries_.end();) {
+        entry& each = position->second;
+        bool const expired = each.leaving_until && now >= *each.leaving_until;
+        bool const listed_as_live =
             each.listed && each.instance.state == instance_state::live;
-        if (over && says_live) {
+        if (expired && listed_as_live) {
             each.leaving_until.reset();
             ++change_count_;
         }
-        entry_at = over && !each.listed ? entries_.erase(entry_at)
-                                        : std::next(entry_at);
+        position = expired && !each.listed ? entries_.erase(position)
+                                           : std::next(position);
     }
 }
 
-void endpoint_table::note_end(instant end) {
-    if (!next_end_ || end < *next_end_) {
-        next_end_ = end;
+void endpoint_table::schedule_retry_check(instant retry_at) {
+    if (!next_retry_check_ || retry_at < *next_retry_check_) {
+        next_retry_check_ = retry_at;
     }
 }
 
-std::vector<endpoint_instance> endpoint_table::live() const {
+std::vector<endpoint_instance> endpoint_table::live_endpoints() const {
     std::vector<endpoint_instance> result;
     for (auto const& [id, each] : entries_) {
         if (state_of(each) == endpoint_state::live) {
@@ -126,16 +127,16 @@
                                    : state_of(found->second);
 }
 
-endpoint_state endpoint_table::state_of(entry const& which) {
-    bool const says_leaving =
-        which.listed && which.instance.state == instance_state::leaving;
-    if (which.leaving_until || says_leaving) {
+endpoint_state endpoint_table::state_of(entry const& item) {
+    bool const listed_as_leaving =
+        item.listed && item.instance.state == instance_state::leaving;
+    if (item.leaving_until || listed_as_leaving) {
         return endpoint_state::leaving;
     }
-    if (!which.listed) {
+    if (!item.listed) {
         return endpoint_state::gone;
     }
-    return which.avoid_until ? endpoint_state::suspect : endpoint_state::live;
+    return item.avoid_until ? endpoint_state::suspect : endpoint_state::live;
 }
 
 endpoint_instance const*
--- a/src/Membership/endpoint_table.hpp
+++ b/src/Membership/endpoint_table.hpp
@@ -33,19 +33,19 @@
     /// Takes a new list.
     /// @returns the endpoints that the list itself newly reports as leaving
     std::vector<endpoint_id>
-    on_list(std::vector<endpoint_instance> const& list, instant now);
+    apply_list(std::vector<endpoint_instance> const& list, instant now);
     /// Takes a report that an endpoint leaves.
     /// @returns true when it is news
-    bool leaving(endpoint_id const& endpoint, instant now);
+    bool report_leaving(endpoint_id const& endpoint, instant now);
     /// Takes the end of a direct call.
-    void called(endpoint_id const& endpoint, bool succeeded, instant now);
+    void record_call(endpoint_id const& endpoint, bool succeeded, instant now);
     /// Lets reports end that the list has contradicted for long enough.
-    void end_holds(instant now);
+    void expire_leaving_reports(instant now);
     /// Lets suspect endpoints be tried again.
     void on_tick(instant now);
 
     /// @returns endpoints that may get new work, in the order of their names
-    std::vector<endpoint_instance> live() const;
+    std::vector<endpoint_instance> live_endpoints() const;
     /// @returns the endpoint's state
     endpoint_state state_of(endpoint_id const& endpoint) const;
     /// @returns the endpoint's data; null when the list never named it
@@ -58,21 +58,21 @@
         endpoint_instance instance;
         bool listed = false;
         /// Whether the list that is being read names it.
-        bool seen = false;
+        bool in_new_list = false;
         /// A report beats a list that says live until then.
         std::optional<instant> leaving_until;
         std::size_t failures = 0;
         std::optional<instant> avoid_until;
     };
 
-    static endpoint_state state_of(entry const& which);
-    void unlist();
-    void note_end(instant end);
+    static endpoint_state state_of(entry const& item);
+    void remove_unlisted();
+    void schedule_retry_check(instant retry_at);
 
     membership_settings settings_;
     std::map<endpoint_id, entry> entries_;
     std::uint64_t change_count_ = 0;
-    std::optional<instant> next_end_;
+    std::optional<instant> next_retry_check_;
 };
 
 } // namespace camphorpoint
--- a/src/Membership/membership.cpp
+++ b/src/Membership/membership.cpp
@@ -11,11 +11,11 @@
     std::uint64_t start_time_ms, std::mt19937_64 random)
     : settings_(settings)
     , self_(std::move(self))
-    , at_{start_time_ms, 0}
+    , incarnation_{start_time_ms, 0}
     , random_(random)
     , endpoints_(settings)
-    , shares_(self_.id, settings.quota_unit_count, settings.quota_loans) {
-    tell_self();
+    , quota_shares_(self_.id, settings.quota_unit_count, settings.quota_loans) {
+    queue_own_update();
 }
 
 void membership::on_instance_list(instance_list const& list, instant now) {
@@ -26,53 +26,53 @@
     }
     for (node_instance const& each : list.nodes) {
         if (each.id != self_.id) {
-            list_node(each, now);
+            apply_listed_node(each, now);
         }
     }
-    drop_unlisted();
-    for (endpoint_id const& each : endpoints_.on_list(list.endpoints, now)) {
+    remove_unlisted_nodes();
+    for (endpoint_id const& each : endpoints_.apply_list(list.endpoints, now)) {
         updates_.add({update_kind::endpoint_leaving, each.str(), {}, {}, {}});
     }
-    endpoints_.end_holds(now);
+    endpoints_.expire_leaving_reports(now);
 }
 
 // A node that was found dead stays dead whatever the list says, since the list
 // is late: only the node itself can say otherwise.
-void membership::list_node(node_instance const& node, instant /*now*/) {
-    auto const [place, added] = members_.try_emplace(node.id);
-    member& who = place->second;
-    who.seen = true;
-    if (added || who.instance != node) {
+void membership::apply_listed_node(node_instance const& node, instant /*now*/) {
+    auto const [entry, added] = members_.try_emplace(node.id);
+    member& peer = entry->second;
+    peer.in_new_list = true;
+    if (added || peer.instance != node) {
         ++change_count_;
     }
-    who.instance = node;
+    peer.instance = node;
     if (added) {
-        order_.clear();
+        sorted_ids_.clear();
     }
-    bool const leaves = node.state == instance_state::leaving;
-    if (leaves && who.state != node_state::dead &&
-        who.state != node_state::leaving) {
-        set_state(who, node_state::leaving);
-        tell(who);
+    bool const is_leaving = node.state == instance_state::leaving;
+    if (is_leaving && peer.state != node_state::dead &&
+        peer.state != node_state::leaving) {
+        set_state(peer, node_state::leaving);
+        queue_update(peer);
     }
 }
 
-void membership::drop_unlisted() {
-    for (auto place = members_.begin(); place != members_.end();) {
-        member& who = place->second;
-        if (std::exchange(who.seen, false)) {
-            ++place;
+void membership::remove_unlisted_nodes() {
+    for (auto entry = members_.begin(); entry != members_.end();) {
+        member& peer = entry->second;
+        if (std::exchange(peer.in_new_list, false)) {
+            ++entry;
             continue;
         }
-        suspects_.erase(place->first);
-        rounds_.heard(place->first);
-        place = members_.erase(place);
-        order_.clear();
+        suspects_.erase(entry->first);
+        pending_probes_.complete(entry->first);
+        entry = members_.erase(entry);
+        sorted_ids_.clear();
         ++change_count_;
     }
-    if (order_.empty()) {
-        for (auto const& [id, who] : members_) {
-            order_.push_back(id);
+    if (sorted_ids_.empty()) {
+        for (auto const& [id, peer] : members_) {
+            sorted_ids_.push_back(id);
         }
     }
 }
@@ -88,31 +88,32 @@
 
 void membership::on_peer_message(node_id const& peer, instant /*now*/) {
     if (settings_.source == member_source::gossip && peer != self_.id) {
-        meet(peer, {});
+        add_or_update_member(peer, {});
     }
-    rounds_.heard(peer);
+    pending_probes_.complete(peer);
     probe_soon_.erase(peer);
 }
 
 void membership::report_endpoint_leaving(
     endpoint_id const& endpoint, instant now) {
-    if (!endpoints_.leaving(endpoint, now)) {
+    if (!endpoints_.report_leaving(endpoint, now)) {
         return;
     }
-    say(event_code::endpoint_leaving, log_level::info,
+    add_log_event(
+        event_code::endpoint_leaving, log_level::info,
         fmt::format("endpoint={}", endpoint.str()));
     updates_.add({update_kind::endpoint_leaving, endpoint.str(), {}, {}, {}});
 }
 
 void membership::on_endpoint_call(
     endpoint_id const& endpoint, bool succeeded, instant now) {
-    endpoints_.called(endpoint, succeeded, now);
+    endpoints_.record_call(endpoint, succeeded, now);
 }
 
 void membership::start_leaving(instant /*now*/) {
     leaving_ = true;
     ++change_count_;
-    tell_self();
+    queue_own_update();
 }
 
 void membership::on_tick(instant now) {
@@ -125,21 +126,21 @@
         last_tick_ && now - *last_tick_ >= settings_.leaving_report_lifetime;
     last_tick_ = now;
     if (paused) {
-        rounds_ = pending_probes();
+        pending_probes_ = pending_probes();
     }
     if (long_paused) {
         updates_.clear();
-        tell_self();
+        queue_own_update();
     }
     endpoints_.on_tick(now);
-    forget_dead(now);
-    send_greetings();
-    ask_for_share(now);
-    ask_again(now);
-    spread_urgent();
-    run_probes(now);
-    check_suspicions(now);
-    probe_round(now);
+    remove_expired_dead(now);
+    send_announcements();
+    request_quota_loan(now);
+    retry_member_list_request(now);
+    send_urgent_updates();
+    process_pending_probes(now);
+    confirm_suspicions(now);
+    start_probe_round(now);
 }
 
 std::vector<membership_action> membership::take_actions() {
@@ -150,18 +151,19 @@
     std::vector<live_node> result;
     result.reserve(members_.size() + 1);
     live_node const own{
-        self_.id, self_.domain, self_.peer_address, at_.start_time_ms,
+        self_.id, self_.domain, self_.peer_address, incarnation_.start_time_ms,
         leaving_};
     bool own_added = false;
-    for (auto const& [id, who] : members_) {
+    for (auto const& [id, peer] : members_) {
         if (!own_added && self_.id < id) {
             result.push_back(own);
             own_added = true;
         }
-        if (who.state != node_state::dead) {
+        if (peer.state != node_state::dead) {
             result.push_back(
-                {id, who.instance.domain, who.instance.peer_address,
-                 who.at.start_time_ms, who.state == node_state::leaving});
+                {id, peer.instance.domain, peer.instance.peer_address,
+                 peer.known_incarnation.start_time_ms,
+                 peer.state == node_state::leaving});
         }
     }
     if (!own_added) {
@@ -197,7 +199,7 @@
 }
 
 std::vector<endpoint_instance> membership::live_endpoints() const {
-    return endpoints_.live();
+    return endpoints_.live_endpoints();
 }
 
 endpoint_state membership::state_of(endpoint_id const& endpoint) const {
@@ -208,7 +210,8 @@
     return endpoints_.find(endpoint);
 }
 
-void membership::say(event_code code, log_level level, std::string detail) {
+void membership::add_log_event(
+    event_code code, log_level level, std::string detail) {
     actions_.push_back(log_event{code, level, std::move(detail)});
 }
 
--- a/src/Membership/membership.hpp
+++ b/src/Membership/membership.hpp
@@ -76,8 +76,8 @@
     /// @param own     those of this node
     /// @param holders the nodes that have any
     void on_quota_units_assigned(
-        std::vector<std::size_t> const& own, std::vector<node_id> holders,
-        instant now);
+        std::vector<std::size_t> const& own_units,
+        std::vector<node_id> unit_holders, instant now);
     /// This node begins a planned stop and says so.
     void start_leaving(instant now);
     /// Time has passed.
@@ -124,101 +124,106 @@
     struct member {
         node_instance instance;
         /// Whether the list that is being read names it.
-        bool seen = false;
+        bool in_new_list = false;
         node_state state = node_state::live;
-        incarnation at;
+        incarnation known_incarnation;
         /// Whose own probes of it failed.
-        std::set<node_id> accusers;
+        std::set<node_id> suspected_by;
         /// When the suspicion ends in death.
         instant suspect_until;
         instant dead_since;
     };
 
-    member& meet(node_id const& id, node_attributes const& of);
-    void met(node_id const& from, incarnation at, node_attributes const& of);
-    node_attributes own_words() const;
+    member&
+    add_or_update_member(node_id const& id, node_attributes const& attributes);
+    void record_sender(
+        node_id const& from, incarnation at, node_attributes const& attributes);
+    node_attributes own_attributes() const;
     static bool
-    goes_before(node_instance const& left, node_instance const& right);
-    void compare(node_id const& with, member_digest theirs, instant now);
-    void ask_names(node_id const& of, node_id const& after, instant now);
-    void ask_again(instant now);
-    void forget_dead(instant now);
-    void send_greetings();
-    void ask_for_share(instant now);
-    void outlive(incarnation former);
-    std::chrono::milliseconds ask_pause(member_digest theirs) const;
-    void list_node(node_instance const& node, instant now);
-    void drop_unlisted();
+    ranks_before(node_instance const& left, node_instance const& right);
+    void compare_digests(
+        node_id const& peer, member_digest peer_digest, instant now);
+    void
+    request_member_list(node_id const& peer, node_id const& after, instant now);
+    void retry_member_list_request(instant now);
+    void remove_expired_dead(instant now);
+    void send_announcements();
+    void request_quota_loan(instant now);
+    void supersede_former_process(incarnation former);
+    std::chrono::milliseconds sync_interval(member_digest peer_digest) const;
+    void apply_listed_node(node_instance const& node, instant now);
+    void remove_unlisted_nodes();
     void apply(membership_update const& update, instant now);
     void apply_to_self(membership_update const& update);
-    void apply_alive(member& who, membership_update const& update);
+    void apply_alive(member& peer, membership_update const& update);
     void
-    apply_suspect(member& who, membership_update const& update, instant now);
-    void apply_dead(member& who, membership_update const& update, instant now);
-    void apply_leaving(member& who, membership_update const& update);
-    void set_state(member& who, node_state state);
-    void tell(member const& who);
-    void tell_self();
-    membership_update update_of(member const& who) const;
-    void heard(node_id const& from, incarnation at);
-    void accuse(node_id const& target, instant now);
-    void check_suspicions(instant now);
-    void probe_round(instant now);
-    void run_probes(instant now);
-    void spread_urgent();
+    apply_suspect(member& peer, membership_update const& update, instant now);
+    void apply_dead(member& peer, membership_update const& update, instant now);
+    void apply_leaving(member& peer, membership_update const& update);
+    void set_state(member& peer, node_state state);
+    void queue_update(member const& peer);
+    void queue_own_update();
+    membership_update make_update(member const& peer) const;
+    void record_alive(node_id const& from, incarnation at);
+    void suspect_node(node_id const& target, instant now);
+    void confirm_suspicions(instant now);
+    void start_probe_round(instant now);
+    void process_pending_probes(instant now);
+    void send_urgent_updates();
     void probe_node(node_id const& target, instant now);
     std::vector<node_id> neighbours() const;
-    std::vector<node_id> pick_random(std::size_t count, bool dead_too);
-    static bool accused(member const& who) noexcept;
+    std::vector<node_id> pick_random(std::size_t count, bool include_dead);
+    static bool is_suspect_or_dead(member const& peer) noexcept;
     template <class Message>
     void send(
         node_id const& to, std::string const& address, Message message,
-        std::size_t most_updates);
+        std::size_t max_updates);
     void
-    send_to_member(node_id const& to, probe message, std::size_t most_updates);
-    void on_message(probe const& message, instant now);
-    void on_message(probe_ack const& message, instant now);
-    void on_message(probe_request const& message, instant now);
-    void on_message(member_list_request const& message, instant now);
-    void on_message(member_list_page const& message, instant now);
-    void on_message(quota_loan_request const& message, instant now);
-    void on_message(quota_loan_reply const& message, instant now);
-    void say(event_code code, log_level level, std::string detail);
+    send_to_member(node_id const& to, probe message, std::size_t max_updates);
+    void handle_message(probe const& message, instant now);
+    void handle_message(probe_ack const& message, instant now);
+    void handle_message(probe_request const& message, instant now);
+    void handle_message(member_list_request const& message, instant now);
+    void handle_message(member_list_page const& message, instant now);
+    void handle_message(quota_loan_request const& message, instant now);
+    void handle_message(quota_loan_reply const& message, instant now);
+    void add_log_event(event_code code, log_level level, std::string detail);
 
     membership_settings settings_;
     node_instance self_;
-    incarnation at_;
+    incarnation incarnation_;
     bool leaving_ = false;
     std::mt19937_64 random_;
     std::map<node_id, member> members_;
     /// The other nodes' names in order, rebuilt when members come or go.
-    std::vector<node_id> order_;
+    std::vector<node_id> sorted_ids_;
     std::set<node_id> suspects_;
     endpoint_table endpoints_;
     update_queue updates_;
-    pending_probes rounds_;
+    pending_probes pending_probes_;
     std::set<node_id> probe_soon_;
     /// Named by the platform, and not yet told that this node is there.
-    std::vector<node_id> greet_;
+    std::vector<node_id> unannounced_;
     std::vector<membership_action> actions_;
-    std::optional<instant> next_round_;
+    std::optional<instant> next_probe_round_;
     std::optional<instant> last_tick_;
     /// When this node asked for names last.
-    std::optional<instant> asked_;
+    std::optional<instant> last_list_request_;
     /// The name after which names were asked for; none when they have come.
-    std::optional<node_id> asked_after_;
-    std::size_t times_asked_ = 0;
-    instant dead_looked_at_;
+    std::optional<node_id> list_request_after_;
+    std::size_t list_request_count_ = 0;
+    instant last_dead_check_;
     mutable member_digest digest_;
     mutable std::size_t rank_ = 0;
     /// The counts of changes that these were found at.
-    mutable std::uint64_t rank_of_ = std::numeric_limits<std::uint64_t>::max();
-    mutable std::uint64_t digest_of_ =
+    mutable std::uint64_t rank_change_count_ =
+        std::numeric_limits<std::uint64_t>::max();
+    mutable std::uint64_t digest_change_count_ =
         std::numeric_limits<std::uint64_t>::max();
-    quota_shares shares_;
+    quota_shares quota_shares_;
     /// The most nodes that a peer has lately known, and when it said so.
-    std::uint32_t most_told_ = 0;
-    instant most_told_at_;
+    std::uint32_t max_peer_count_ = 0;
+    instant max_peer_count_at_;
     std::uint64_t change_count_ = 0;
     std::uint64_t malformed_datagrams_ = 0;
 };
--- a/src/Membership/membership_probes.cpp
+++ b/src/Membership/membership_probes.cpp
@@ -12,33 +12,33 @@
 namespace {
 
 /// How many nodes that others suspect are probed in one period besides.
-constexpr std::size_t probed_soon = 3;
+constexpr std::size_t max_extra_probes = 3;
 /// News in a message that carries nothing else.
-constexpr std::size_t urgent_updates = 12;
+constexpr std::size_t max_urgent_updates = 12;
 /// The room that an accusation of the receiver itself takes at the most.
-constexpr std::size_t accusation_room = 200;
+constexpr std::size_t suspicion_update_bytes = 200;
 
 } // namespace
 
-void membership::probe_round(instant now) {
-    if (next_round_ && now < *next_round_) {
+void membership::start_probe_round(instant now) {
+    if (next_probe_round_ && now < *next_probe_round_) {
         return;
     }
-    if (!next_round_) {
+    if (!next_probe_round_) {
         // Spreads the rounds of nodes that started together.
         auto const period = static_cast<std::uint64_t>(
             duration(settings_.probe_period).count());
-        next_round_ = now + duration(random_() % period);
+        next_probe_round_ = now + duration(random_() % period);
         return;
     }
-    next_round_ = now + settings_.probe_period;
+    next_probe_round_ = now + settings_.probe_period;
     for (node_id const& each : neighbours()) {
         probe_node(each, now);
     }
     for (node_id const& each : pick_random(1, true)) {
         probe_node(each, now);
     }
-    for (std::size_t count = 0; count < probed_soon; ++count) {
+    for (std::size_t count = 0; count < max_extra_probes; ++count) {
         if (probe_soon_.empty()) {
             return;
         }
@@ -52,17 +52,18 @@
 }
 
 void membership::probe_node(node_id const& target, instant now) {
-    if (!members_.contains(target) || rounds_.probing(target)) {
+    if (!members_.contains(target) || pending_probes_.contains(target)) {
         return;
     }
     probe message;
-    message.sequence = rounds_.begin(
+    message.sequence = pending_probes_.start(
         target, now + settings_.ack_timeout, now + settings_.probe_period);
     send_to_member(target, message, settings_.updates_per_probe);
 }
 
-void membership::run_probes(instant now) {
-    for (pending_probes::late_probe const& each : rounds_.take_late(now)) {
+void membership::process_pending_probes(instant now) {
+    for (pending_probes::late_probe const& each :
+         pending_probes_.drain_late(now)) {
         for (node_id const& helper :
              pick_random(settings_.indirect_probers, false)) {
             if (helper == each.target) {
@@ -70,7 +71,7 @@
             }
             probe_request message;
             message.from = self_.id;
-            message.at = at_;
+            message.from_incarnation = incarnation_;
             message.sequence = each.sequence;
             message.target = each.target;
             send(
@@ -78,32 +79,33 @@
                 settings_.updates_per_probe);
         }
     }
-    for (node_id const& each : rounds_.take_failed(now)) {
-        accuse(each, now);
+    for (node_id const& each : pending_probes_.drain_failed(now)) {
+        suspect_node(each, now);
     }
 }
 
 // A leaving endpoint must get no new work after two seconds; by the probes
 // alone, one period to a step, the news would need too long.
-void membership::spread_urgent() {
+void membership::send_urgent_updates() {
     if (!updates_.has_urgent()) {
         return;
     }
-    updates_.urgent_sent();
+    updates_.on_urgent_message_sent();
     for (node_id const& each : pick_random(1, false)) {
-        send_to_member(each, probe(), urgent_updates);
+        send_to_member(each, probe(), max_urgent_updates);
     }
 }
 
 std::vector<node_id> membership::neighbours() const {
     std::vector<node_id> result;
-    auto const after = std::upper_bound(order_.begin(), order_.end(), self_.id);
-    auto const first = static_cast<std::size_t>(after - order_.begin());
-    for (std::size_t step = 0; step < order_.size(); ++step) {
+    auto const after =
+        std::upper_bound(sorted_ids_.begin(), sorted_ids_.end(), self_.id);
+    auto const first = static_cast<std::size_t>(after - sorted_ids_.begin());
+    for (std::size_t step = 0; step < sorted_ids_.size(); ++step) {
         if (result.size() == settings_.neighbours) {
             break;
         }
-        node_id const& next = order_[(first + step) % order_.size()];
+        node_id const& next = sorted_ids_[(first + step) % sorted_ids_.size()];
         if (members_.at(next).state != node_state::dead) {
             result.push_back(next);
         }
@@ -111,19 +113,20 @@
     return result;
 }
 
-std::vector<node_id> membership::pick_random(std::size_t count, bool dead_too) {
+std::vector<node_id>
+membership::pick_random(std::size_t count, bool include_dead) {
     std::vector<node_id> result;
-    if (order_.empty()) {
+    if (sorted_ids_.empty()) {
         return result;
     }
     // Dead ones are skipped by trying again; the bound keeps a node that sees
     // nearly all others dead from trying for long.
-    std::size_t const tries = 8 * count;
-    for (std::size_t tried = 0; tried < tries; ++tried) {
-        node_id const& next = order_[random_() % order_.size()];
-        bool const usable =
-            dead_too || members_.at(next).state != node_state::dead;
-        if (usable && std::ranges::find(result, next) == result.end()) {
+    std::size_t const max_attempts = 8 * count;
+    for (std::size_t attempt = 0; attempt < max_attempts; ++attempt) {
+        node_id const& next = sorted_ids_[random_() % sorted_ids_.size()];
+        bool const is_candidate =
+            include_dead || members_.at(next).state != node_state::dead;
+        if (is_candidate && std::ranges::find(result, next) == result.end()) {
             result.push_back(next);
         }
         if (result.size() == count) {
@@ -136,30 +139,32 @@
 template <class Message>
 void membership::send(
     node_id const& to, std::string const& address, Message message,
-    std::size_t most_updates) {
-    std::size_t const base = encode_probe(message).size() + accusation_room;
-    std::size_t const room =
+    std::size_t max_updates) {
+    std::size_t const base =
+        encode_probe(message).size() + suspicion_update_bytes;
+    std::size_t const free_bytes =
         max_datagram_bytes - std::min(max_datagram_bytes, base);
-    message.updates = updates_.take(most_updates, room, members_.size() + 1);
+    message.updates =
+        updates_.select(max_updates, free_bytes, members_.size() + 1);
     auto const found = members_.find(to);
     // The accused must hear of it, to refute it.
-    if (found != members_.end() && accused(found->second)) {
-        message.updates.push_back(update_of(found->second));
+    if (found != members_.end() && is_suspect_or_dead(found->second)) {
+        message.updates.push_back(make_update(found->second));
     }
     send_probe action{to, address, std::move(message)};
     actions_.emplace_back(std::move(action));
 }
 
 void membership::send_to_member(
-    node_id const& to, probe message, std::size_t most_updates) {
+    node_id const& to, probe message, std::size_t max_updates) {
     message.from = self_.id;
-    message.at = at_;
+    message.from_incarnation = incarnation_;
     message.from_address = self_.peer_address;
     if (settings_.source == member_source::gossip) {
-        message.self = own_words();
+        message.from_attributes = own_attributes();
         message.digest = digest();
     }
-    send(to, peer_address(to), std::move(message), most_updates);
+    send(to, peer_address(to), std::move(message), max_updates);
 }
 
 void membership::on_probe(probe_message const& message, instant now) {
@@ -168,28 +173,29 @@
             if (each.from == self_.id) {
                 return;
             }
-            on_message(each, now);
+            handle_message(each, now);
         },
         message);
 }
 
-void membership::on_message(probe const& message, instant now) {
-    met(message.from, message.at, message.self);
+void membership::handle_message(probe const& message, instant now) {
+    record_sender(
+        message.from, message.from_incarnation, message.from_attributes);
     for (membership_update const& each : message.updates) {
         apply(each, now);
     }
-    compare(message.from, message.digest, now);
+    compare_digests(message.from, message.digest, now);
     if (message.sequence == 0) {
         return;
     }
     probe_ack answer;
     answer.from = self_.id;
-    answer.at = at_;
+    answer.from_incarnation = incarnation_;
     answer.sequence = message.sequence;
     answer.on_behalf_of = message.on_behalf_of;
-    answer.their_sequence = message.their_sequence;
+    answer.requester_sequence = message.requester_sequence;
     if (settings_.source == member_source::gossip) {
-        answer.self = own_words();
+        answer.from_attributes = own_attributes();
         answer.digest = digest();
     }
     send(
@@ -197,37 +203,38 @@
         settings_.updates_per_probe);
 }
 
-void membership::on_message(probe_ack const& message, instant now) {
-    met(message.from, message.at, message.self);
+void membership::handle_message(probe_ack const& message, instant now) {
+    record_sender(
+        message.from, message.from_incarnation, message.from_attributes);
     for (membership_update const& each : message.updates) {
         apply(each, now);
     }
-    compare(message.from, message.digest, now);
+    compare_digests(message.from, message.digest, now);
     bool const for_other =
         !message.on_behalf_of.empty() && message.on_behalf_of != self_.id;
     if (!for_other) {
         return;
     }
-    probe_ack passed_on;
-    passed_on.from = message.from;
-    passed_on.at = message.at;
-    passed_on.sequence = message.their_sequence;
+    probe_ack forwarded_ack;
+    forwarded_ack.from = message.from;
+    forwarded_ack.from_incarnation = message.from_incarnation;
+    forwarded_ack.sequence = message.requester_sequence;
     if (members_.contains(message.on_behalf_of)) {
         send(
-            message.on_behalf_of, peer_address(message.on_behalf_of), passed_on,
-            settings_.updates_per_probe);
+            message.on_behalf_of, peer_address(message.on_behalf_of),
+            forwarded_ack, settings_.updates_per_probe);
     }
 }
 
-void membership::on_message(probe_request const& message, instant now) {
-    heard(message.from, message.at);
+void membership::handle_message(probe_request const& message, instant now) {
+    record_alive(message.from, message.from_incarnation);
     for (membership_update const& each : message.updates) {
         apply(each, now);
     }
     probe indirect;
     indirect.sequence = message.sequence;
     indirect.on_behalf_of = message.from;
-    indirect.their_sequence = message.sequence;
+    indirect.requester_sequence = message.sequence;
     if (members_.contains(message.target)) {
         send_to_member(message.target, indirect, settings_.updates_per_probe);
     }
--- a/src/Membership/membership_sync.cpp
+++ b/src/Membership/membership_sync.cpp
@@ -14,239 +14,251 @@
 namespace {
 
 /// What a peer has said of how many it knows counts for so long.
-constexpr duration told_counts = std::chrono::seconds(10);
+constexpr duration peer_count_lifetime = std::chrono::seconds(10);
 /// A name with its domain and incarnation takes about so many bytes.
-constexpr std::size_t bytes_of_name = 64;
+constexpr std::size_t bytes_per_member = 64;
 /// Of a page, beside its names.
-constexpr std::size_t page_room = 124;
+constexpr std::size_t page_overhead_bytes = 124;
 
 } // namespace
 
-membership::member&
-membership::meet(node_id const& id, node_attributes const& of) {
-    auto const [place, added] = members_.try_emplace(id);
-    member& who = place->second;
+membership::member& membership::add_or_update_member(
+    node_id const& id, node_attributes const& attributes) {
+    auto const [entry, added] = members_.try_emplace(id);
+    member& peer = entry->second;
     if (added) {
-        who.instance.id = id;
-        who.instance.peer_address = id.str();
-        order_.insert(std::ranges::lower_bound(order_, id), id);
+        peer.instance.id = id;
+        peer.instance.peer_address = id.str();
+        sorted_ids_.insert(std::ranges::lower_bound(sorted_ids_, id), id);
         ++change_count_;
     }
-    if (!of.domain.empty()) {
+    if (!attributes.domain.empty()) {
         bool const changed =
-            who.instance.processor_percent != of.processor_percent;
+            peer.instance.processor_percent != attributes.processor_percent;
         change_count_ += changed ? 1 : 0;
-        who.instance.domain = of.domain;
-        who.instance.processor_percent = of.processor_percent;
+        peer.instance.domain = attributes.domain;
+        peer.instance.processor_percent = attributes.processor_percent;
     }
-    return who;
+    return peer;
 }
 
-node_attributes membership::own_words() const {
+node_attributes membership::own_attributes() const {
     return {self_.domain, self_.processor_percent};
 }
 
 void membership::add_known_node(node_id const& node, instant /*now*/) {
-    bool const news = settings_.source == member_source::gossip &&
-                      node != self_.id && !members_.contains(node);
-    if (news) {
-        meet(node, {});
-        greet_.push_back(node);
+    bool const is_new = settings_.source == member_source::gossip &&
+                        node != self_.id && !members_.contains(node);
+    if (is_new) {
+        add_or_update_member(node, {});
+        unannounced_.push_back(node);
     }
 }
 
 void membership::on_quota_units_assigned(
-    std::vector<std::size_t> const& own, std::vector<node_id> holders,
-    instant now) {
-    shares_.dealt(own, std::move(holders), now);
+    std::vector<std::size_t> const& own_units,
+    std::vector<node_id> unit_holders, instant now) {
+    quota_shares_.set_assigned_units(own_units, std::move(unit_holders), now);
 }
 
-void membership::ask_for_share(instant now) {
-    if (auto const due = shares_.ask(now)) {
+void membership::request_quota_loan(instant now) {
+    if (auto const due = quota_shares_.next_loan_request(now)) {
         actions_.emplace_back(send_probe{
             due->to, peer_address(due->to),
-            quota_loan_request{self_.id, at_, due->number}});
+            quota_loan_request{self_.id, incarnation_, due->request_number}});
     }
 }
 
-void membership::on_message(quota_loan_request const& message, instant now) {
-    heard(message.from, message.at);
+void membership::handle_message(
+    quota_loan_request const& message, instant now) {
+    record_alive(message.from, message.from_incarnation);
     quota_loan_reply const answer{
-        self_.id, at_, message.number, shares_.on_ask(message.from, now)};
+        self_.id, incarnation_, message.request_number,
+        quota_shares_.handle_loan_request(message.from, now)};
     actions_.emplace_back(send_probe{message.from, message.from.str(), answer});
 }
 
-void membership::on_message(quota_loan_reply const& message, instant now) {
-    heard(message.from, message.at);
-    shares_.on_given(message.from, message.number, message.amount, now);
+void membership::handle_message(quota_loan_reply const& message, instant now) {
+    record_alive(message.from, message.from_incarnation);
+    quota_shares_.handle_loan_reply(
+        message.from, message.request_number, message.amount, now);
 }
 
 // Whom the platform names hears of this node directly: where all nodes begin at
 // once, by probes alone it would take ten seconds until all know all.
-void membership::send_greetings() {
+void membership::send_announcements() {
     std::size_t const count =
-        std::min(greet_.size(), settings_.announcements_per_tick);
+        std::min(unannounced_.size(), settings_.announcements_per_tick);
     for (std::size_t index = 0; index < count; ++index) {
-        send_to_member(greet_[index], probe(), 0);
+        send_to_member(unannounced_[index], probe(), 0);
     }
-    greet_.erase(
-        greet_.begin(), greet_.begin() + static_cast<std::ptrdiff_t>(count));
+    unannounced_.erase(
+        unannounced_.begin(),
+        unannounced_.begin() + static_cast<std::ptrdiff_t>(count));
 }
 
-void membership::met(
-    node_id const& from, incarnation at, node_attributes const& of) {
+void membership::record_sender(
+    node_id const& from, incarnation at, node_attributes const& attributes) {
     if (settings_.source == member_source::gossip) {
-        meet(from, of);
+        add_or_update_member(from, attributes);
     }
-    heard(from, at);
+    record_alive(from, at);
 }
 
 // Guards against a node whose clock was set back before it started again: all
 // others would take its word for that of its former run, hold it for dead, and
 // tell it nothing more.
-void membership::outlive(incarnation former) {
-    at_ = {former.start_time_ms + 1, 0};
-    say(event_code::suspicion_refuted, log_level::warning, "former_run=true");
-    tell_self();
+void membership::supersede_former_process(incarnation former) {
+    incarnation_ = {former.start_time_ms + 1, 0};
+    add_log_event(
+        event_code::suspicion_refuted, log_level::warning, "former_run=true");
+    queue_own_update();
 }
 
 member_digest membership::digest() const {
     // Each datagram carries it, and at 1,900 nodes it takes 60 us to add up.
-    if (digest_of_ == change_count_) {
+    if (digest_change_count_ == change_count_) {
         return digest_;
     }
     member_digest result{1, hash_text(self_.id.str(), 0)};
-    for (auto const& [id, who] : members_) {
-        bool const there =
-            who.state != node_state::dead && who.state != node_state::leaving;
-        if (there) {
+    for (auto const& [id, peer] : members_) {
+        bool const is_active =
+            peer.state != node_state::dead && peer.state != node_state::leaving;
+        if (is_active) {
             ++result.count;
-            result.names += hash_text(id.str(), 0);
+            result.name_hash_sum += hash_text(id.str(), 0);
         }
     }
     digest_ = result;
-    digest_of_ = change_count_;
+    digest_change_count_ = change_count_;
     return result;
 }
 
-std::chrono::milliseconds membership::ask_pause(member_digest theirs) const {
+std::chrono::milliseconds
+membership::sync_interval(member_digest peer_digest) const {
     std::size_t const own = members_.size() + 1;
-    bool const lacks_many = theirs.count > own + own / 8;
-    if (lacks_many || times_asked_ < settings_.initial_syncs) {
+    bool const many_missing = peer_digest.count > own + own / 8;
+    if (many_missing || list_request_count_ < settings_.initial_syncs) {
         return settings_.initial_sync_interval;
     }
-    std::chrono::milliseconds const at_bytes(
-        own * bytes_of_name * 1'000 / settings_.sync_bytes_per_s);
-    return std::max(settings_.min_sync_interval, at_bytes);
+    std::chrono::milliseconds const bandwidth_interval(
+        own * bytes_per_member * 1'000 / settings_.sync_bytes_per_s);
+    return std::max(settings_.min_sync_interval, bandwidth_interval);
 }
 
-void membership::compare(
-    node_id const& with, member_digest theirs, instant now) {
-    if (settings_.source != member_source::gossip || theirs.count == 0) {
+void membership::compare_digests(
+    node_id const& peer, member_digest peer_digest, instant now) {
+    if (settings_.source != member_source::gossip || peer_digest.count == 0) {
         return;
     }
-    if (theirs.count >= most_told_ || now >= most_told_at_ + told_counts) {
-        most_told_ = theirs.count;
-        most_told_at_ = now;
+    if (peer_digest.count >= max_peer_count_ ||
+        now >= max_peer_count_at_ + peer_count_lifetime) {
+        max_peer_count_ = peer_digest.count;
+        max_peer_count_at_ = now;
     }
-    bool const due = !asked_ || now >= *asked_ + ask_pause(theirs);
-    if (due && theirs != digest()) {
-        ++times_asked_;
-        ask_names(with, {}, now);
+    bool const due = !last_list_request_ ||
+                     now >= *last_list_request_ + sync_interval(peer_digest);
+    if (due && peer_digest != digest()) {
+        ++list_request_count_;
+        request_member_list(peer, {}, now);
     }
 }
 
-void membership::ask_names(
-    node_id const& of, node_id const& after, instant now) {
-    asked_ = now;
-    asked_after_ = after;
+void membership::request_member_list(
+    node_id const& peer, node_id const& after, instant now) {
+    last_list_request_ = now;
+    list_request_after_ = after;
     actions_.emplace_back(send_probe{
-        of, peer_address(of),
-        member_list_request{self_.id, at_, own_words(), after}});
+        peer, peer_address(peer),
+        member_list_request{self_.id, incarnation_, own_attributes(), after}});
 }
 
-void membership::on_message(
+void membership::handle_message(
     member_list_request const& message, instant /*now*/) {
     if (settings_.source != member_source::gossip) {
         return;
     }
-    met(message.from, message.at, message.self);
-    member_list_page page{self_.id, at_, own_words(), false, {}};
-    std::size_t room = max_datagram_bytes - page_room - self_.id.str().size() -
-                       self_.domain.str().size();
+    record_sender(
+        message.from, message.from_incarnation, message.from_attributes);
+    member_list_page page{self_.id, incarnation_, own_attributes(), false, {}};
+    std::size_t free_bytes = max_datagram_bytes - page_overhead_bytes -
+                             self_.id.str().size() - self_.domain.str().size();
     for (auto each = members_.upper_bound(message.after);
          each != members_.end(); ++each) {
         if (each->second.state != node_state::live) {
             continue;
         }
-        membership_update told = update_of(each->second);
-        std::size_t const size = encoded_size(told);
-        if (size > room) {
-            page.more = true;
+        membership_update update = make_update(each->second);
+        std::size_t const size = encoded_size(update);
+        if (size > free_bytes) {
+            page.has_more = true;
             break;
         }
-        room -= size;
-        page.updates.push_back(std::move(told));
+        free_bytes -= size;
+        page.updates.push_back(std::move(update));
     }
     actions_.emplace_back(
         send_probe{message.from, message.from.str(), std::move(page)});
 }
 
-void membership::on_message(member_list_page const& message, instant now) {
+void membership::handle_message(member_list_page const& message, instant now) {
     if (settings_.source != member_source::gossip) {
         return;
     }
-    met(message.from, message.at, message.self);
+    record_sender(
+        message.from, message.from_incarnation, message.from_attributes);
     for (membership_update const& each : message.updates) {
         node_id const id(each.name);
         // No news to the others: whoever has asked for names is the one that
         // lacks them.
         if (id != self_.id) {
-            meet(id, each.of);
+            add_or_update_member(id, each.attributes);
         }
         apply(each, now);
     }
-    asked_after_.reset();
-    if (message.more && !message.updates.empty()) {
-        ask_names(message.from, node_id(message.updates.back().name), now);
+    list_request_after_.reset();
+    if (message.has_more && !message.updates.empty()) {
+        request_member_list(
+            message.from, node_id(message.updates.back().name), now);
     }
 }
 
 // Guards against names that a lost datagram cuts short: hundreds of them come
 // in a row of ten pages or more, of which one is lost in most rows on a link
 // that loses one in ten.
-void membership::ask_again(instant now) {
-    bool const silent = asked_after_ && now >= *asked_ + settings_.ack_timeout;
-    if (!silent) {
+void membership::retry_member_list_request(instant now) {
+    bool const timed_out = list_request_after_ &&
+                           now >= *last_list_request_ + settings_.ack_timeout;
+    if (!timed_out) {
         return;
     }
     for (node_id const& each : pick_random(1, false)) {
-        ask_names(each, node_id(*asked_after_), now);
+        request_member_list(each, node_id(*list_request_after_), now);
     }
 }
 
-void membership::forget_dead(instant now) {
+void membership::remove_expired_dead(instant now) {
     bool const due = settings_.source == member_source::gossip &&
-                     now >= dead_looked_at_ + settings_.probe_period;
+                     now >= last_dead_check_ + settings_.probe_period;
     if (!due) {
         return;
     }
-    dead_looked_at_ = now;
+    last_dead_check_ = now;
     std::size_t const before = members_.size();
     std::erase_if(members_, [&](auto const& each) {
-        member const& who = each.second;
-        return who.state == node_state::dead &&
-               now >= who.dead_since + settings_.dead_member_retention;
+        member const& peer = each.second;
+        return peer.state == node_state::dead &&
+               now >= peer.dead_since + settings_.dead_member_retention;
     });
     if (members_.size() != before) {
-        std::erase_if(order_, [this](node_id const& each) {
+        std::erase_if(sorted_ids_, [this](node_id const& each) {
             return !members_.contains(each);
         });
         ++change_count_;
     }
 }
 
-bool membership::goes_before(
+bool membership::ranks_before(
     node_instance const& left, node_instance const& right) {
     // By hash, so that those that go first lie in all failure domains, whatever
     // the addresses look like.
@@ -257,26 +269,28 @@
 }
 
 std::size_t membership::capacity_rank() const {
-    if (rank_of_ == change_count_) {
+    if (rank_change_count_ == change_count_) {
         return rank_;
     }
     rank_ = static_cast<std::size_t>(
         std::ranges::count_if(members_, [this](auto const& each) {
-            member const& who = each.second;
-            bool const there = who.state != node_state::dead &&
-                               who.state != node_state::leaving;
-            return there && goes_before(who.instance, self_);
+            member const& peer = each.second;
+            bool const is_active = peer.state != node_state::dead &&
+                                   peer.state != node_state::leaving;
+            return is_active && ranks_before(peer.instance, self_);
         }));
-    rank_of_ = change_count_;
+    rank_change_count_ = change_count_;
     return rank_;
 }
 
 double membership::quota_share(instant now) const {
     if (settings_.quota_unit_count > 0) {
-        return shares_.own(now);
+        return quota_shares_.current_share(now);
     }
-    std::size_t const told = now < most_told_at_ + told_counts ? most_told_ : 0;
-    return 1.0 / static_cast<double>(std::max(members_.size() + 1, told));
+    std::size_t const reported_count =
+        now < max_peer_count_at_ + peer_count_lifetime ? max_peer_count_ : 0;
+    return 1.0 /
+           static_cast<double>(std::max(members_.size() + 1, reported_count));
 }
 
 } // namespace camphorpoint
--- a/src/Membership/membership_updates.cpp
+++ b/src/Membership/membership_updates.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /// One node's broken link or fault must not remove another node.
-constexpr std::size_t accusers_needed = 2;
+constexpr std::size_t required_suspecting_nodes = 2;
 /// News carries no more names than a datagram has room for.
-constexpr std::size_t accusers_told = 3;
+constexpr std::size_t max_reported_suspecting_nodes = 3;
 /// With so much news waiting, joins are no longer told on: two probes' worth.
-constexpr std::size_t most_joins_told = 12;
+constexpr std::size_t max_queued_updates_for_joins = 12;
 
 update_kind kind_of(node_state state) {
     switch (state) {
@@ -45,11 +45,11 @@
     bool const joins = settings_.source == member_source::gossip &&
                        update.kind == update_kind::node_alive;
     if (joins && !members_.contains(id)) {
-        member const& who = meet(id, update.of);
+        member const& peer = add_or_update_member(id, update.attributes);
         // Where all nodes begin at once, their names would fill the probes for
         // minutes and hold up word of a dead one: asking brings them sooner.
-        if (updates_.size() < most_joins_told) {
-            tell(who);
+        if (updates_.size() < max_queued_updates_for_joins) {
+            queue_update(peer);
         }
     }
     auto const found = members_.find(id);
@@ -79,190 +79,209 @@
 // earlier run does not concern this one.
 void membership::apply_to_self(membership_update const& update) {
     if (settings_.source == member_source::gossip &&
-        update.at.start_time_ms > at_.start_time_ms) {
-        outlive(update.at);
+        update.node_incarnation.start_time_ms > incarnation_.start_time_ms) {
+        supersede_former_process(update.node_incarnation);
         return;
     }
-    bool const concerns = update.kind == update_kind::node_suspect ||
-                          update.kind == update_kind::node_dead;
-    if (!concerns || update.at.start_time_ms != at_.start_time_ms ||
-        update.at < at_) {
+    bool const is_suspicion = update.kind == update_kind::node_suspect ||
+                              update.kind == update_kind::node_dead;
+    if (!is_suspicion ||
+        update.node_incarnation.start_time_ms != incarnation_.start_time_ms ||
+        update.node_incarnation < incarnation_) {
         return;
     }
-    at_.refutations = update.at.refutations + 1;
-    say(event_code::suspicion_refuted, log_level::warning,
-        fmt::format("refuted={}", at_.refutations));
-    tell_self();
+    incarnation_.refutations = update.node_incarnation.refutations + 1;
+    add_log_event(
+        event_code::suspicion_refuted, log_level::warning,
+        fmt::format("refuted={}", incarnation_.refutations));
+    queue_own_update();
 }
 
-void membership::apply_alive(member& who, membership_update const& update) {
-    if (update.at <= who.at) {
+void membership::apply_alive(member& peer, membership_update const& update) {
+    if (update.node_incarnation <= peer.known_incarnation) {
         return;
     }
-    bool const other_run = update.at.start_time_ms != who.at.start_time_ms;
+    bool const restarted = update.node_incarnation.start_time_ms !=
+                           peer.known_incarnation.start_time_ms;
     // That a listed node lives is no news to the others; were it told on, a
     // cluster's start would fill the probes for half an hour.
-    bool const news = accused(who) || (other_run && who.at.start_time_ms != 0);
-    who.at = update.at;
-    who.accusers.clear();
-    if (who.state == node_state::leaving && !other_run) {
+    bool const is_new =
+        is_suspect_or_dead(peer) ||
+        (restarted && peer.known_incarnation.start_time_ms != 0);
+    peer.known_incarnation = update.node_incarnation;
+    peer.suspected_by.clear();
+    if (peer.state == node_state::leaving && !restarted) {
         return;
     }
-    if (who.state == node_state::dead) {
-        say(event_code::node_returned, log_level::info,
-            fmt::format("node={}", who.instance.id.str()));
+    if (peer.state == node_state::dead) {
+        add_log_event(
+            event_code::node_returned, log_level::info,
+            fmt::format("node={}", peer.instance.id.str()));
     }
-    change_count_ += other_run ? 1 : 0;
-    set_state(who, node_state::live);
-    if (news) {
-        tell(who);
+    change_count_ += restarted ? 1 : 0;
+    set_state(peer, node_state::live);
+    if (is_new) {
+        queue_update(peer);
     }
 }
 
 void membership::apply_suspect(
-    member& who, membership_update const& update, instant now) {
-    bool const newer = update.at > who.at;
-    if (update.at < who.at || (who.state == node_state::dead && !newer)) {
+    member& peer, membership_update const& update, instant now) {
+    bool const newer = update.node_incarnation > peer.known_incarnation;
+    if (update.node_incarnation < peer.known_incarnation ||
+        (peer.state == node_state::dead && !newer)) {
         return;
     }
     if (newer) {
-        change_count_ +=
-            update.at.start_time_ms != who.at.start_time_ms ? 1 : 0;
-        who.at = update.at;
-        who.accusers.clear();
+        change_count_ += update.node_incarnation.start_time_ms !=
+                                 peer.known_incarnation.start_time_ms
+                             ? 1
+                             : 0;
+        peer.known_incarnation = update.node_incarnation;
+        peer.suspected_by.clear();
     }
-    std::size_t const before = who.accusers.size();
-    who.accusers.insert(update.accusers.begin(), update.accusers.end());
-    bool const began = who.state != node_state::suspect || newer;
-    if (began) {
-        who.suspect_until = now + settings_.suspicion_timeout;
-        set_state(who, node_state::suspect);
-        say(event_code::node_suspected, log_level::info,
-            fmt::format("node={}", who.instance.id.str()));
+    std::size_t const before = peer.suspected_by.size();
+    peer.suspected_by.insert(
+        update.suspected_by.begin(), update.suspected_by.end());
+    bool const new_suspicion = peer.state != node_state::suspect || newer;
+    if (new_suspicion) {
+        peer.suspect_until = now + settings_.suspicion_timeout;
+        set_state(peer, node_state::suspect);
+        add_log_event(
+            event_code::node_suspected, log_level::info,
+            fmt::format("node={}", peer.instance.id.str()));
     }
-    if (began || who.accusers.size() > before) {
-        tell(who);
+    if (new_suspicion || peer.suspected_by.size() > before) {
+        queue_update(peer);
     }
     // A second witness is wanted soon, and this node may be it.
-    if (who.accusers.size() < accusers_needed &&
-        !who.accusers.contains(self_.id)) {
-        probe_soon_.insert(who.instance.id);
+    if (peer.suspected_by.size() < required_suspecting_nodes &&
+        !peer.suspected_by.contains(self_.id)) {
+        probe_soon_.insert(peer.instance.id);
     }
 }
 
 void membership::apply_dead(
-    member& who, membership_update const& update, instant now) {
-    if (update.accusers.size() < accusers_needed) {
-        apply_suspect(who, update, now);
+    member& peer, membership_update const& update, instant now) {
+    if (update.suspected_by.size() < required_suspecting_nodes) {
+        apply_suspect(peer, update, now);
         return;
     }
-    bool const old = update.at < who.at;
-    if (old || (who.state == node_state::dead && update.at == who.at)) {
+    bool const outdated = update.node_incarnation < peer.known_incarnation;
+    if (outdated || (peer.state == node_state::dead &&
+                     update.node_incarnation == peer.known_incarnation)) {
         return;
     }
-    who.at = update.at;
-    who.accusers.insert(update.accusers.begin(), update.accusers.end());
-    say(event_code::node_declared_dead, log_level::warning,
-        fmt::format("node={}", who.instance.id.str()));
-    set_state(who, node_state::dead);
-    who.dead_since = now;
-    tell(who);
+    peer.known_incarnation = update.node_incarnation;
+    peer.suspected_by.insert(
+        update.suspected_by.begin(), update.suspected_by.end());
+    add_log_event(
+        event_code::node_declared_dead, log_level::warning,
+        fmt::format("node={}", peer.instance.id.str()));
+    set_state(peer, node_state::dead);
+    peer.dead_since = now;
+    queue_update(peer);
 }
 
-void membership::apply_leaving(member& who, membership_update const& update) {
-    bool const news = update.at > who.at ||
-                      (update.at == who.at && who.state == node_state::live);
-    if (!news) {
+void membership::apply_leaving(member& peer, membership_update const& update) {
+    bool const is_new = update.node_incarnation > peer.known_incarnation ||
+                        (update.node_incarnation == peer.known_incarnation &&
+                         peer.state == node_state::live);
+    if (!is_new) {
         return;
     }
-    who.at = update.at;
-    who.accusers.clear();
-    say(event_code::node_leaving, log_level::info,
-        fmt::format("node={}", who.instance.id.str()));
-    set_state(who, node_state::leaving);
-    tell(who);
+    peer.known_incarnation = update.node_incarnation;
+    peer.suspected_by.clear();
+    add_log_event(
+        event_code::node_leaving, log_level::info,
+        fmt::format("node={}", peer.instance.id.str()));
+    set_state(peer, node_state::leaving);
+    queue_update(peer);
 }
 
-void membership::set_state(member& who, node_state state) {
-    if (who.state == state) {
+void membership::set_state(member& peer, node_state state) {
+    if (peer.state == state) {
         return;
     }
-    bool const was_out =
-        who.state == node_state::dead || who.state == node_state::leaving;
-    bool const is_out =
+    bool const was_unavailable =
+        peer.state == node_state::dead || peer.state == node_state::leaving;
+    bool const is_unavailable =
         state == node_state::dead || state == node_state::leaving;
     // A suspicion by itself changes nothing that others compute.
-    change_count_ += was_out || is_out ? 1 : 0;
-    who.state = state;
+    change_count_ += was_unavailable || is_unavailable ? 1 : 0;
+    peer.state = state;
     if (state == node_state::suspect) {
-        suspects_.insert(who.instance.id);
+        suspects_.insert(peer.instance.id);
     } else {
-        suspects_.erase(who.instance.id);
+        suspects_.erase(peer.instance.id);
     }
 }
 
-membership_update membership::update_of(member const& who) const {
+membership_update membership::make_update(member const& peer) const {
     membership_update result;
-    result.kind = kind_of(who.state);
-    result.name = who.instance.id.str();
-    result.at = who.at;
+    result.kind = kind_of(peer.state);
+    result.name = peer.instance.id.str();
+    result.node_incarnation = peer.known_incarnation;
     if (settings_.source == member_source::gossip) {
-        result.of = {who.instance.domain, who.instance.processor_percent};
+        result.attributes = {
+            peer.instance.domain, peer.instance.processor_percent};
     }
-    for (node_id const& each : who.accusers) {
-        if (accused(who) && result.accusers.size() < accusers_told) {
-            result.accusers.push_back(each);
+    for (node_id const& each : peer.suspected_by) {
+        if (is_suspect_or_dead(peer) &&
+            result.suspected_by.size() < max_reported_suspecting_nodes) {
+            result.suspected_by.push_back(each);
         }
     }
     return result;
 }
 
-bool membership::accused(member const& who) noexcept {
-    return who.state == node_state::suspect || who.state == node_state::dead;
+bool membership::is_suspect_or_dead(member const& peer) noexcept {
+    return peer.state == node_state::suspect || peer.state == node_state::dead;
 }
 
-void membership::tell(member const& who) {
-    updates_.add(update_of(who));
+void membership::queue_update(member const& peer) {
+    updates_.add(make_update(peer));
 }
 
-void membership::tell_self() {
+void membership::queue_own_update() {
     update_kind const kind =
         leaving_ ? update_kind::node_leaving : update_kind::node_alive;
-    membership_update own{kind, self_.id.str(), at_, {}, {}};
+    membership_update own{kind, self_.id.str(), incarnation_, {}, {}};
     if (settings_.source == member_source::gossip) {
-        own.of = own_words();
+        own.attributes = own_attributes();
     }
     updates_.add(std::move(own));
 }
 
-void membership::accuse(node_id const& target, instant now) {
+void membership::suspect_node(node_id const& target, instant now) {
     auto const found = members_.find(target);
     if (found == members_.end() || found->second.state == node_state::dead) {
         return;
     }
-    membership_update own = update_of(found->second);
+    membership_update own = make_update(found->second);
     own.kind = update_kind::node_suspect;
-    own.accusers = {self_.id};
+    own.suspected_by = {self_.id};
     apply_suspect(found->second, own, now);
 }
 
 // Only a suspicion that at least two nodes' own probes bear out ends in death.
 // A lone accuser's stays until the suspect refutes it, and changes nothing.
-void membership::check_suspicions(instant now) {
+void membership::confirm_suspicions(instant now) {
     std::vector<node_id> const open(suspects_.begin(), suspects_.end());
     for (node_id const& each : open) {
-        member& who = members_.at(each);
-        if (now < who.suspect_until || who.accusers.size() < accusers_needed) {
+        member& peer = members_.at(each);
+        if (now < peer.suspect_until ||
+            peer.suspected_by.size() < required_suspecting_nodes) {
             continue;
         }
-        membership_update verdict = update_of(who);
-        verdict.kind = update_kind::node_dead;
-        apply_dead(who, verdict, now);
+        membership_update death_update = make_update(peer);
+        death_update.kind = update_kind::node_dead;
+        apply_dead(peer, death_update, now);
     }
 }
 
-void membership::heard(node_id const& from, incarnation at) {
-    rounds_.heard(from);
+void membership::record_alive(node_id const& from, incarnation at) {
+    pending_probes_.complete(from);
     probe_soon_.erase(from);
     auto const found = members_.find(from);
     if (found != members_.end()) {
--- a/src/Membership/pending_probes.cpp
+++ b/src/Membership/pending_probes.cpp
@@ -4,38 +4,39 @@
 
 namespace camphorpoint {
 
-std::uint32_t
-pending_probes::begin(node_id const& target, instant ask_at, instant end_at) {
-    ++last_;
+std::uint32_t pending_probes::start(
+    node_id const& target, instant indirect_at, instant deadline) {
+    ++last_sequence_;
     // Zero marks datagrams that want no answer.
-    if (last_ == 0) {
-        ++last_;
+    if (last_sequence_ == 0) {
+        ++last_sequence_;
     }
-    open_[last_] = {target, ask_at, end_at, false};
-    return last_;
+    probes_[last_sequence_] = {target, indirect_at, deadline, false};
+    return last_sequence_;
 }
 
-void pending_probes::heard(node_id const& target) {
-    std::erase_if(open_, [&target](auto const& entry) {
+void pending_probes::complete(node_id const& target) {
+    std::erase_if(probes_, [&target](auto const& entry) {
         return entry.second.target == target;
     });
 }
 
-std::vector<pending_probes::late_probe> pending_probes::take_late(instant now) {
+std::vector<pending_probes::late_probe>
+pending_probes::drain_late(instant now) {
     std::vector<late_probe> result;
-    for (auto& [sequence, each] : open_) {
-        if (!each.asked && now >= each.ask_at) {
-            each.asked = true;
+    for (auto& [sequence, each] : probes_) {
+        if (!each.indirect_requested && now >= each.indirect_at) {
+            each.indirect_requested = true;
             result.push_back({sequence, each.target});
         }
     }
     return result;
 }
 
-std::vector<node_id> pending_probes::take_failed(instant now) {
+std::vector<node_id> pending_probes::drain_failed(instant now) {
     std::vector<node_id> result;
-    std::erase_if(open_, [&](auto const& entry) {
-        if (now < entry.second.end_at) {
+    std::erase_if(probes_, [&](auto const& entry) {
+        if (now < entry.second.deadline) {
             return false;
         }
         result.push_back(entry.second.target);
@@ -44,8 +45,8 @@
     return result;
 }
 
-bool pending_probes::probing(node_id const& target) const {
-    return std::ranges::any_of(open_, [&target](auto const& entry) {
+bool pending_probes::contains(node_id const& target) const {
+    return std::ranges::any_of(probes_, [&target](auto const& entry) {
         return entry.second.target == target;
     });
 }
--- a/src/Membership/pending_probes.hpp
+++ b/src/Membership/pending_probes.hpp
@@ -14,12 +14,13 @@
 public:
     /// Begins a direct probe.
     /// @param target whom
-    /// @param ask_at when others are asked to probe
-    /// @param end_at when the probe has failed
+    /// @param indirect_at when others are asked to probe
+    /// @param deadline when the probe has failed
     /// @returns the probe's sequence number
-    std::uint32_t begin(node_id const& target, instant ask_at, instant end_at);
+    std::uint32_t
+    start(node_id const& target, instant indirect_at, instant deadline);
     /// The target was heard: its probes are closed.
-    void heard(node_id const& target);
+    void complete(node_id const& target);
 
     /// A probe whose direct answer is late.
     struct late_probe {
@@ -27,22 +28,22 @@
         node_id target;
     };
     /// @returns probes whose helpers should be asked now, each once
-    std::vector<late_probe> take_late(instant now);
+    std::vector<late_probe> drain_late(instant now);
     /// @returns targets whose probes have failed; these are closed
-    std::vector<node_id> take_failed(instant now);
+    std::vector<node_id> drain_failed(instant now);
     /// @returns true when the target is being probed
-    bool probing(node_id const& target) const;
+    bool contains(node_id const& target) const;
 
 private:
-    struct open_probe {
+    struct pending_probe {
         node_id target;
-        instant ask_at;
-        instant end_at;
-        bool asked = false;
+        instant indirect_at;
+        instant deadline;
+        bool indirect_requested = false;
     };
 
-    std::map<std::uint32_t, open_probe> open_;
-    std::uint32_t last_ = 0;
+    std::map<std::uint32_t, pending_probe> probes_;
+    std::uint32_t last_sequence_ = 0;
 };
 
 } // namespace camphorpoint
--- a/src/Membership/probe_message.hpp
+++ b/src/Membership/probe_message.hpp
@@ -44,18 +44,18 @@
     /// The node or the endpoint.
     std::string name;
     /// The node's incarnation that is spoken of.
-    incarnation at;
+    incarnation node_incarnation;
     /// The nodes whose own probes failed (suspect, dead). One alone removes
     /// nobody.
-    std::vector<node_id> accusers;
+    std::vector<node_id> suspected_by;
     /// Of a node that was met; empty where the platform's list tells it.
-    node_attributes of;
+    node_attributes attributes;
 
     friend bool
     operator==(membership_update const&, membership_update const&) = default;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(kind, name, at, accusers, of);
+        archive(kind, name, node_incarnation, suspected_by, attributes);
     }
 };
 
@@ -64,13 +64,13 @@
     /// The node itself included; 0 where the platform's list names the nodes.
     std::uint32_t count = 0;
     /// Sum of the names' hashes, which no order changes.
-    std::uint64_t names = 0;
+    std::uint64_t name_hash_sum = 0;
 
     friend bool
     operator==(member_digest const&, member_digest const&) = default;
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(count, names);
+        archive(count, name_hash_sum);
     }
 };
 
@@ -78,23 +78,23 @@
 /// answer is wanted.
 struct probe {
     node_id from;
-    incarnation at;
+    incarnation from_incarnation;
     /// Where the answer goes: a new node may not be in the receiver's late
     /// list yet, and must not take silence for death.
     std::string from_address;
-    node_attributes self;
+    node_attributes from_attributes;
     member_digest digest;
     std::uint32_t sequence = 0;
     /// For whom the answer is, when it is an indirect probe.
     node_id on_behalf_of;
-    std::uint32_t their_sequence = 0;
+    std::uint32_t requester_sequence = 0;
     std::vector<membership_update> updates;
 
     template <class Archive>
     void serialize(Archive& archive) {
         archive(
-            from, at, from_address, self, digest, sequence, on_behalf_of,
-            their_sequence, updates);
+            from, from_incarnation, from_address, from_attributes, digest,
+            sequence, on_behalf_of, requester_sequence, updates);
     }
 };
 
@@ -102,89 +102,89 @@
 struct probe_ack {
     /// Who is alive.
     node_id from;
-    incarnation at;
-    node_attributes self;
+    incarnation from_incarnation;
+    node_attributes from_attributes;
     member_digest digest;
     /// The probe that is answered.
     std::uint32_t sequence = 0;
     /// Copied from an indirect probe: to whom the answer is passed on.
     node_id on_behalf_of;
-    std::uint32_t their_sequence = 0;
+    std::uint32_t requester_sequence = 0;
     std::vector<membership_update> updates;
 
     template <class Archive>
     void serialize(Archive& archive) {
         archive(
-            from, at, self, digest, sequence, on_behalf_of, their_sequence,
-            updates);
+            from, from_incarnation, from_attributes, digest, sequence,
+            on_behalf_of, requester_sequence, updates);
     }
 };
 
 /// Probe that node for me.
 struct probe_request {
     node_id from;
-    incarnation at;
+    incarnation from_incarnation;
     std::uint32_t sequence = 0;
     node_id target;
     std::vector<membership_update> updates;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(from, at, sequence, target, updates);
+        archive(from, from_incarnation, sequence, target, updates);
     }
 };
 
 /// Whom do you know, in the order of names after this one?
 struct member_list_request {
     node_id from;
-    incarnation at;
-    node_attributes self;
+    incarnation from_incarnation;
+    node_attributes from_attributes;
     node_id after;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(from, at, self, after);
+        archive(from, from_incarnation, from_attributes, after);
     }
 };
 
 /// Some of those that the sender takes to be there.
 struct member_list_page {
     node_id from;
-    incarnation at;
-    node_attributes self;
+    incarnation from_incarnation;
+    node_attributes from_attributes;
     /// More follow after the last one named here.
-    bool more = false;
+    bool has_more = false;
     std::vector<membership_update> updates;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(from, at, self, more, updates);
+        archive(from, from_incarnation, from_attributes, has_more, updates);
     }
 };
 
 /// May I use some of your part of the limits that all share?
 struct quota_loan_request {
     node_id from;
-    incarnation at;
-    std::uint32_t number = 0;
+    incarnation from_incarnation;
+    std::uint32_t request_number = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(from, at, number);
+        archive(from, from_incarnation, request_number);
     }
 };
 
 /// So much, in billionths of a limit, for the time of a lease from the ask on.
 struct quota_loan_reply {
     node_id from;
-    incarnation at;
+    incarnation from_incarnation;
     /// Of the ask.
-    std::uint32_t number = 0;
+    std::uint32_t request_number = 0;
     std::uint32_t amount = 0;
 
     template <class Archive>
     void serialize(Archive& archive) {
-        archive(from, at, number, amount);
+        archive(from, from_incarnation, request_number, amount);
     }
 };
 
--- a/src/Membership/update_queue.cpp
+++ b/src/Membership/update_queue.cpp
@@ -10,20 +10,21 @@
 
 /// SWIM passes news on lambda times log n times. With three probes and their
 /// answers in each period, three is enough in the tests' clusters.
-constexpr std::uint32_t rounds_per_doubling = 3;
+constexpr std::uint32_t sends_per_doubling = 3;
 /// Messages that carry urgent news at once, for each piece of news.
 constexpr std::size_t urgent_fanout = 4;
 /// Bounds what urgent news may cost when a whole domain leaves.
-constexpr std::size_t most_urgent = 16;
+constexpr std::size_t max_urgent_messages = 16;
 /// cereal writes a length as eight bytes.
 constexpr std::size_t length_bytes = 8;
 
-std::uint32_t times_to_send(std::size_t cluster) {
-    auto const doublings = static_cast<std::uint32_t>(std::bit_width(cluster));
-    return rounds_per_doubling * std::max(doublings, 1U);
+std::uint32_t required_sends(std::size_t cluster_size) {
+    auto const doublings =
+        static_cast<std::uint32_t>(std::bit_width(cluster_size));
+    return sends_per_doubling * std::max(doublings, 1U);
 }
 
-bool urgent(update_kind kind) {
+bool is_urgent(update_kind kind) {
     return kind == update_kind::endpoint_leaving ||
            kind == update_kind::node_leaving;
 }
@@ -31,69 +32,72 @@
 } // namespace
 
 std::size_t encoded_size(membership_update const& update) noexcept {
-    std::size_t size = sizeof(update.kind) + sizeof(update.at.start_time_ms) +
-                       sizeof(update.at.refutations);
+    std::size_t size = sizeof(update.kind) +
+                       sizeof(update.node_incarnation.start_time_ms) +
+                       sizeof(update.node_incarnation.refutations);
     size += length_bytes + update.name.size();
-    size += length_bytes + update.of.domain.str().size();
-    size += sizeof(update.of.processor_percent);
+    size += length_bytes + update.attributes.domain.str().size();
+    size += sizeof(update.attributes.processor_percent);
     size += length_bytes;
-    for (node_id const& each : update.accusers) {
+    for (node_id const& each : update.suspected_by) {
         size += length_bytes + each.str().size();
     }
     return size;
 }
 
 void update_queue::add(membership_update update) {
-    if (urgent(update.kind)) {
-        urgent_left_ = std::min(urgent_left_ + urgent_fanout, most_urgent);
+    if (is_urgent(update.kind)) {
+        urgent_messages_left_ = std::min(
+            urgent_messages_left_ + urgent_fanout, max_urgent_messages);
     }
     std::string subject =
         update.kind == update_kind::endpoint_leaving ? "endpoint/" : "node/";
     subject += update.name;
-    waiting_.insert_or_assign(subject, item{std::move(update), 0});
+    pending_.insert_or_assign(subject, item{std::move(update), 0});
 }
 
-std::vector<membership_update>
-update_queue::take(std::size_t most, std::size_t room, std::size_t cluster) {
-    std::vector<item*> order;
-    order.reserve(waiting_.size());
-    for (auto& [name, each] : waiting_) {
-        order.push_back(&each);
+std::vector<membership_update> update_queue::select(
+    std::size_t max_updates, std::size_t max_bytes, std::size_t cluster_size) {
+    std::vector<item*> candidates;
+    candidates.reserve(pending_.size());
+    for (auto& [name, each] : pending_) {
+        candidates.push_back(&each);
     }
     // Urgent news first: else it would queue behind a wave of deaths.
-    std::ranges::stable_sort(order, [](item const* left, item const* right) {
-        bool const left_waits = !urgent(left->update.kind);
-        bool const right_waits = !urgent(right->update.kind);
-        if (left_waits != right_waits) {
-            return right_waits;
-        }
-        return left->sent < right->sent;
-    });
+    std::ranges::stable_sort(
+        candidates, [](item const* left, item const* right) {
+            bool const left_is_normal = !is_urgent(left->update.kind);
+            bool const right_is_normal = !is_urgent(right->update.kind);
+            if (left_is_normal != right_is_normal) {
+                return right_is_normal;
+            }
+            return left->times_sent < right->times_sent;
+        });
     std::vector<membership_update> result;
-    for (item* each : order) {
+    for (item* each : candidates) {
         std::size_t const size = encoded_size(each->update);
-        if (result.size() == most || size > room) {
+        if (result.size() == max_updates || size > max_bytes) {
             break;
         }
-        room -= size;
-        ++each->sent;
+        max_bytes -= size;
+        ++each->times_sent;
         result.push_back(each->update);
     }
-    std::uint32_t const enough = times_to_send(cluster);
-    std::erase_if(waiting_, [enough](auto const& entry) {
-        return entry.second.sent >= enough;
+    std::uint32_t const sends_needed = required_sends(cluster_size);
+    std::erase_if(pending_, [sends_needed](auto const& entry) {
+        return entry.second.times_sent >= sends_needed;
     });
     return result;
 }
 
 void update_queue::clear() {
-    waiting_.clear();
-    urgent_left_ = 0;
+    pending_.clear();
+    urgent_messages_left_ = 0;
 }
 
-void update_queue::urgent_sent() noexcept {
-    if (urgent_left_ > 0) {
-        --urgent_left_;
+void update_queue::on_urgent_message_sent() noexcept {
+    if (urgent_messages_left_ > 0) {
+        --urgent_messages_left_;
     }
 }
 
--- a/src/Membership/update_queue.hpp
+++ b/src/Membership/update_queue.hpp
@@ -25,27 +25,28 @@
     /// @param most      how many
     /// @param room      bytes that are left in the datagram
     /// @param cluster   how many nodes there are
-    std::vector<membership_update>
-    take(std::size_t most, std::size_t room, std::size_t cluster);
+    std::vector<membership_update> select(
+        std::size_t max_updates, std::size_t max_bytes,
+        std::size_t cluster_size);
     /// @returns true when there is news so urgent that it does not wait for
     /// the next probe
-    bool has_urgent() const noexcept { return urgent_left_ > 0; }
+    bool has_urgent() const noexcept { return urgent_messages_left_ > 0; }
     /// Drops all news, as when it is too old to be passed on.
     void clear();
     /// Counts one message that carries urgent news.
-    void urgent_sent() noexcept;
+    void on_urgent_message_sent() noexcept;
     /// @returns how many pieces of news wait
-    std::size_t size() const noexcept { return waiting_.size(); }
+    std::size_t size() const noexcept { return pending_.size(); }
 
 private:
     struct item {
         membership_update update;
-        std::uint32_t sent = 0;
+        std::uint32_t times_sent = 0;
     };
 
     /// By kind of subject and name.
-    std::map<std::string, item> waiting_;
-    std::size_t urgent_left_ = 0;
+    std::map<std::string, item> pending_;
+    std::size_t urgent_messages_left_ = 0;
 };
 
 } // namespace camphorpoint
--- a/test/membership_fixture.hpp
+++ b/test/membership_fixture.hpp
@@ -20,7 +20,7 @@
 
 inline constexpr milliseconds step{20};
 /// UDP over IPv4 adds so many bytes to a datagram.
-inline constexpr std::size_t header_bytes = 28;
+inline constexpr std::size_t udp_ip_header_bytes = 28;
 
 /// One node and what it has sent and received.
 struct test_node {
@@ -40,9 +40,9 @@
             list.nodes.push_back(instance(index));
         }
         for (std::size_t index = 0; index < count; ++index) {
-            start(name(index), 1);
+            start_node(name(index), 1);
         }
-        give_list();
+        deliver_instance_list();
     }
 
     static std::string name(std::size_t index) {
@@ -57,18 +57,19 @@
         return result;
     }
 
-    test_node& start(std::string const& which, std::uint64_t run) {
+    test_node&
+    start_node(std::string const& node, std::uint64_t start_time_ms) {
         auto const found =
-            std::ranges::find(list.nodes, node_id(which), &node_instance::id);
-        std::mt19937_64 const random(hash_text(which, run));
-        nodes.erase(which);
-        test_node fresh{membership({}, *found, run, random)};
-        return nodes.emplace(which, std::move(fresh)).first->second;
+            std::ranges::find(list.nodes, node_id(node), &node_instance::id);
+        std::mt19937_64 const random(hash_text(node, start_time_ms));
+        nodes.erase(node);
+        test_node fresh{membership({}, *found, start_time_ms, random)};
+        return nodes.emplace(node, std::move(fresh)).first->second;
     }
 
     test_node& at(std::size_t index) { return nodes.at(name(index)); }
 
-    void give_list() {
+    void deliver_instance_list() {
         for (auto& [id, each] : nodes) {
             if (!each.dead && !each.paused) {
                 each.members.on_instance_list(list, now);
@@ -91,10 +92,10 @@
     }
 
     /// @returns how many running nodes say so
-    std::size_t count(std::function<bool(membership const&)> const& say) {
+    std::size_t count(std::function<bool(membership const&)> const& predicate) {
         std::size_t result = 0;
         for (auto const& [id, each] : nodes) {
-            if (!each.dead && !each.paused && say(each.members)) {
+            if (!each.dead && !each.paused && predicate(each.members)) {
                 ++result;
             }
         }
@@ -105,7 +106,7 @@
     std::map<std::string, test_node> nodes;
     instant now{seconds(1'000)};
     /// Which datagrams get lost.
-    std::function<bool(std::string const&, std::string const&)> lost =
+    std::function<bool(std::string const&, std::string const&)> drops_datagram =
         [](std::string const&, std::string const&) {
             return false;
         };
@@ -118,14 +119,15 @@
     };
 
     void deliver() {
-        std::deque<datagram> arriving;
-        arriving.swap(under_way_);
-        for (datagram const& each : arriving) {
+        std::deque<datagram> due_datagrams;
+        due_datagrams.swap(in_flight_);
+        for (datagram const& each : due_datagrams) {
             auto const to = nodes.find(each.to);
-            bool const heard = to != nodes.end() && !to->second.dead &&
-                               !to->second.paused && !lost(each.from, each.to);
-            if (heard) {
-                to->second.bytes += each.bytes.size() + header_bytes;
+            bool const is_delivered = to != nodes.end() && !to->second.dead &&
+                                      !to->second.paused &&
+                                      !drops_datagram(each.from, each.to);
+            if (is_delivered) {
+                to->second.bytes += each.bytes.size() + udp_ip_header_bytes;
                 to->second.members.on_datagram(each.bytes, now);
             }
         }
@@ -139,17 +141,17 @@
             }
             send_probe const& send = std::get<send_probe>(each);
             std::string bytes = encode_probe(send.message);
-            node.bytes += bytes.size() + header_bytes;
-            longest = std::max(longest, bytes.size());
-            under_way_.push_back({from, send.to.str(), std::move(bytes)});
+            node.bytes += bytes.size() + udp_ip_header_bytes;
+            longest_datagram = std::max(longest_datagram, bytes.size());
+            in_flight_.push_back({from, send.to.str(), std::move(bytes)});
         }
     }
 
     std::size_t domains_;
-    std::deque<datagram> under_way_;
+    std::deque<datagram> in_flight_;
 
 public:
-    std::size_t longest = 0;
+    std::size_t longest_datagram = 0;
 };
 
 } // namespace camphorpoint::membership_test
--- a/test/membership_scale_test.cpp
+++ b/test/membership_scale_test.cpp
@@ -1,4 +1,4 @@
-#include "support/talk_model.hpp"
+#include "support/membership_simulation.hpp"
 
 #include <doctest/doctest.h>
 
@@ -13,13 +13,13 @@
 using std::chrono::seconds;
 
 /// Partitions that the platform deals out: it names at most so many holders.
-constexpr std::size_t partitions = 96;
+constexpr std::size_t quota_units = 96;
 constexpr std::size_t domains = 5;
 /// A node may spend so much on all control.
 constexpr double control_bytes_per_s = 5'000;
 
 /// @returns the largest sum of shares while the model goes on
-double largest_sum(membership_simulation& model, duration span) {
+double largest_share_sum(membership_simulation& model, duration span) {
     double most = 0;
     model.run(
         span, [&] { most = std::max(most, model.sum_of_quota_shares()); });
@@ -33,16 +33,16 @@
 // one another: word of a leaving replica reaches half of the nodes, and by
 // their count of 97 they take twice their share of the slack of second sends.
 TEST_CASE("every node knows every other, whether it holds a partition or not") {
-    membership_simulation model(200, domains, partitions);
+    membership_simulation model(200, domains, quota_units);
     model.run(seconds(5));
     CHECK(model.nodes_with_full_view() == 200);
     CHECK(model.sum_of_quota_shares() <= 1.0 + 1e-9);
 
     SUBCASE("also when one datagram in ten is lost") {
-        membership_simulation lossy(200, domains, partitions);
-        lossy.loss = 0.1;
-        lossy.run(seconds(10));
-        CHECK(lossy.nodes_with_full_view() == 200);
+        membership_simulation lossy_model(200, domains, quota_units);
+        lossy_model.loss = 0.1;
+        lossy_model.run(seconds(10));
+        CHECK(lossy_model.nodes_with_full_view() == 200);
     }
     SUBCASE("a node that comes later is known to all within seconds") {
         model.nodes[150].down = true;
@@ -71,38 +71,38 @@
 // send more than all were allowed: the replicas, which both reach, are flooded.
 TEST_CASE(
     "nodes that are cut off from each other share no more than there is") {
-    membership_simulation model(100, domains, partitions);
+    membership_simulation model(100, domains, quota_units);
     model.run(seconds(5));
     model.isolated_domains = {domain_id("domain-0"), domain_id("domain-3")};
-    CHECK(largest_sum(model, seconds(30)) <= 1.0 + 1e-9);
+    CHECK(largest_share_sum(model, seconds(30)) <= 1.0 + 1e-9);
     model.isolated_domains.clear();
-    CHECK(largest_sum(model, seconds(20)) <= 1.0 + 1e-9);
+    CHECK(largest_share_sum(model, seconds(20)) <= 1.0 + 1e-9);
     CHECK(model.nodes_with_full_view() == 100);
 }
 
 // All processes are killed at the same moment and start again. Each knows only
 // whom the platform names, or nobody, and takes a share of that.
 TEST_CASE("after a restart of all no node takes another's share for long") {
-    membership_simulation model(200, domains, partitions);
+    membership_simulation model(200, domains, quota_units);
     model.run(seconds(5));
     for (std::size_t index = 0; index < model.nodes.size(); ++index) {
         model.restart(index, 2);
     }
     // In the first two seconds a node that has heard nobody takes all.
     model.run(seconds(2));
-    CHECK(largest_sum(model, seconds(8)) <= 1.0 + 1e-9);
+    CHECK(largest_share_sum(model, seconds(8)) <= 1.0 + 1e-9);
     CHECK(model.nodes_with_full_view() == 200);
 }
 
 // The same from the first moment on: a node that has heard nobody yet takes all
 // of the slack of second sends for its own.
 TEST_CASE("from a restart of all on no node takes another's share") {
-    membership_simulation model(200, domains, partitions);
+    membership_simulation model(200, domains, quota_units);
     model.run(seconds(5));
     for (std::size_t index = 0; index < model.nodes.size(); ++index) {
         model.restart(index, 2);
     }
-    CHECK(largest_sum(model, seconds(10)) <= 1.0 + 1e-9);
+    CHECK(largest_share_sum(model, seconds(10)) <= 1.0 + 1e-9);
 }
 
 // A node that is alone, as on a developer's machine, must be able to send a
@@ -117,7 +117,7 @@
 // word looks older than that of its former run. Others would hold it for dead
 // for good.
 TEST_CASE("a node whose clock was set back is believed again") {
-    membership_simulation model(20, domains, partitions);
+    membership_simulation model(20, domains, quota_units);
     model.restart(7, 1'000'000);
     model.run(seconds(5));
     model.restart(7, 10);
@@ -128,13 +128,13 @@
 // A few nodes do for all what one could do: read a list, hold partitions. They
 // must agree who that is, and small ones must not be swamped by it.
 TEST_CASE("nodes agree on their order, those with more of a processor first") {
-    membership_simulation model(60, domains, partitions);
+    membership_simulation model(60, domains, quota_units);
     model.run(seconds(6));
     std::vector<std::size_t> ranks;
     for (simulated_node const& each : model.nodes) {
         ranks.push_back(each.members.capacity_rank());
-        bool const large = each.self.processor_percent > 12;
-        CHECK((each.members.capacity_rank() < 6) == large);
+        bool const has_large_processor = each.self.processor_percent > 12;
+        CHECK((each.members.capacity_rank() < 6) == has_large_processor);
     }
     std::ranges::sort(ranks);
     for (std::size_t index = 0; index < ranks.size(); ++index) {
@@ -156,16 +156,16 @@
 // Telling all names to all costs each node more the more nodes there are. What
 // a node spends on knowing the others must not depend on how many there are.
 TEST_CASE("to know all costs a node the same at any size") {
-    auto const calm = [](std::size_t count) {
-        membership_simulation model(count, domains, partitions);
+    auto const idle_bytes_per_s = [](std::size_t count) {
+        membership_simulation model(count, domains, quota_units);
         model.run(seconds(25));
         model.reset_traffic();
         model.run(seconds(10));
         REQUIRE(model.nodes_with_full_view() == count);
         return model.peak_node_bytes_per_s();
     };
-    double const at_100 = calm(100);
-    double const at_400 = calm(400);
+    double const at_100 = idle_bytes_per_s(100);
+    double const at_400 = idle_bytes_per_s(400);
     MESSAGE("bytes a second at 100 nodes ", at_100, ", at 400 ", at_400);
     CHECK(at_400 < 1.2 * at_100 + 1);
     CHECK(at_400 < control_bytes_per_s / 2);
--- a/test/quota_shares_test.cpp
+++ b/test/quota_shares_test.cpp
@@ -1,4 +1,4 @@
-#include "support/talk_model.hpp"
+#include "support/membership_simulation.hpp"
 
 #include <doctest/doctest.h>
 
--- a/test/support/talk_model.cpp
+++ b/test/support/membership_simulation.cpp
@@ -1,4 +1,4 @@
-#include "talk_model.hpp"
+#include "membership_simulation.hpp"
 
 #include "Core/hash.hpp"
 
@@ -12,10 +12,10 @@
 
 namespace {
 
-membership_settings met_settings(std::size_t parts) {
+membership_settings gossip_settings(std::size_t quota_units) {
     membership_settings settings;
     settings.source = member_source::gossip;
-    settings.quota_unit_count = parts;
+    settings.quota_unit_count = quota_units;
     return settings;
 }
 
@@ -33,47 +33,48 @@
 } // namespace
 
 simulated_node::simulated_node(
-    node_instance which, std::uint64_t run, std::size_t parts)
-    : self(std::move(which))
+    node_instance node, std::uint64_t start_time_ms, std::size_t quota_units)
+    : self(std::move(node))
     , members(
-          met_settings(parts), self, run,
-          std::mt19937_64(hash_text(self.id.str(), run))) {}
+          gossip_settings(quota_units), self, start_time_ms,
+          std::mt19937_64(hash_text(self.id.str(), start_time_ms))) {}
 
 membership_simulation::membership_simulation(
-    std::size_t count, std::size_t domains, std::size_t listed,
+    std::size_t count, std::size_t domains, std::size_t unit_holder_count,
     std::uint64_t seed)
-    : listed_(listed)
+    : unit_holder_count_(unit_holder_count)
     , random_(seed) {
     for (std::size_t index = 0; index < count; ++index) {
-        nodes.emplace_back(instance(index, domains), 1, listed);
-        places_[nodes.back().self.id.str()] = index;
+        nodes.emplace_back(instance(index, domains), 1, unit_holder_count);
+        index_by_address_[nodes.back().self.id.str()] = index;
     }
     for (simulated_node& each : nodes) {
         assign_quota_units(each);
     }
-    counted_from_ = now;
+    traffic_since_ = now;
 }
 
 void membership_simulation::assign_quota_units(simulated_node& to) {
     std::vector<node_id> holders;
-    for (std::size_t index = 0; index < std::min(listed_, nodes.size());
-         ++index) {
+    for (std::size_t index = 0;
+         index < std::min(unit_holder_count_, nodes.size()); ++index) {
         holders.push_back(nodes[index].self.id);
         to.members.add_known_node(holders.back(), now);
     }
     std::vector<std::size_t> own;
-    for (std::size_t part = 0; part < listed_; ++part) {
-        if (holders[part % holders.size()] == to.self.id) {
-            own.push_back(part);
+    for (std::size_t unit = 0; unit < unit_holder_count_; ++unit) {
+        if (holders[unit % holders.size()] == to.self.id) {
+            own.push_back(unit);
         }
     }
     to.members.on_quota_units_assigned(own, std::move(holders), now);
 }
 
-void membership_simulation::restart(std::size_t which, std::uint64_t run) {
-    node_instance const self = nodes[which].self;
-    nodes[which] = simulated_node(self, run, listed_);
-    assign_quota_units(nodes[which]);
+void membership_simulation::restart(
+    std::size_t index, std::uint64_t start_time_ms) {
+    node_instance const self = nodes[index].self;
+    nodes[index] = simulated_node(self, start_time_ms, unit_holder_count_);
+    assign_quota_units(nodes[index]);
 }
 
 void membership_simulation::run(
@@ -92,23 +93,23 @@
     }
 }
 
-bool membership_simulation::passes(datagram const& each) {
+bool membership_simulation::is_delivered(datagram const& each) {
     domain_id const& from = nodes[each.from].self.domain;
     domain_id const& to = nodes[each.to].self.domain;
-    bool const parted = from != to && (isolated_domains.contains(from) ||
-                                       isolated_domains.contains(to));
+    bool const isolated = from != to && (isolated_domains.contains(from) ||
+                                         isolated_domains.contains(to));
     bool const lost =
         std::uniform_real_distribution<double>(0, 1)(random_) < loss;
-    return !nodes[each.to].down && !parted && !lost;
+    return !nodes[each.to].down && !isolated && !lost;
 }
 
 void membership_simulation::deliver() {
-    std::deque<datagram> arriving;
-    arriving.swap(under_way_);
-    for (datagram const& each : arriving) {
-        if (passes(each)) {
+    std::deque<datagram> due_datagrams;
+    due_datagrams.swap(in_flight_);
+    for (datagram const& each : due_datagrams) {
+        if (is_delivered(each)) {
             simulated_node& to = nodes[each.to];
-            to.received_bytes += each.bytes.size() + header_bytes;
+            to.received_bytes += each.bytes.size() + udp_ip_header_bytes;
             to.members.on_datagram(each.bytes, now);
         }
     }
@@ -121,31 +122,32 @@
         if (send == nullptr) {
             continue;
         }
-        auto const to = places_.find(send->address);
-        if (to == places_.end()) {
+        auto const to = index_by_address_.find(send->address);
+        if (to == index_by_address_.end()) {
             continue;
         }
         std::string bytes = encode_probe(send->message);
-        std::size_t const size = bytes.size() + header_bytes;
+        std::size_t const size = bytes.size() + udp_ip_header_bytes;
         ++node.sent.datagrams;
         node.sent.bytes += size;
-        bool const across = nodes[to->second].self.domain != node.self.domain;
-        node.sent.cross_domain_bytes += across ? size : 0;
-        under_way_.push_back({from, to->second, std::move(bytes)});
+        bool const is_cross_domain =
+            nodes[to->second].self.domain != node.self.domain;
+        node.sent.cross_domain_bytes += is_cross_domain ? size : 0;
+        in_flight_.push_back({from, to->second, std::move(bytes)});
     }
 }
 
 std::size_t membership_simulation::nodes_with_full_view() const {
-    auto const running = std::ranges::count_if(
+    auto const running_count = std::ranges::count_if(
         nodes, [](auto const& each) { return !each.down; });
     return static_cast<std::size_t>(
         std::ranges::count_if(nodes, [&](simulated_node const& each) {
-            auto const known =
+            auto const known_count =
                 std::ranges::count_if(nodes, [&](simulated_node const& other) {
                     auto const state = each.members.state_of(other.self.id);
                     return !other.down && state && *state != node_state::dead;
                 });
-            return !each.down && known == running;
+            return !each.down && known_count == running_count;
         }));
 }
 
@@ -164,16 +166,16 @@
         each.sent = {};
         each.received_bytes = 0;
     }
-    counted_from_ = now;
+    traffic_since_ = now;
 }
 
 double membership_simulation::peak_node_bytes_per_s() const {
-    std::size_t most = 0;
+    std::size_t max_bytes = 0;
     for (simulated_node const& each : nodes) {
-        most = std::max(most, each.sent.bytes + each.received_bytes);
+        max_bytes = std::max(max_bytes, each.sent.bytes + each.received_bytes);
     }
-    std::chrono::duration<double> const span = now - counted_from_;
-    return static_cast<double>(most) / span.count();
+    std::chrono::duration<double> const span = now - traffic_since_;
+    return static_cast<double>(max_bytes) / span.count();
 }
 
 } // namespace camphorpoint::simulation
--- a/test/support/talk_model.hpp
+++ b/test/support/membership_simulation.hpp
@@ -17,7 +17,7 @@
 /// than between two domains of a region, which is a few milliseconds.
 inline constexpr std::chrono::milliseconds step{20};
 /// UDP over IPv4 adds so many bytes to a datagram.
-inline constexpr std::size_t header_bytes = 28;
+inline constexpr std::size_t udp_ip_header_bytes = 28;
 
 /// What a node has sent.
 struct sent_traffic {
@@ -29,7 +29,9 @@
 
 /// One entry node: the decision objects that talk to other nodes.
 struct simulated_node {
-    simulated_node(node_instance which, std::uint64_t run, std::size_t parts);
+    simulated_node(
+        node_instance node, std::uint64_t start_time_ms,
+        std::size_t quota_units);
 
     node_instance self;
     membership members;
@@ -48,14 +50,14 @@
     ///                as many partitions
     /// @param seed    of which datagrams get lost
     membership_simulation(
-        std::size_t count, std::size_t domains, std::size_t listed,
+        std::size_t count, std::size_t domains, std::size_t unit_holder_count,
         std::uint64_t seed = 7);
 
     /// Goes on; `each_step` is called after each step.
     void run(
         duration span, std::function<void()> const& each_step = [] {});
     /// The process of a node starts anew and knows nothing.
-    void restart(std::size_t which, std::uint64_t run);
+    void restart(std::size_t index, std::uint64_t start_time_ms);
     /// Names the holders to a node, and the partitions that it holds.
     void assign_quota_units(simulated_node& to);
 
@@ -85,13 +87,13 @@
 
     void deliver();
     void collect(std::size_t from);
-    bool passes(datagram const& each);
+    bool is_delivered(datagram const& each);
 
-    std::size_t listed_;
-    std::unordered_map<std::string, std::size_t> places_;
-    std::deque<datagram> under_way_;
+    std::size_t unit_holder_count_;
+    std::unordered_map<std::string, std::size_t> index_by_address_;
+    std::deque<datagram> in_flight_;
     std::mt19937_64 random_;
-    instant counted_from_;
+    instant traffic_since_;
 };
 
 } // namespace camphorpoint::simulation
