--- a/src/Membership/endpoint_table.cpp
+++ b/src/Membership/endpoint_table.cpp
@@ -25,8 +25,10 @@
     return newly_leaving;
 }
 
-// An endpoint that was gone from the list and comes back is a new start of it;
-// only a list that named it all along can be late.
+// An endpoint that was absent from the list and appears again has been
+// restarted, so an earlier report that it is leaving must not apply to it. A
+// report only overrides a list that has contained the endpoint without a gap,
+// since only such a list can be out of date.
 void endpoint_table::remove_unlisted() {
     for (auto position = entries_.begin(); position != entries_.end();) {
         entry& each = position->second;
@@ -81,7 +83,8 @@
             continue;
         }
         if (now >= *each.avoid_until) {
-            // One more failure makes it suspect again at once.
+            // The failure count stays, so a single further failure makes the
+            // endpoint suspect again.
             each.avoid_until.reset();
             ++change_count_;
         } else {
--- a/src/Membership/endpoint_table.hpp
+++ b/src/Membership/endpoint_table.hpp
@@ -12,54 +12,62 @@
 
 namespace camphorpoint {
 
-/// What this node believes of an endpoint.
+/// State of an endpoint as this node sees it.
 enum class endpoint_state : std::uint8_t {
-    /// May get work.
+    /// May receive new requests.
     live,
-    /// Failed direct calls of this node; only this node avoids it.
+    /// Calls of this node failed repeatedly. Only this node avoids the
+    /// endpoint.
     suspect,
-    /// Gets no new work.
+    /// Receives no new requests.
     leaving,
-    /// Not in the platform's list.
+    /// Not in the platform's instance list.
     gone
 };
 
-/// The endpoints of the platform's list, corrected by reports that they leave.
+/// The endpoints in the platform's instance list, corrected by reports that an
+/// endpoint is leaving and by the results of this node's calls.
 class endpoint_table {
 public:
     explicit endpoint_table(membership_settings const& settings)
         : settings_(settings) {}
 
-    /// Takes a new list.
-    /// @returns the endpoints that the list itself newly reports as leaving
+    /// Applies a new instance list.
+    /// @returns the endpoints that the list reports as leaving for the first
+    /// time
     std::vector<endpoint_id>
     apply_list(std::vector<endpoint_instance> const& list, instant now);
-    /// Takes a report that an endpoint leaves.
-    /// @returns true when it is news
+    /// Applies a report that an endpoint is leaving.
+    /// @returns true if the endpoint was not known to be leaving
     bool report_leaving(endpoint_id const& endpoint, instant now);
-    /// Takes the end of a direct call.
+    /// Records the result of a call of this node to an endpoint. Unknown
+    /// endpoints are ignored.
     void record_call(endpoint_id const& endpoint, bool succeeded, instant now);
-    /// Lets reports end that the list has contradicted for long enough.
+    /// Removes reports that are older than `leaving_report_lifetime`, if the
+    /// list says that the endpoint is live or does not contain it.
     void expire_leaving_reports(instant now);
-    /// Lets suspect endpoints be tried again.
+    /// Makes suspect endpoints available again whose retry delay is over.
     void on_tick(instant now);
 
-    /// @returns endpoints that may get new work, in the order of their names
+    /// @returns the endpoints that may receive new requests, in the order of
+    /// their ids
     std::vector<endpoint_instance> live_endpoints() const;
     /// @returns the endpoint's state
     endpoint_state state_of(endpoint_id const& endpoint) const;
-    /// @returns the endpoint's data; null when the list never named it
+    /// @returns the endpoint's entry in the instance list; null if the list
+    /// does not contain the endpoint
     endpoint_instance const* find(endpoint_id const& endpoint) const;
-    /// @returns a counter that grows with each change
+    /// @returns a counter that grows with each change of the table
     std::uint64_t change_count() const noexcept { return change_count_; }
 
 private:
     struct entry {
         endpoint_instance instance;
         bool listed = false;
-        /// Whether the list that is being read names it.
+        /// Whether the list that is being applied contains the endpoint.
         bool in_new_list = false;
-        /// A report beats a list that says live until then.
+        /// Set by a report that the endpoint is leaving. Until this time the
+        /// report overrides a list that shows the endpoint as live.
         std::optional<instant> leaving_until;
         std::size_t failures = 0;
         std::optional<instant> avoid_until;
--- a/src/Membership/incarnation.hpp
+++ b/src/Membership/incarnation.hpp
@@ -5,13 +5,13 @@
 
 namespace camphorpoint {
 
-/// Orders what is said about a node: newer runs of the process beat older
-/// ones, and within a run the node itself raises `refutations` to answer a
-/// suspicion.
+/// Orders the updates about one node. Updates about a later process of the node
+/// take precedence over those about an earlier one; within one process the node
+/// increments `refutations` to refute a suspicion.
 struct incarnation {
-    /// When the process started, in milliseconds of the calendar clock.
+    /// Start time of the process, in milliseconds of the calendar clock.
     std::uint64_t start_time_ms = 0;
-    /// How often it has refuted a suspicion.
+    /// Number of suspicions that the process has refuted.
     std::uint32_t refutations = 0;
 
     friend auto operator<=>(incarnation const&, incarnation const&) = default;
--- a/src/Membership/membership.cpp
+++ b/src/Membership/membership.cpp
@@ -19,8 +19,8 @@
 }
 
 void membership::on_instance_list(instance_list const& list, instant now) {
-    // The list names at least this node; an empty one is a fault of the
-    // platform, and taking it for true would end all work.
+    // A correct list contains at least this node. An empty list is a fault of
+    // the platform; applying it would remove all members and stop all work.
     if (list.nodes.empty()) {
         return;
     }
@@ -36,8 +36,8 @@
     endpoints_.expire_leaving_reports(now);
 }
 
-// A node that was found dead stays dead whatever the list says, since the list
-// is late: only the node itself can say otherwise.
+// A node that was found dead stays dead even if the list contains it, because
+// the list lags behind: only a message of the node itself revives it.
 void membership::apply_listed_node(node_instance const& node, instant /*now*/) {
     auto const [entry, added] = members_.try_emplace(node.id);
     member& peer = entry->second;
@@ -117,9 +117,10 @@
 }
 
 void membership::on_tick(instant now) {
-    // Guards against a node that was paused: the answers to its probes lie
-    // unread, and it would accuse nodes that are well. It shows as a wave of
-    // suspicions when the node wakes.
+    // After a pause of this process (debugger, migration) the acks to its
+    // probes are still unread in the socket, and it would suspect healthy
+    // nodes. On resuming, it therefore drops the pending probes instead of
+    // raising many suspicions at once.
     bool const paused =
         last_tick_ && now - *last_tick_ >= settings_.ack_timeout;
     bool const long_paused =
--- a/src/Membership/membership.hpp
+++ b/src/Membership/membership.hpp
@@ -23,99 +23,113 @@
 
 namespace camphorpoint {
 
-/// What this node believes of another one.
+/// State of another node as this node sees it.
 enum class node_state : std::uint8_t { live, suspect, dead, leaving };
 
-/// A node that takes part.
+/// A member that is not dead.
 struct live_node {
     node_id id;
     domain_id domain;
     std::string peer_address;
-    /// The run last heard of; 0 when only the platform's list names the node.
+    /// Start time of the node's process as last received, in milliseconds of
+    /// the calendar clock; 0 if only the platform's instance list names the
+    /// node.
     std::uint64_t start_time_ms = 0;
-    /// True when the node has said that it stops: it finishes what it has and
-    /// must get nothing new.
+    /// True if the node has announced that it is shutting down: it completes
+    /// its requests and must get no new ones.
     bool leaving = false;
 };
 
-/// Who is alive: the platform's late list, corrected by probes.
+/// Tracks which nodes and endpoints are live: the platform's instance list,
+/// which lags behind, corrected by probes between the nodes.
 /// Reference: A. Das, I. Gupta, A. Motivala, "SWIM: scalable weakly-consistent
-/// infection-style process group membership protocol", DSN 2002. Several
-/// accusers before a removal: A. Dadgar, J. Phillips, J. Currey, "Lifeguard:
-/// local health awareness for more accurate failure detection", 2017.
+/// infection-style process group membership protocol", DSN 2002. That several
+/// nodes must suspect a node before it is removed is from A. Dadgar, J.
+/// Phillips, J. Currey, "Lifeguard: local health awareness for more accurate
+/// failure detection", 2017.
 class membership {
 public:
     /// @param settings the same on all nodes
-    /// @param self     this node, as the platform's list names it
-    /// @param run      when the process started, calendar milliseconds
-    /// @param random   seeded
+    /// @param self this node as in the platform's instance list
+    /// @param start_time_ms start time of the process, in milliseconds of the
+    /// calendar clock
+    /// @param random seeded random number generator
     membership(
         membership_settings settings, node_instance self,
         std::uint64_t start_time_ms, std::mt19937_64 random);
 
-    /// A new answer of the platform's list.
+    /// Applies a new instance list of the platform. A list without nodes is
+    /// ignored.
     void on_instance_list(instance_list const& list, instant now);
-    /// A datagram from a peer; a broken one is counted and dropped.
+    /// Handles a datagram from a peer. A malformed datagram is counted and
+    /// dropped.
     void on_datagram(std::string_view datagram, instant now);
-    /// A message from a peer.
+    /// Handles a message from a peer.
     void on_probe(probe_message const& message, instant now);
-    /// A peer was heard by other words than probes, which is as good as an
-    /// answer to one.
+    /// Records that a message other than a probe was received from a peer. It
+    /// proves that the peer is alive as well as an ack does.
     void on_peer_message(node_id const& peer, instant now);
-    /// An engine or service refused work because it is leaving. The report is
-    /// spread to all nodes.
+    /// Reports that an endpoint refused a request because it is leaving. The
+    /// report is gossiped to all nodes.
     void report_endpoint_leaving(endpoint_id const& endpoint, instant now);
-    /// A direct call to an endpoint succeeded or failed. Failures make it
-    /// suspect on this node alone.
+    /// Records the result of a call to an endpoint. Repeated failures make the
+    /// endpoint suspect on this node only.
     void
     on_endpoint_call(endpoint_id const& endpoint, bool succeeded, instant now);
-    /// Somebody else names a node; it takes part from now on. Only where nodes
-    /// are met.
+    /// Adds a node that a source other than gossip has named, for instance the
+    /// platform. Has an effect only if the members come from gossip.
     void add_known_node(node_id const& node, instant now);
-    /// The platform has dealt the parts of the common limits anew.
-    /// @param own     those of this node
-    /// @param holders the nodes that have any
+    /// Applies a new assignment of quota units by the platform.
+    /// @param own_units units assigned to this node
+    /// @param unit_holders nodes that have at least one unit
     void on_quota_units_assigned(
         std::vector<std::size_t> const& own_units,
         std::vector<node_id> unit_holders, instant now);
-    /// This node begins a planned stop and says so.
+    /// Starts the planned shutdown of this node and announces it to the other
+    /// nodes.
     void start_leaving(instant now);
-    /// Time has passed.
+    /// Performs what is due at this time: probes, timeouts, updates.
     void on_tick(instant now);
-    /// @returns what is to be done, in order; the list is empty afterwards
+    /// Removes and returns the pending actions.
+    /// @returns the actions, to be performed in this order
     std::vector<membership_action> take_actions();
 
-    /// @returns a counter that grows with each change of what is asked below,
-    /// so that others recompute only then
+    /// @returns a counter that grows with each change of what the functions
+    /// below return, so that callers recompute only after a change
     std::uint64_t change_count() const noexcept {
         return change_count_ + endpoints_.change_count();
     }
-    /// @returns all nodes that are neither dead nor gone, this one included,
-    /// in the order of their names
+    /// @returns all members that are not dead, this node included, in the order
+    /// of their ids
     std::vector<live_node> live_nodes() const;
-    /// @returns the part of a common limit that this node may use, from 0 to 1.
-    ///          Only where nodes are met. Where the platform deals no parts it
-    ///          goes by the nodes that are known, and may be too much.
+    /// @returns the fraction of a common limit that this node may use, from 0
+    /// to 1. Meaningful only if the members come from gossip. If the platform
+    /// assigns no quota units, it is computed from the number of known members
+    /// and may be too large.
     double quota_share(instant now) const;
-    /// @returns how many nodes that are there go before this one in an order
-    ///          that all agree on: those with more of a processor first. Few
-    ///          nodes do by it what one could do for all.
+    /// @returns the number of members, neither dead nor leaving, that rank
+    /// before this one. Nodes with a larger CPU share rank first, and nodes
+    /// that know the same members agree on the order. It selects the few nodes
+    /// that do a task on behalf of all.
     std::size_t capacity_rank() const;
-    /// @returns whom this node takes to be there
+    /// @returns the digest of the members that this node knows, neither dead
+    /// nor leaving
     member_digest digest() const;
-    /// @returns the node's state; nothing when it is unknown
+    /// @returns the node's state; nothing if the node is unknown
     std::optional<node_state> state_of(node_id const& node) const;
-    /// @returns the node's address for TCP and UDP; empty when unknown
+    /// @returns the node's address for TCP and UDP; empty if unknown
     std::string peer_address(node_id const& node) const;
-    /// @returns the node's failure domain; empty when unknown
+    /// @returns the node's failure domain; empty if unknown
     domain_id domain_of(node_id const& node) const;
-    /// @returns endpoints that may get new work, in the order of their names
+    /// @returns the endpoints that may receive new requests, in the order of
+    /// their ids
     std::vector<endpoint_instance> live_endpoints() const;
     /// @returns the endpoint's state
     endpoint_state state_of(endpoint_id const& endpoint) const;
-    /// @returns the endpoint's data; null when the list never named it
+    /// @returns the endpoint's entry in the instance list; null if the list
+    /// does not contain the endpoint
     endpoint_instance const* find(endpoint_id const& endpoint) const;
-    /// @returns datagrams that could not be read
+    /// @returns the number of datagrams that could not be decoded
     std::uint64_t malformed_datagrams() const noexcept {
         return malformed_datagrams_;
     }
@@ -123,13 +137,13 @@
 private:
     struct member {
         node_instance instance;
-        /// Whether the list that is being read names it.
+        /// Whether the list that is being applied contains the node.
         bool in_new_list = false;
         node_state state = node_state::live;
         incarnation known_incarnation;
-        /// Whose own probes of it failed.
+        /// The nodes whose own probes of this member failed.
         std::set<node_id> suspected_by;
-        /// When the suspicion ends in death.
+        /// When an unrefuted suspicion may turn into death.
         instant suspect_until;
         instant dead_since;
     };
@@ -195,33 +209,39 @@
     bool leaving_ = false;
     std::mt19937_64 random_;
     std::map<node_id, member> members_;
-    /// The other nodes' names in order, rebuilt when members come or go.
+    /// The other members' ids in ascending order, rebuilt when members are
+    /// added or removed.
     std::vector<node_id> sorted_ids_;
     std::set<node_id> suspects_;
     endpoint_table endpoints_;
     update_queue updates_;
     pending_probes pending_probes_;
+    /// Nodes suspected by others, to be probed in the next rounds in addition.
     std::set<node_id> probe_soon_;
-    /// Named by the platform, and not yet told that this node is there.
+    /// Nodes that the platform has named and to which this node has not
+    /// announced itself yet.
     std::vector<node_id> unannounced_;
     std::vector<membership_action> actions_;
     std::optional<instant> next_probe_round_;
     std::optional<instant> last_tick_;
-    /// When this node asked for names last.
+    /// When this node last requested a member list.
     std::optional<instant> last_list_request_;
-    /// The name after which names were asked for; none when they have come.
+    /// The id after which the pending member list request asks for members;
+    /// empty if no request is pending.
     std::optional<node_id> list_request_after_;
     std::size_t list_request_count_ = 0;
     instant last_dead_check_;
     mutable member_digest digest_;
     mutable std::size_t rank_ = 0;
-    /// The counts of changes that these were found at.
+    /// Change count at which the cached rank was computed.
     mutable std::uint64_t rank_change_count_ =
         std::numeric_limits<std::uint64_t>::max();
+    /// Change count at which the cached digest was computed.
     mutable std::uint64_t digest_change_count_ =
         std::numeric_limits<std::uint64_t>::max();
     quota_shares quota_shares_;
-    /// The most nodes that a peer has lately known, and when it said so.
+    /// The largest number of members that a peer has reported lately, and when
+    /// it did so.
     std::uint32_t max_peer_count_ = 0;
     instant max_peer_count_at_;
     std::uint64_t change_count_ = 0;
--- a/src/Membership/membership_action.hpp
+++ b/src/Membership/membership_action.hpp
@@ -9,14 +9,14 @@
 
 namespace camphorpoint {
 
-/// Send a datagram to a node's peer address.
+/// Asks the caller to send a datagram to a node's peer address.
 struct send_probe {
     node_id to;
     std::string address;
     probe_message message;
 };
 
-/// All that membership can ask for or tell.
+/// Any action that membership asks its caller to perform.
 using membership_action = std::variant<send_probe, log_event>;
 
 } // namespace camphorpoint
--- a/src/Membership/membership_probes.cpp
+++ b/src/Membership/membership_probes.cpp
@@ -1,4 +1,4 @@
-// How membership probes, and how news travels on the probes.
+// Membership: probes, and the gossip of updates on the probes.
 #include "Membership/membership.hpp"
 
 #include <algorithm>
@@ -11,11 +11,12 @@
 
 namespace {
 
-/// How many nodes that others suspect are probed in one period besides.
+/// Maximum number of nodes that are probed in one period in addition because
+/// other nodes suspect them.
 constexpr std::size_t max_extra_probes = 3;
-/// News in a message that carries nothing else.
+/// Maximum number of updates in a message that carries nothing else.
 constexpr std::size_t max_urgent_updates = 12;
-/// The room that an accusation of the receiver itself takes at the most.
+/// Maximum size of an update that tells the receiver that it is suspected.
 constexpr std::size_t suspicion_update_bytes = 200;
 
 } // namespace
@@ -25,7 +26,7 @@
         return;
     }
     if (!next_probe_round_) {
-        // Spreads the rounds of nodes that started together.
+        // Spreads the probe rounds of nodes that started together.
         auto const period = static_cast<std::uint64_t>(
             duration(settings_.probe_period).count());
         next_probe_round_ = now + duration(random_() % period);
@@ -42,7 +43,7 @@
         if (probe_soon_.empty()) {
             return;
         }
-        // Each node begins elsewhere, so that not all ask for the same one.
+        // A random start, so that the nodes do not all probe the same suspect.
         auto next = probe_soon_.begin();
         std::advance(next, random_() % probe_soon_.size());
         node_id const target = *next;
@@ -84,8 +85,8 @@
     }
 }
 
-// A leaving endpoint must get no new work after two seconds; by the probes
-// alone, one period to a step, the news would need too long.
+// A leaving endpoint must not get new requests for more than two seconds.
+// Gossip on the probes, which takes one period per hop, would be too slow.
 void membership::send_urgent_updates() {
     if (!updates_.has_urgent()) {
         return;
@@ -119,8 +120,8 @@
     if (sorted_ids_.empty()) {
         return result;
     }
-    // Dead ones are skipped by trying again; the bound keeps a node that sees
-    // nearly all others dead from trying for long.
+    // Dead members are skipped by sampling again. The limit bounds the work of
+    // a node that regards nearly all other members as dead.
     std::size_t const max_attempts = 8 * count;
     for (std::size_t attempt = 0; attempt < max_attempts; ++attempt) {
         node_id const& next = sorted_ids_[random_() % sorted_ids_.size()];
@@ -146,6 +147,8 @@
         max_datagram_bytes - std::min(max_datagram_bytes, base);
     message.updates =
         updates_.select(max_updates, free_bytes, members_.size() + 1);
+    // A suspected or dead receiver gets the update about itself, so that it can
+    // refute it.
     auto const found = members_.find(to);
     // The accused must hear of it, to refute it.
     if (found != members_.end() && is_suspect_or_dead(found->second)) {
--- a/src/Membership/membership_settings.hpp
+++ b/src/Membership/membership_settings.hpp
@@ -8,59 +8,72 @@
 
 namespace camphorpoint {
 
-/// Who takes part.
+/// Where this node learns which nodes are members.
 enum class member_source : std::uint8_t {
-    /// Whom the platform's list names.
+    /// The members are the nodes in the platform's instance list.
     platform_list,
-    /// Whoever speaks, or is told of by one who knows it. A node's id is its
-    /// peer address then. For platforms that list no nodes.
+    /// A node becomes a member when it sends a message, when the platform or a
+    /// gossiped update names it, or when it appears in another node's member
+    /// list. Its id is its peer address. For platforms whose instance list has
+    /// no nodes.
     gossip
 };
 
-/// Times and limits of membership.
+/// Settings of membership: intervals, timeouts and limits.
 struct membership_settings {
     member_source source = member_source::platform_list;
-    /// How often neighbours and one random node are probed.
+    /// Interval between probe rounds. A round probes the neighbours and one
+    /// random node.
     std::chrono::milliseconds probe_period{1'000};
-    /// How many neighbours in the order of names are probed each period.
+    /// Number of neighbours that each round probes: the nodes that follow this
+    /// node in the order of ids.
     std::size_t neighbours = 2;
-    /// How long a direct probe waits before others are asked to probe.
+    /// Time without an ack to a direct probe after which other nodes are asked
+    /// for indirect probes.
     std::chrono::milliseconds ack_timeout{300};
-    /// How many others are asked.
+    /// Number of nodes that are asked for an indirect probe.
     std::size_t indirect_probers = 3;
-    /// How long a suspected node has to refute.
+    /// Time that a suspected node has to refute the suspicion.
     std::chrono::milliseconds suspicion_timeout{3'000};
-    /// How long a report is believed against the platform's late list.
+    /// How long a report that an endpoint is leaving overrides the platform's
+    /// instance list, which lags behind.
     std::chrono::milliseconds leaving_report_lifetime{60'000};
-    /// How many updates a probe carries.
+    /// Maximum number of updates that a probe carries.
     std::size_t updates_per_probe = 6;
-    /// Failed direct calls in a row after which an endpoint is suspect here.
+    /// Consecutive failed calls after which this node treats an endpoint as
+    /// suspect.
     std::size_t endpoint_failure_threshold = 3;
-    /// How long a suspect endpoint is avoided before it is tried again.
+    /// How long a suspect endpoint gets no requests before it is tried again.
     std::chrono::milliseconds endpoint_retry_delay{5'000};
-    /// A dead node that was met still counts among those that share a limit
-    /// for so long: it may only be out of reach and go on, and a limit that the
-    /// rest shares anew would be overstepped. Then it is forgotten.
+    /// How long a dead member still counts among the nodes that share a limit,
+    /// if the members come from gossip. A member that was declared dead may
+    /// only be unreachable and still use its quota share; if the other nodes
+    /// divided the limit among themselves at once, the limit would be exceeded.
+    /// The member is removed afterwards.
     std::chrono::milliseconds dead_member_retention{60'000};
-    /// Parts of each common limit that the platform deals to the nodes; 0 where
-    /// it deals none.
+    /// Number of quota units into which each common limit is divided and which
+    /// the platform assigns to the nodes; 0 if the platform assigns none.
     std::size_t quota_unit_count = 0;
     quota_loan_times quota_loans;
-    /// A node whom the platform names is greeted. So many at a time: a hundred
-    /// are greeted in a second or two, and no link is filled by it.
+    /// Number of nodes to which this node announces itself on each tick, of
+    /// those that the platform names. With this number a hundred nodes receive
+    /// the announcement within one or two seconds, and no link is saturated.
     std::size_t announcements_per_tick = 8;
-    /// A node that has just begun, or knows an eighth fewer than a peer, asks
-    /// for all names again after this: where all nodes begin at once, each
-    /// knows all within some seconds.
+    /// Interval between member list requests of a node that has just started,
+    /// or that knows an eighth fewer members than a peer. When all nodes
+    /// start at the same time, each knows all others within some seconds.
     std::chrono::milliseconds initial_sync_interval{500};
-    /// So often a node that has just begun asks that soon. Nodes that begin
-    /// together know of each other by parts, so the first answers lack some.
+    /// Number of member list requests that a node which has just started sends
+    /// at `initial_sync_interval`. Nodes that start together each know only
+    /// some of the others, so the first lists are incomplete.
     std::size_t initial_syncs = 8;
-    /// Otherwise a difference is asked for no more often than this, and so
-    /// that names take `sync_bytes_per_s` at most. News travels on the probes;
-    /// this mends what was lost of it.
+    /// Minimum interval between member list requests otherwise. It is extended
+    /// so that the lists take at most `sync_bytes_per_s`. Updates travel on the
+    /// probes; the member lists are the anti-entropy that replaces lost
+    /// updates.
     std::chrono::milliseconds min_sync_interval{2'000};
-    /// A fifth of what a node may spend on control, 5 KB a second.
+    /// Bytes per second for member lists: one fifth of the 5 KB/s that a node
+    /// may spend on control traffic.
     std::size_t sync_bytes_per_s = 1'000;
 };
 
--- a/src/Membership/membership_sync.cpp
+++ b/src/Membership/membership_sync.cpp
@@ -1,7 +1,9 @@
-// How nodes that no list names come to know each other.
+// Member discovery without an instance list, and anti-entropy: nodes compare
+// digests of their member sets and request member lists when the digests
+// differ.
 // Reference: A. Demers et al., "Epidemic algorithms for replicated database
-// maintenance", PODC 1987: what rumours miss, a comparison of whole states
-// mends.
+// maintenance", PODC 1987: anti-entropy, the comparison of complete states,
+// repairs what gossip has missed.
 #include "Core/hash.hpp"
 #include "Membership/membership.hpp"
 
@@ -13,11 +15,11 @@
 
 namespace {
 
-/// What a peer has said of how many it knows counts for so long.
+/// How long the number of members that a peer reported is used.
 constexpr duration peer_count_lifetime = std::chrono::seconds(10);
-/// A name with its domain and incarnation takes about so many bytes.
+/// Approximate encoded size of a member with its domain and incarnation.
 constexpr std::size_t bytes_per_member = 64;
-/// Of a page, beside its names.
+/// Encoded size of a page without its members and the sender's id and domain.
 constexpr std::size_t page_overhead_bytes = 124;
 
 } // namespace
@@ -84,8 +86,9 @@
         message.from, message.request_number, message.amount, now);
 }
 
-// Whom the platform names hears of this node directly: where all nodes begin at
-// once, by probes alone it would take ten seconds until all know all.
+// Nodes that the platform names receive a message from this node directly. When
+// all nodes start at the same time, probes alone would take ten seconds until
+// each node knows all others.
 void membership::send_announcements() {
     std::size_t const count =
         std::min(unannounced_.size(), settings_.announcements_per_tick);
@@ -105,9 +108,10 @@
     record_alive(from, at);
 }
 
-// Guards against a node whose clock was set back before it started again: all
-// others would take its word for that of its former run, hold it for dead, and
-// tell it nothing more.
+// If the clock of an instance is set back before the node restarts, other nodes
+// take its messages for older than those of its former process, regard it as
+// dead and send it no updates any more. The node therefore continues with a
+// start time later than that of the former process.
 void membership::supersede_former_process(incarnation former) {
     incarnation_ = {former.start_time_ms + 1, 0};
     add_log_event(
@@ -116,7 +120,8 @@
 }
 
 member_digest membership::digest() const {
-    // Each datagram carries it, and at 1,900 nodes it takes 60 us to add up.
+    // The digest is cached because each probe and ack carries it: computing it
+    // for 1,900 nodes takes 60 us.
     if (digest_change_count_ == change_count_) {
         return digest_;
     }
@@ -209,8 +214,7 @@
         message.from, message.from_incarnation, message.from_attributes);
     for (membership_update const& each : message.updates) {
         node_id const id(each.name);
-        // No news to the others: whoever has asked for names is the one that
-        // lacks them.
+        // Members from a page are not gossiped: only this node lacked them.
         if (id != self_.id) {
             add_or_update_member(id, each.attributes);
         }
@@ -223,9 +227,10 @@
     }
 }
 
-// Guards against names that a lost datagram cuts short: hundreds of them come
-// in a row of ten pages or more, of which one is lost in most rows on a link
-// that loses one in ten.
+// A lost datagram would cut a member list short: hundreds of members take ten
+// or more pages, and on a link that loses one datagram in ten most such
+// sequences lose at least one page. The request for the missing page is
+// therefore repeated at a random member.
 void membership::retry_member_list_request(instant now) {
     bool const timed_out = list_request_after_ &&
                            now >= *last_list_request_ + settings_.ack_timeout;
@@ -260,8 +265,9 @@
 
 bool membership::ranks_before(
     node_instance const& left, node_instance const& right) {
-    // By hash, so that those that go first lie in all failure domains, whatever
-    // the addresses look like.
+    // Nodes with the same CPU share are ordered by the hash of their ids, so
+    // that the first ones are spread over all failure domains even if the
+    // addresses within a domain are similar.
     return std::tuple(
                right.processor_percent, hash_text(left.id.str(), 0), left.id) <
            std::tuple(
--- a/src/Membership/membership_updates.cpp
+++ b/src/Membership/membership_updates.cpp
@@ -1,4 +1,4 @@
-// What membership makes of news about nodes.
+// Membership: applies updates about nodes.
 #include "Membership/membership.hpp"
 
 #include <fmt/format.h>
@@ -9,11 +9,14 @@
 
 namespace {
 
-/// One node's broken link or fault must not remove another node.
+/// Number of nodes that must suspect a node before it is declared dead, so that
+/// one node's broken link or fault cannot remove another node.
 constexpr std::size_t required_suspecting_nodes = 2;
-/// News carries no more names than a datagram has room for.
+/// Maximum number of suspecting nodes in an update, so that the update fits
+/// into a datagram.
 constexpr std::size_t max_reported_suspecting_nodes = 3;
-/// With so much news waiting, joins are no longer told on: two probes' worth.
+/// With this many updates in the queue, enough for two probes, joins are no
+/// longer gossiped.
 constexpr std::size_t max_queued_updates_for_joins = 12;
 
 update_kind kind_of(node_state state) {
@@ -46,8 +49,9 @@
                        update.kind == update_kind::node_alive;
     if (joins && !members_.contains(id)) {
         member const& peer = add_or_update_member(id, update.attributes);
-        // Where all nodes begin at once, their names would fill the probes for
-        // minutes and hold up word of a dead one: asking brings them sooner.
+        // When all nodes start at the same time, updates about joins would fill
+        // the probes for minutes and delay updates about dead nodes. Member
+        // list requests spread the joins sooner.
         if (updates_.size() < max_queued_updates_for_joins) {
             queue_update(peer);
         }
@@ -74,9 +78,10 @@
     }
 }
 
-// A paused node wakes to find itself suspected or dead: it answers with a
-// higher incarnation, which beats all that was said. What is said of an
-// earlier run does not concern this one.
+// A node that was paused may find itself suspected or declared dead when it
+// resumes. It refutes with a higher incarnation, which takes precedence over
+// all earlier updates. Updates about an earlier process do not apply to this
+// one.
 void membership::apply_to_self(membership_update const& update) {
     if (settings_.source == member_source::gossip &&
         update.node_incarnation.start_time_ms > incarnation_.start_time_ms) {
@@ -103,8 +108,8 @@
     }
     bool const restarted = update.node_incarnation.start_time_ms !=
                            peer.known_incarnation.start_time_ms;
-    // That a listed node lives is no news to the others; were it told on, a
-    // cluster's start would fill the probes for half an hour.
+    // That a listed node is alive is nothing new to the other nodes; gossiping
+    // it would fill the probes for half an hour after the start of a cluster.
     bool const is_new =
         is_suspect_or_dead(peer) ||
         (restarted && peer.known_incarnation.start_time_ms != 0);
@@ -154,7 +159,8 @@
     if (new_suspicion || peer.suspected_by.size() > before) {
         queue_update(peer);
     }
-    // A second witness is wanted soon, and this node may be it.
+    // A second node must confirm the suspicion soon, so this node probes the
+    // suspect as well.
     if (peer.suspected_by.size() < required_suspecting_nodes &&
         !peer.suspected_by.contains(self_.id)) {
         probe_soon_.insert(peer.instance.id);
@@ -207,7 +213,7 @@
         peer.state == node_state::dead || peer.state == node_state::leaving;
     bool const is_unavailable =
         state == node_state::dead || state == node_state::leaving;
-    // A suspicion by itself changes nothing that others compute.
+    // A suspicion alone changes nothing that callers compute from the members.
     change_count_ += was_unavailable || is_unavailable ? 1 : 0;
     peer.state = state;
     if (state == node_state::suspect) {
@@ -264,8 +270,9 @@
     apply_suspect(found->second, own, now);
 }
 
-// Only a suspicion that at least two nodes' own probes bear out ends in death.
-// A lone accuser's stays until the suspect refutes it, and changes nothing.
+// A suspicion leads to death only if the probes of at least two nodes failed.
+// The suspicion of a single node remains until the suspect refutes it, and has
+// no effect.
 void membership::confirm_suspicions(instant now) {
     std::vector<node_id> const open(suspects_.begin(), suspects_.end());
     for (node_id const& each : open) {
--- a/src/Membership/pending_probes.cpp
+++ b/src/Membership/pending_probes.cpp
@@ -7,7 +7,7 @@
 std::uint32_t pending_probes::start(
     node_id const& target, instant indirect_at, instant deadline) {
     ++last_sequence_;
-    // Zero marks datagrams that want no answer.
+    // Sequence number 0 marks probes that expect no ack.
     if (last_sequence_ == 0) {
         ++last_sequence_;
     }
--- a/src/Membership/pending_probes.hpp
+++ b/src/Membership/pending_probes.hpp
@@ -9,29 +9,31 @@
 
 namespace camphorpoint {
 
-/// The probes that wait for an answer.
+/// The probes that have not been acknowledged yet.
 class pending_probes {
 public:
-    /// Begins a direct probe.
-    /// @param target whom
-    /// @param indirect_at when others are asked to probe
-    /// @param deadline when the probe has failed
-    /// @returns the probe's sequence number
+    /// Registers a direct probe.
+    /// @param target the probed node
+    /// @param indirect_at when indirect probes are due if no ack has arrived
+    /// @param deadline when the probe counts as failed
+    /// @returns the probe's sequence number; never 0
     std::uint32_t
     start(node_id const& target, instant indirect_at, instant deadline);
-    /// The target was heard: its probes are closed.
+    /// Removes all probes of a node from which a message was received.
     void complete(node_id const& target);
 
-    /// A probe whose direct answer is late.
+    /// A probe whose direct ack is late.
     struct late_probe {
         std::uint32_t sequence = 0;
         node_id target;
     };
-    /// @returns probes whose helpers should be asked now, each once
+    /// @returns the probes for which indirect probes are due; each is returned
+    /// once and stays pending
     std::vector<late_probe> drain_late(instant now);
-    /// @returns targets whose probes have failed; these are closed
+    /// Removes the probes whose deadline has passed.
+    /// @returns their targets
     std::vector<node_id> drain_failed(instant now);
-    /// @returns true when the target is being probed
+    /// @returns true if a probe of this node is pending
     bool contains(node_id const& target) const;
 
 private:
--- a/src/Membership/probe_message.cpp
+++ b/src/Membership/probe_message.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// cereal reads a length before it allocates; a hostile one must not.
+/// Checks that each update has a known kind: cereal reads an enum as a plain
+/// integer and accepts any value, also from a hostile sender.
 bool kinds_are_known(std::vector<membership_update> const& updates) {
     for (membership_update const& each : updates) {
         if (each.kind > update_kind::endpoint_leaving) {
@@ -39,6 +40,8 @@
     try {
         std::istringstream stream{std::string(datagram)};
         cereal::BinaryInputArchive archive(stream);
+        // cereal allocates memory for the length that a datagram states, and
+        // throws if that fails or if fewer bytes are present.
         archive(result);
     } catch (std::exception const&) {
         return std::nullopt;
@@ -49,7 +52,8 @@
         }
         return true;
     };
-    // Bytes left over, or read otherwise than written, mean another format.
+    // Trailing bytes, or bytes that differ when the message is encoded again,
+    // mean that the sender uses another format.
     if (!std::visit(known, result) || encode_probe(result) != datagram) {
         return std::nullopt;
     }
--- a/src/Membership/probe_message.hpp
+++ b/src/Membership/probe_message.hpp
@@ -12,10 +12,10 @@
 
 namespace camphorpoint {
 
-/// A datagram is never longer, so that it crosses every path unfragmented.
+/// Maximum size of a datagram, chosen so that no network path fragments it.
 inline constexpr std::size_t max_datagram_bytes = 1'200;
 
-/// What an update says.
+/// What an update reports.
 enum class update_kind : std::uint8_t {
     node_alive,
     node_suspect,
@@ -24,10 +24,11 @@
     endpoint_leaving
 };
 
-/// What a node tells of itself where no list does.
+/// Properties of a node that it sends about itself where the platform's
+/// instance list has no nodes.
 struct node_attributes {
     domain_id domain;
-    /// Its processor's share of a core, in percent; 0 when it is not known.
+    /// The node's CPU share in percent of one core; 0 if unknown.
     std::uint32_t processor_percent = 0;
 
     friend bool
@@ -38,17 +39,18 @@
     }
 };
 
-/// One piece of news, carried on probes.
+/// One gossiped change of the state of a node or an endpoint.
 struct membership_update {
     update_kind kind = update_kind::node_alive;
-    /// The node or the endpoint.
+    /// Id of the node or the endpoint.
     std::string name;
-    /// The node's incarnation that is spoken of.
+    /// The node's incarnation to which the update applies.
     incarnation node_incarnation;
-    /// The nodes whose own probes failed (suspect, dead). One alone removes
-    /// nobody.
+    /// The nodes whose own probes failed (node_suspect and node_dead only). A
+    /// node is not declared dead on the evidence of a single node.
     std::vector<node_id> suspected_by;
-    /// Of a node that was met; empty where the platform's list tells it.
+    /// Attributes of the node; empty if the platform's instance list gives
+    /// them.
     node_attributes attributes;
 
     friend bool
@@ -59,11 +61,13 @@
     }
 };
 
-/// Whom a node takes to be there: two that differ know different nodes.
+/// Digest of the set of members that a node knows. Different digests mean that
+/// two nodes know different members.
 struct member_digest {
-    /// The node itself included; 0 where the platform's list names the nodes.
+    /// Number of members, the node itself included; 0 if the members come from
+    /// the platform's instance list.
     std::uint32_t count = 0;
-    /// Sum of the names' hashes, which no order changes.
+    /// Sum of the hashes of the ids, which does not depend on their order.
     std::uint64_t name_hash_sum = 0;
 
     friend bool
@@ -74,19 +78,22 @@
     }
 };
 
-/// Are you alive? Also carries updates alone, when `sequence` is 0: then no
-/// answer is wanted.
+/// Asks for an ack. With `sequence` 0 it only carries updates and the sender
+/// expects no ack.
 struct probe {
     node_id from;
     incarnation from_incarnation;
-    /// Where the answer goes: a new node may not be in the receiver's late
-    /// list yet, and must not take silence for death.
+    /// Peer address for the ack. The sender may be too new for the receiver's
+    /// instance list; without the address it would get no ack and take the
+    /// receiver for dead.
     std::string from_address;
     node_attributes from_attributes;
     member_digest digest;
     std::uint32_t sequence = 0;
-    /// For whom the answer is, when it is an indirect probe.
+    /// In an indirect probe: the node that requested it, to which the ack is
+    /// forwarded; else empty.
     node_id on_behalf_of;
+    /// In an indirect probe: the sequence number of the requester's own probe.
     std::uint32_t requester_sequence = 0;
     std::vector<membership_update> updates;
 
@@ -98,16 +105,16 @@
     }
 };
 
-/// I am.
+/// Answer to a probe.
 struct probe_ack {
-    /// Who is alive.
+    /// The node that the ack shows to be alive.
     node_id from;
     incarnation from_incarnation;
     node_attributes from_attributes;
     member_digest digest;
-    /// The probe that is answered.
+    /// Sequence number of the probe that is answered.
     std::uint32_t sequence = 0;
-    /// Copied from an indirect probe: to whom the answer is passed on.
+    /// Copied from an indirect probe: the node to which the ack is forwarded.
     node_id on_behalf_of;
     std::uint32_t requester_sequence = 0;
     std::vector<membership_update> updates;
@@ -120,7 +127,7 @@
     }
 };
 
-/// Probe that node for me.
+/// Asks the receiver to probe `target` and to forward the ack.
 struct probe_request {
     node_id from;
     incarnation from_incarnation;
@@ -134,7 +141,7 @@
     }
 };
 
-/// Whom do you know, in the order of names after this one?
+/// Asks for the live members whose ids follow `after` in the order of ids.
 struct member_list_request {
     node_id from;
     incarnation from_incarnation;
@@ -147,12 +154,13 @@
     }
 };
 
-/// Some of those that the sender takes to be there.
+/// One page of the live members that the sender knows, in the order of their
+/// ids.
 struct member_list_page {
     node_id from;
     incarnation from_incarnation;
     node_attributes from_attributes;
-    /// More follow after the last one named here.
+    /// True if further members follow the last one in this page.
     bool has_more = false;
     std::vector<membership_update> updates;
 
@@ -162,7 +170,7 @@
     }
 };
 
-/// May I use some of your part of the limits that all share?
+/// Asks a holder of quota units to lend part of its quota share.
 struct quota_loan_request {
     node_id from;
     incarnation from_incarnation;
@@ -174,12 +182,14 @@
     }
 };
 
-/// So much, in billionths of a limit, for the time of a lease from the ask on.
+/// Lends part of the sender's quota share. The loan ends
+/// `quota_loan_times::lease` after the request was sent.
 struct quota_loan_reply {
     node_id from;
     incarnation from_incarnation;
-    /// Of the ask.
+    /// Number of the request that is answered.
     std::uint32_t request_number = 0;
+    /// Amount lent, in billionths of the limit.
     std::uint32_t amount = 0;
 
     template <class Archive>
@@ -188,16 +198,16 @@
     }
 };
 
-/// All that nodes say to each other by datagram.
+/// Any message that nodes send to each other by datagram.
 using probe_message = std::variant<
     probe, probe_ack, probe_request, member_list_request, member_list_page,
     quota_loan_request, quota_loan_reply>;
 
-/// @returns the datagram's bytes
+/// @returns the message as the bytes of a datagram
 std::string encode_probe(probe_message const& message);
-/// Reads a datagram strictly: what is cut, too long, or followed by more is
-/// refused.
-/// @returns the message, or nothing
+/// Decodes a datagram. Truncated or oversized datagrams, trailing bytes and
+/// unknown update kinds are rejected.
+/// @returns the message; nothing if the datagram is rejected
 std::optional<probe_message> decode_probe(std::string_view datagram);
 
 } // namespace camphorpoint
--- a/src/Membership/quota_shares.cpp
+++ b/src/Membership/quota_shares.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr quota_shares::amount full_limit = 1'000'000'000;
-/// Asks whose answers are still taken.
+/// Number of latest requests whose replies are still accepted.
 constexpr std::size_t max_open_requests = 8;
 
 } // namespace
@@ -30,7 +30,8 @@
     for (std::size_t const each : own_units) {
         units_.try_emplace(each, now + times_.activation_delay);
     }
-    // Each node asks in an order of its own, so that borrowers spread evenly.
+    // Each node asks the holders in a different order, so that the borrowers
+    // are spread evenly over the holders.
     auto const rank = [this](node_id const& each) {
         return combine_hashes(hash_text(self_.str()), hash_text(each.str()));
     };
@@ -48,7 +49,8 @@
         unit_amount * static_cast<std::size_t>(active_units));
 }
 
-// A borrower that was lent less at its last renewal may not have heard of it.
+// The largest unexpired loan counts: a borrower that got less at its last
+// renewal may not have received that reply.
 quota_shares::amount quota_shares::lent_to(borrower const& one, instant now) {
     amount most = 0;
     for (loan const& each : one.loans) {
@@ -115,8 +117,8 @@
     if (request == open_requests_.end()) {
         return;
     }
-    // Counted from the asking: the lender counts from its answer, which is
-    // later.
+    // The lease counts from the request. The lender counts from its reply,
+    // which is later, so it never regards a loan as expired too early.
     instant const until = request->at + times_.lease;
     open_requests_.erase(request);
     borrowed_loan& loan_from_holder = borrowed_loans_[from];
@@ -126,7 +128,7 @@
     std::erase_if(borrowed_loans_, [now](auto const& each) {
         return now >= each.second.terms.until;
     });
-    // One that has nothing to lend yet is asked again soon.
+    // A holder that had nothing to lend yet is asked again soon.
     unanswered_requests_ = 0;
     next_request_at_ =
         now + (lent > 0 ? times_.renewal_interval : times_.reply_timeout);
--- a/src/Membership/quota_shares.hpp
+++ b/src/Membership/quota_shares.hpp
@@ -13,62 +13,68 @@
 
 namespace camphorpoint {
 
-/// Times of the leases under which parts of a limit are lent.
+/// Times of the leases under which nodes lend parts of a limit to each other.
 struct quota_loan_times {
-    /// How long a node may use what it was lent, from its asking on.
+    /// How long a borrower may use a loan, counted from its request.
     std::chrono::milliseconds lease{4'000};
-    /// How long a part that was dealt waits before it is used or lent: who had
-    /// it before may use it until its own lease is over, and what was lent of
-    /// it until a lease later.
+    /// Time from the assignment of a unit until the node uses or lends it. The
+    /// former holder may use the unit until its own lease of the unit ends, and
+    /// a node that borrowed from it one loan lease longer.
     std::chrono::milliseconds activation_delay{5'000};
-    /// A loan is renewed after this.
+    /// Time after a granted loan until the borrower requests the next one.
     std::chrono::milliseconds renewal_interval{2'000};
-    /// An ask without answer goes to the next holder after this.
+    /// Time without a reply after which the next holder is asked.
     std::chrono::milliseconds reply_timeout{400};
 };
 
-/// Which part of a limit that all nodes share this node may use. Guards against
-/// nodes that compute their shares from whom they know: after a restart of all,
-/// under loss or a cut, each knows too few and takes too much. It holds because
-/// shares are not computed: the platform deals parts, each to one node at a
-/// time, and a holder lends of its own what it does not use meanwhile. The
-/// shares add up to the limit at most, whatever gets lost or starts anew.
+/// Quota share of this node in the limits that all nodes have in common.
+/// The shares of all nodes together never exceed the limit, whatever messages
+/// are lost and whichever nodes restart. Shares computed from the known members
+/// would exceed it: after a restart of all nodes, under message loss or in a
+/// network partition each node knows too few others and takes too much.
+/// Instead, the platform divides each limit into units and assigns each unit to
+/// one node at a time; a holder lends some of its share to nodes that have no
+/// unit.
 /// References: D. Barbara, H. Garcia-Molina, "The demarcation protocol", VLDB
 /// Journal 3(3), 1994; C. Gray, D. Cheriton, "Leases", SOSP 1989.
 class quota_shares {
 public:
-    /// Amounts are in billionths of the limit, rounded down, so that they add
-    /// up without error.
+    /// Amount in billionths of the limit, rounded down so that the sum of all
+    /// amounts does not exceed the limit through rounding.
     using amount = std::uint32_t;
 
-    /// An ask to a holder of parts.
+    /// A request that this node is to send to a holder of units.
     struct loan_request {
         node_id to;
         std::uint32_t request_number = 0;
     };
 
-    /// @param self  this node
-    /// @param total parts that the platform deals
+    /// @param self id of this node
+    /// @param unit_count number of units into which the platform divides a
+    /// limit
+    /// @param times times of the loans
     quota_shares(
         node_id self, std::size_t unit_count, quota_loan_times times = {});
 
-    /// The platform has dealt its parts anew.
-    /// @param own     those of this node
-    /// @param holders the nodes that have any
+    /// Applies a new assignment of the units by the platform.
+    /// @param own_units units assigned to this node
+    /// @param unit_holders nodes that have at least one unit
     void set_assigned_units(
         std::vector<std::size_t> const& own_units,
         std::vector<node_id> unit_holders, instant now);
-    /// @returns the ask that is due, if this node has no part of its own
+    /// @returns the loan request that is due; nothing if this node has a unit
+    /// of its own, knows no holder, or has sent a request recently
     std::optional<loan_request> next_loan_request(instant now);
-    /// Another node asks.
-    /// @returns what it is lent for the time of a lease
+    /// Handles a loan request of another node.
+    /// @returns the amount lent for the time of a lease; may be 0
     amount handle_loan_request(node_id const& from, instant now);
-    /// A holder has answered.
+    /// Handles the reply of a holder. A reply to no open request is ignored.
     void handle_loan_reply(
         node_id const& from, std::uint32_t request_number, amount lent,
         instant now);
 
-    /// @returns this node's part of the limit, from 0 to 1
+    /// @returns the quota share that this node may use now, from 0 to 1: its
+    /// own active units less what it has lent, plus what it has borrowed
     double current_share(instant now) const;
 
 private:
@@ -97,15 +103,15 @@
     node_id self_;
     std::size_t unit_count_;
     quota_loan_times times_;
-    /// Own parts, and from when on each counts.
+    /// Own units, and the time from which each may be used.
     std::map<std::size_t, instant> units_;
-    /// Holders in the order in which this node asks them.
+    /// Holders in the order in which this node asks them for loans.
     std::vector<node_id> unit_holders_;
     std::map<node_id, borrower> borrowers_;
     std::map<node_id, borrowed_loan> borrowed_loans_;
     std::deque<open_request> open_requests_;
     std::uint32_t last_request_number_ = 0;
-    /// Asks in a row that had no answer.
+    /// Consecutive requests without a reply.
     std::size_t unanswered_requests_ = 0;
     instant next_request_at_;
 };
--- a/src/Membership/update_queue.cpp
+++ b/src/Membership/update_queue.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// SWIM passes news on lambda times log n times. With three probes and their
-/// answers in each period, three is enough in the tests' clusters.
+/// SWIM sends an update lambda * log(n) times. As each node sends three probes
+/// and their acks per period, lambda = 3 is sufficient in the tested cluster
+/// sizes.
 constexpr std::uint32_t sends_per_doubling = 3;
-/// Messages that carry urgent news at once, for each piece of news.
+/// Messages that are sent immediately for each urgent update.
 constexpr std::size_t urgent_fanout = 4;
-/// Bounds what urgent news may cost when a whole domain leaves.
+/// Bounds the traffic for urgent updates when an entire failure domain leaves.
 constexpr std::size_t max_urgent_messages = 16;
-/// cereal writes a length as eight bytes.
+/// cereal encodes a length in eight bytes.
 constexpr std::size_t length_bytes = 8;
 
 std::uint32_t required_sends(std::size_t cluster_size) {
@@ -63,7 +64,8 @@
     for (auto& [name, each] : pending_) {
         candidates.push_back(&each);
     }
-    // Urgent news first: else it would queue behind a wave of deaths.
+    // Urgent updates go first; otherwise they would wait behind many node_dead
+    // updates after a mass failure.
     std::ranges::stable_sort(
         candidates, [](item const* left, item const* right) {
             bool const left_is_normal = !is_urgent(left->update.kind);
--- a/src/Membership/update_queue.hpp
+++ b/src/Membership/update_queue.hpp
@@ -10,32 +10,34 @@
 
 namespace camphorpoint {
 
-/// @returns the bytes that an update takes in a datagram
+/// @returns the encoded size of an update in a datagram, in bytes
 std::size_t encoded_size(membership_update const& update) noexcept;
 
-/// News that still has to be passed on, each a bounded number of times: a few
-/// times the logarithm of the cluster's size reaches all nodes with high
-/// probability (SWIM, section 4.1).
+/// Updates that are still to be gossiped. Each is sent a bounded number of
+/// times: a small multiple of the logarithm of the cluster size reaches all
+/// nodes with high probability (SWIM, section 4.1).
 class update_queue {
 public:
-    /// Adds news; older news of the same subject is dropped.
+    /// Adds an update. It replaces a queued update about the same node or
+    /// endpoint.
     void add(membership_update update);
-    /// @returns the news passed on least often, at most this many and not more
-    /// bytes than a datagram has left; counts them as passed on
-    /// @param most      how many
-    /// @param room      bytes that are left in the datagram
-    /// @param cluster   how many nodes there are
+    /// Selects updates for one datagram and counts them as sent: urgent ones
+    /// first, then those sent least often. Updates that have been sent often
+    /// enough leave the queue.
+    /// @param max_updates maximum number of updates
+    /// @param max_bytes bytes that are free in the datagram
+    /// @param cluster_size number of nodes in the cluster
+    /// @returns the selected updates
     std::vector<membership_update> select(
         std::size_t max_updates, std::size_t max_bytes,
         std::size_t cluster_size);
-    /// @returns true when there is news so urgent that it does not wait for
-    /// the next probe
+    /// @returns true if there are updates that must not wait for the next probe
     bool has_urgent() const noexcept { return urgent_messages_left_ > 0; }
-    /// Drops all news, as when it is too old to be passed on.
+    /// Removes all updates, for instance when they are too old to be gossiped.
     void clear();
-    /// Counts one message that carries urgent news.
+    /// Counts one message that was sent only to carry urgent updates.
     void on_urgent_message_sent() noexcept;
-    /// @returns how many pieces of news wait
+    /// @returns the number of queued updates
     std::size_t size() const noexcept { return pending_.size(); }
 
 private:
@@ -44,7 +46,7 @@
         std::uint32_t times_sent = 0;
     };
 
-    /// By kind of subject and name.
+    /// Keyed by "node/" or "endpoint/" followed by the id.
     std::map<std::string, item> pending_;
     std::size_t urgent_messages_left_ = 0;
 };
