--- a/test/membership_fixture.hpp
+++ b/test/membership_fixture.hpp
@@ -19,10 +19,10 @@
 using std::chrono::seconds;
 
 inline constexpr milliseconds step{20};
-/// UDP over IPv4 adds so many bytes to a datagram.
+/// Bytes that UDP over IPv4 adds to a datagram.
 inline constexpr std::size_t udp_ip_header_bytes = 28;
 
-/// One node and what it has sent and received.
+/// One node, its traffic in bytes and the log events that it has reported.
 struct test_node {
     membership members;
     bool paused = false;
@@ -31,7 +31,8 @@
     std::vector<event_code> events = {};
 };
 
-/// Nodes that exchange datagrams on virtual time, one step under way each.
+/// Nodes that exchange datagrams in virtual time. A datagram arrives one step
+/// after it was sent.
 class network {
 public:
     explicit network(std::size_t count, std::size_t domains = 3)
@@ -91,7 +92,7 @@
         }
     }
 
-    /// @returns how many running nodes say so
+    /// @returns the number of running nodes for which the predicate holds
     std::size_t count(std::function<bool(membership const&)> const& predicate) {
         std::size_t result = 0;
         for (auto const& [id, each] : nodes) {
@@ -105,7 +106,7 @@
     instance_list list;
     std::map<std::string, test_node> nodes;
     instant now{seconds(1'000)};
-    /// Which datagrams get lost.
+    /// Whether a datagram from one node to another is lost.
     std::function<bool(std::string const&, std::string const&)> drops_datagram =
         [](std::string const&, std::string const&) {
             return false;
--- a/test/membership_scale_test.cpp
+++ b/test/membership_scale_test.cpp
@@ -12,13 +12,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Partitions that the platform deals out: it names at most so many holders.
+/// Quota units that the platform assigns, each to one node. It names only their
+/// holders to the nodes, so at most this many.
 constexpr std::size_t quota_units = 96;
 constexpr std::size_t domains = 5;
-/// A node may spend so much on all control.
+/// Limit of a node's control traffic.
 constexpr double control_bytes_per_s = 5'000;
 
-/// @returns the largest sum of shares while the model goes on
+/// @returns the largest sum of quota shares during the time span
 double largest_share_sum(membership_simulation& model, duration span) {
     double most = 0;
     model.run(
@@ -28,23 +29,24 @@
 
 } // namespace
 
-// Of 200 nodes 104 hold no partition, so the platform's list of holders does
-// not name them. They know the holders and are known to them, but never hear
-// one another: word of a leaving replica reaches half of the nodes, and by
-// their count of 97 they take twice their share of the slack of second sends.
-TEST_CASE("every node knows every other, whether it holds a partition or not") {
+// Guards against nodes that never learn of each other because they hold no
+// quota unit: of 200 nodes the platform names only the 96 holders. If the other
+// 104 knew only the holders, a report of a leaving replica would reach half of
+// the nodes, and with a member count of 97 each would take twice its quota
+// share of the budget for retries.
+TEST_CASE("every node knows all nodes, with and without quota units") {
     membership_simulation model(200, domains, quota_units);
     model.run(seconds(5));
     CHECK(model.nodes_with_full_view() == 200);
     CHECK(model.sum_of_quota_shares() <= 1.0 + 1e-9);
 
-    SUBCASE("also when one datagram in ten is lost") {
+    SUBCASE("one datagram in ten is lost") {
         membership_simulation lossy_model(200, domains, quota_units);
         lossy_model.loss = 0.1;
         lossy_model.run(seconds(10));
         CHECK(lossy_model.nodes_with_full_view() == 200);
     }
-    SUBCASE("a node that comes later is known to all within seconds") {
+    SUBCASE("a node that starts later is known to all within seconds") {
         model.nodes[150].down = true;
         model.run(seconds(70));
         REQUIRE(
@@ -54,7 +56,7 @@
         model.run(seconds(6));
         CHECK(model.nodes_with_full_view() == 200);
     }
-    SUBCASE("a dead one is known to be dead by all") {
+    SUBCASE("all nodes see a dead node as dead") {
         model.nodes[150].down = true;
         model.run(seconds(9));
         auto const dead =
@@ -66,11 +68,11 @@
     }
 }
 
-// A failure domain is cut off. Each side takes the other for dead after some
-// seconds, divides the slack of second sends among fewer, and both together
-// send more than all were allowed: the replicas, which both reach, are flooded.
-TEST_CASE(
-    "nodes that are cut off from each other share no more than there is") {
+// Guards against overload of the replicas in a network partition. Each side
+// declares the other dead after some seconds; if it then divided the budget for
+// retries among fewer nodes, both sides together would send more than the
+// budget to the replicas, which both can reach.
+TEST_CASE("quota shares add up to at most the limit in a network partition") {
     membership_simulation model(100, domains, quota_units);
     model.run(seconds(5));
     model.isolated_domains = {domain_id("domain-0"), domain_id("domain-3")};
@@ -80,23 +82,26 @@
     CHECK(model.nodes_with_full_view() == 100);
 }
 
-// All processes are killed at the same moment and start again. Each knows only
-// whom the platform names, or nobody, and takes a share of that.
-TEST_CASE("after a restart of all no node takes another's share for long") {
+// Guards against quota shares that exceed the limit after all processes were
+// killed at the same moment and restarted: each node then knows only the nodes
+// that the platform names, or none.
+TEST_CASE("soon after a restart of all nodes the quota shares fit the limit") {
     membership_simulation model(200, domains, quota_units);
     model.run(seconds(5));
     for (std::size_t index = 0; index < model.nodes.size(); ++index) {
         model.restart(index, 2);
     }
-    // In the first two seconds a node that has heard nobody takes all.
+    // Skips the first two seconds, in which a node that has received no message
+    // knows too few others. The next test covers them.
     model.run(seconds(2));
     CHECK(largest_share_sum(model, seconds(8)) <= 1.0 + 1e-9);
     CHECK(model.nodes_with_full_view() == 200);
 }
 
-// The same from the first moment on: a node that has heard nobody yet takes all
-// of the slack of second sends for its own.
-TEST_CASE("from a restart of all on no node takes another's share") {
+// Guards against the same fault from the first moment on: a node that has
+// received no message yet takes the entire budget for retries.
+TEST_CASE(
+    "at no time after a restart of all nodes do the shares exceed the limit") {
     membership_simulation model(200, domains, quota_units);
     model.run(seconds(5));
     for (std::size_t index = 0; index < model.nodes.size(); ++index) {
@@ -105,18 +110,18 @@
     CHECK(largest_share_sum(model, seconds(10)) <= 1.0 + 1e-9);
 }
 
-// A node that is alone, as on a developer's machine, must be able to send a
-// request again in its first second.
-TEST_CASE("a node that is alone takes all there is") {
+// Guards against a single node, as on a developer's machine, that cannot retry
+// a request in its first second.
+TEST_CASE("a single node has the entire quota") {
     membership_simulation model(1, 1, 0);
     model.run(milliseconds(100));
     CHECK(model.sum_of_quota_shares() == doctest::Approx(1));
 }
 
-// The time of day of a machine jumps back, and its process starts again: its
-// word looks older than that of its former run. Others would hold it for dead
-// for good.
-TEST_CASE("a node whose clock was set back is believed again") {
+// Guards against a node that stays dead to the others after the clock of its
+// instance was set back and its process restarted: its messages look older than
+// those of its former process.
+TEST_CASE("a node whose clock was set back becomes live again") {
     membership_simulation model(20, domains, quota_units);
     model.restart(7, 1'000'000);
     model.run(seconds(5));
@@ -125,9 +130,10 @@
     CHECK(model.nodes_with_full_view() == 20);
 }
 
-// A few nodes do for all what one could do: read a list, hold partitions. They
-// must agree who that is, and small ones must not be swamped by it.
-TEST_CASE("nodes agree on their order, those with more of a processor first") {
+// Guards against disagreement about the few nodes that do a task on behalf of
+// all, such as reading a list or holding partitions, and against overload of
+// nodes with a small CPU share by such tasks.
+TEST_CASE("nodes agree on their ranks, those with a larger CPU share first") {
     membership_simulation model(60, domains, quota_units);
     model.run(seconds(6));
     std::vector<std::size_t> ranks;
@@ -140,7 +146,7 @@
     for (std::size_t index = 0; index < ranks.size(); ++index) {
         CHECK(ranks[index] == index);
     }
-    SUBCASE("the next one takes the place of one that has died") {
+    SUBCASE("another node takes over the rank of a dead one") {
         auto const first =
             std::ranges::find_if(model.nodes, [](auto const& each) {
                 return each.members.capacity_rank() == 0;
@@ -153,9 +159,10 @@
     }
 }
 
-// Telling all names to all costs each node more the more nodes there are. What
-// a node spends on knowing the others must not depend on how many there are.
-TEST_CASE("to know all costs a node the same at any size") {
+// Guards against membership traffic per node that grows with the number of
+// nodes, as it would if each node sent all ids to all others.
+TEST_CASE(
+    "membership traffic per node does not depend on the number of nodes") {
     auto const idle_bytes_per_s = [](std::size_t count) {
         membership_simulation model(count, domains, quota_units);
         model.run(seconds(25));
--- a/test/membership_test.cpp
+++ b/test/membership_test.cpp
@@ -20,14 +20,15 @@
 
 } // namespace
 
-// A node dies without a word; the platform's list names it for minutes more.
-// Requests sent to it would hang until they time out.
-TEST_CASE("the living find out who died, came back or stopped") {
+// Guards against requests to a dead node, which would hang until they time out:
+// the platform's instance list contains a node for minutes after it died
+// without notice.
+TEST_CASE("nodes learn which node has died, returned or is leaving") {
     network net(9);
     net.run(seconds(5));
     REQUIRE(net.count(sees(4, node_state::live)) == 9);
 
-    SUBCASE("a dead node is removed within seconds, by several accusers") {
+    SUBCASE("a dead node is removed within seconds, on several suspicions") {
         std::uint64_t const before = net.at(0).members.change_count();
         net.at(4).dead = true;
         net.run(seconds(8));
@@ -35,7 +36,7 @@
         CHECK(net.at(0).members.live_nodes().size() == 8);
         CHECK(net.at(0).members.change_count() > before);
 
-        SUBCASE("and the late list does not bring it back") {
+        SUBCASE("an outdated instance list does not revive it") {
             for (int count = 0; count < 90; ++count) {
                 net.deliver_instance_list();
                 net.run(seconds(1));
@@ -43,7 +44,7 @@
             CHECK(net.count(sees(4, node_state::dead)) == 8);
         }
 
-        SUBCASE("but its next run does, and is told apart") {
+        SUBCASE("its next process revives it and has a new start time") {
             net.start_node(net.name(4), 2)
                 .members.on_instance_list(net.list, net.now);
             net.run(seconds(8));
@@ -53,7 +54,7 @@
         }
     }
 
-    SUBCASE("a node that stops says so, and is not taken for dead") {
+    SUBCASE("a node that shuts down is seen as leaving, not as dead") {
         net.at(4).members.start_leaving(net.now);
         net.run(seconds(1));
         CHECK(net.count(sees(4, node_state::leaving)) == 9);
@@ -63,10 +64,11 @@
     }
 }
 
-// A node is stopped for half a minute (a debugger, a migration) and goes on.
-// The others have given it up; if it stayed dead, its capacity were lost, and
-// if it accused the others on waking, they were.
-TEST_CASE("a paused node comes back") {
+// Guards against the loss of a node that was stopped for half a minute (a
+// debugger, a migration) and continues. The other nodes have declared it dead;
+// its capacity would be lost if it stayed dead, and theirs if it suspected them
+// on resuming.
+TEST_CASE("a paused node becomes live again") {
     network net(9);
     net.run(seconds(5));
     net.at(2).paused = true;
@@ -80,14 +82,14 @@
     CHECK(net.at(0).members.live_nodes().size() == 9);
 }
 
-// One node's network card loses what it receives from another, or one node is
-// mad. It accuses a node that is well; were it believed, a healthy node's
-// replicas would change owners.
-TEST_CASE("a lone accuser removes nobody") {
+// Guards against the removal of a healthy node, whose replicas would change
+// owners, on the evidence of a single other node: one that loses datagrams on
+// one link, or a faulty one that sends false reports.
+TEST_CASE("a single suspecting node removes no node") {
     network net(9);
     net.run(seconds(5));
 
-    SUBCASE("one link is cut: others probe on its behalf") {
+    SUBCASE("one link is cut: other nodes send indirect probes") {
         net.drops_datagram = [&](std::string const& from,
                                  std::string const& to) {
             return (from == net.name(0) && to == net.name(1)) ||
@@ -97,7 +99,7 @@
         CHECK(net.count(sees(1, node_state::live)) == 9);
     }
 
-    SUBCASE("an accuser that never tires is refuted each time") {
+    SUBCASE("a node that repeats a false report is refuted each time") {
         for (int count = 0; count < 20; ++count) {
             probe false_report;
             false_report.from = node_id(net.name(0));
@@ -113,20 +115,21 @@
         CHECK(net.count(sees(1, node_state::live)) == 9);
     }
 
-    SUBCASE("one that hears nobody at all condemns nobody") {
+    SUBCASE("a node that receives nothing removes no node") {
         net.drops_datagram = [&](std::string const&, std::string const& to) {
             return to == net.name(0);
         };
         net.run(seconds(30));
-        // The others hear its probes, so it is alive to them.
+        // The other nodes receive its probes, so they see it as live.
         CHECK(net.at(0).members.live_nodes().size() == 9);
         CHECK(net.count(sees(1, node_state::dead)) == 0);
     }
 }
 
-// A failure domain is cut off. Each side must go on with its own; when the
-// cut heals, all must be one again without anybody's help.
-TEST_CASE("a failure domain is cut off and comes back") {
+// Guards against views that stay divided after a network partition. While a
+// failure domain is cut off, each side must continue with its own nodes; after
+// the partition all nodes must be members again without operator action.
+TEST_CASE("a failure domain is cut off and reconnected") {
     network net(9);
     net.run(seconds(5));
     auto const live_nodes_of = [&](std::string const& name) {
@@ -150,9 +153,9 @@
     }) == 9);
 }
 
-// An endpoint is told to leave and refuses new work; the list will say so
-// only a minute later. Every request sent there meanwhile is refused, and the
-// caller waits for nothing.
+// Guards against requests to an endpoint that refuses them because it is
+// leaving. The instance list reports this only a minute later, and the caller
+// of each refused request waits in vain.
 TEST_CASE("a leaving endpoint gets no new work after two seconds") {
     constexpr std::size_t node_count = 200;
     network net(node_count);
@@ -171,23 +174,24 @@
         net.run(step);
         elapsed += step;
     }
-    MESSAGE("ms until 200 nodes knew: ", elapsed.count());
+    MESSAGE(
+        "ms until 200 nodes saw the endpoint as leaving: ", elapsed.count());
     CHECK(elapsed <= seconds(2));
 
-    SUBCASE("a late list does not bring it back") {
+    SUBCASE("an outdated instance list does not revive it") {
         net.deliver_instance_list();
         net.run(seconds(30));
         net.deliver_instance_list();
         CHECK(net.count(sees_leaving) == node_count);
     }
 
-    SUBCASE("a report that stays without the list's word ends") {
+    SUBCASE("a report that the instance list does not confirm expires") {
         net.run(seconds(70));
         net.deliver_instance_list();
         CHECK(net.count(sees_leaving) == 0);
     }
 
-    SUBCASE("one that was gone and is named again is a new one") {
+    SUBCASE("an endpoint that was unlisted and is listed again is live") {
         instance_list const with = net.list;
         net.list.endpoints.clear();
         net.deliver_instance_list();
@@ -197,9 +201,10 @@
     }
 }
 
-// A route between one node and one engine is broken. That node must look
-// elsewhere; the others must go on using the engine.
-TEST_CASE("an endpoint that fails one node's calls is avoided by it alone") {
+// Guards against the loss of an endpoint for all nodes when only the route from
+// one node to it is broken. That node must use other endpoints; the other nodes
+// must continue to use this one.
+TEST_CASE("only the node whose calls fail avoids an endpoint") {
     network net(3);
     endpoint_instance engine;
     engine.id = endpoint_id("engine-1");
@@ -218,8 +223,10 @@
     CHECK(first.state_of(engine.id) == endpoint_state::live);
 }
 
-TEST_CASE("datagrams are short, and broken ones are dropped") {
-    SUBCASE("one that is cut, or longer than said, is counted") {
+// Guards against datagrams that are fragmented on their way, and against
+// malformed datagrams that are taken for messages.
+TEST_CASE("datagrams are short, and malformed ones are dropped") {
+    SUBCASE("truncated, oversized and corrupted datagrams are counted") {
         network net(3);
         probe message;
         message.from = node_id(net.name(1));
@@ -239,7 +246,7 @@
         CHECK(first.malformed_datagrams() == 5);
     }
 
-    SUBCASE("a wave of news fits: half of 120 nodes die at once") {
+    SUBCASE("updates fit when half of 120 nodes die at once") {
         network net(120);
         net.run(seconds(10));
         for (std::size_t index = 0; index < 120; index += 2) {
@@ -250,13 +257,13 @@
         CHECK(net.count([](membership const& each) {
             return each.live_nodes().size() == 60;
         }) == 60);
-        MESSAGE("longest datagram: ", net.longest_datagram);
+        MESSAGE("longest datagram in bytes: ", net.longest_datagram);
     }
 }
 
-// The control traffic of a node may be 5 KB/s at 1,900 nodes. All that is
-// sent and received counts, with the headers of UDP and IP.
-TEST_CASE("probes cost little at the design size") {
+// Guards against control traffic of more than 5 KB/s per node at 1,900 nodes.
+// All bytes sent and received count, with the headers of UDP and IP.
+TEST_CASE("probes take little bandwidth at 1,900 nodes") {
     constexpr std::size_t node_count = 1'900;
     network net(node_count, 35);
     endpoint_id const engine("engine-1");
@@ -284,8 +291,8 @@
         return node.state_of(engine) == endpoint_state::leaving;
     }) == node_count - 1);
     MESSAGE(
-        "bytes a second, busiest node, calm: ", idle_bytes_per_s,
-        ", death: ", failure_bytes_per_s);
+        "bytes per second of the busiest node: idle ", idle_bytes_per_s,
+        ", after a failure ", failure_bytes_per_s);
 }
 
 } // namespace camphorpoint::membership_test
--- a/test/support/membership_simulation.cpp
+++ b/test/support/membership_simulation.cpp
@@ -25,7 +25,7 @@
         "10.{}.{}.{}:7380", index % domains, index / 200, index % 200));
     result.domain = domain_id(fmt::format("domain-{}", index % domains));
     result.peer_address = result.id.str();
-    // Every tenth machine is a larger one.
+    // Every tenth node has a larger CPU share.
     result.processor_percent = index % 10 == 0 ? 50 : 12;
     return result;
 }
--- a/test/support/membership_simulation.hpp
+++ b/test/support/membership_simulation.hpp
@@ -13,21 +13,22 @@
 
 namespace camphorpoint::simulation {
 
-/// Virtual time goes on by this. It is also how long a datagram takes: more
-/// than between two domains of a region, which is a few milliseconds.
+/// Step of the virtual time, and the delay of each datagram. It is longer than
+/// the delay between two failure domains of a region, which is a few
+/// milliseconds.
 inline constexpr std::chrono::milliseconds step{20};
-/// UDP over IPv4 adds so many bytes to a datagram.
+/// Bytes that UDP over IPv4 adds to a datagram.
 inline constexpr std::size_t udp_ip_header_bytes = 28;
 
-/// What a node has sent.
+/// Traffic that a node has sent.
 struct sent_traffic {
     std::size_t datagrams = 0;
     std::size_t bytes = 0;
-    /// Of those, into another failure domain.
+    /// Part of `bytes` that was sent to other failure domains.
     std::size_t cross_domain_bytes = 0;
 };
 
-/// One entry node: the decision objects that talk to other nodes.
+/// One node with its membership.
 struct simulated_node {
     simulated_node(
         node_instance node, std::uint64_t start_time_ms,
@@ -40,40 +41,42 @@
     std::size_t received_bytes = 0;
 };
 
-/// Many entry nodes and what they say to each other, on virtual time and
-/// without a network: delay, loss, cut domains and restarts.
+/// Many nodes and the datagrams between them, in virtual time and without a
+/// network: delay, loss, network partitions and restarts.
 class membership_simulation {
 public:
-    /// @param count   nodes, all started at once
-    /// @param domains failure domains, nodes in turn
-    /// @param listed  how many of them the platform names to all, as holders of
-    ///                as many partitions
-    /// @param seed    of which datagrams get lost
+    /// @param count number of nodes, all started at the same time
+    /// @param domains number of failure domains, to which the nodes are
+    /// assigned in turn
+    /// @param unit_holder_count number of nodes that the platform names to all
+    /// nodes as holders of quota units; also the number of units
+    /// @param seed of the random loss of datagrams
     membership_simulation(
         std::size_t count, std::size_t domains, std::size_t unit_holder_count,
         std::uint64_t seed = 7);
 
-    /// Goes on; `each_step` is called after each step.
+    /// Advances the virtual time by `span`. `each_step` is called after each
+    /// step.
     void run(
         duration span, std::function<void()> const& each_step = [] {});
-    /// The process of a node starts anew and knows nothing.
+    /// Restarts the process of a node; its state is lost.
     void restart(std::size_t index, std::uint64_t start_time_ms);
-    /// Names the holders to a node, and the partitions that it holds.
+    /// Gives a node the holders of quota units and its own units.
     void assign_quota_units(simulated_node& to);
 
-    /// @returns how many running nodes know all running nodes
+    /// @returns the number of running nodes that know all running nodes
     std::size_t nodes_with_full_view() const;
-    /// @returns the parts of a common limit that running nodes take for theirs,
-    ///          added up
+    /// @returns the sum of the fractions of a common limit that the running
+    /// nodes may use
     double sum_of_quota_shares() const;
-    /// @returns bytes a second that the busiest node has sent and received
-    ///          since `reset_traffic`
+    /// @returns bytes per second that the busiest node has sent and received
+    /// since `reset_traffic`
     double peak_node_bytes_per_s() const;
     void reset_traffic();
 
     std::vector<simulated_node> nodes;
     instant now{std::chrono::seconds(1'000)};
-    /// Part of the datagrams that get lost.
+    /// Fraction of the datagrams that are lost.
     double loss = 0;
     /// Failure domains that are cut off from the others.
     std::set<domain_id> isolated_domains;
