--- a/src/Membership/membership_probes.cpp
+++ b/src/Membership/membership_probes.cpp
@@ -16,7 +16,8 @@
 constexpr std::size_t max_extra_probes = 3;
 /// Maximum number of updates in a message that carries nothing else.
 constexpr std::size_t max_urgent_updates = 12;
-/// Maximum size of an update that tells the receiver that it is suspected.
+/// Bytes kept free for an update in which the receiver reads that it is
+/// suspected.
 constexpr std::size_t suspicion_update_bytes = 200;
 
 } // namespace
@@ -147,10 +148,9 @@
         max_datagram_bytes - std::min(max_datagram_bytes, base);
     message.updates =
         updates_.select(max_updates, free_bytes, members_.size() + 1);
+    auto const found = members_.find(to);
     // A suspected or dead receiver gets the update about itself, so that it can
     // refute it.
-    auto const found = members_.find(to);
-    // The accused must hear of it, to refute it.
     if (found != members_.end() && is_suspect_or_dead(found->second)) {
         message.updates.push_back(make_update(found->second));
     }
