--- a/src/Membership/pending_probes.hpp
+++ b/src/Membership/pending_probes.hpp
@@ -9,40 +9,43 @@
 
 namespace camphorpoint {
 
-/// The probes that wait for an answer.
+/// The probes that have not been acknowledged yet.
 class pending_probes {
 public:
-    /// Begins a direct probe.
-    /// @param target whom
-    /// @param ask_at when others are asked to probe
-    /// @param end_at when the probe has failed
-    /// @returns the probe's sequence number
-    std::uint32_t begin(node_id const& target, instant ask_at, instant end_at);
-    /// The target was heard: its probes are closed.
-    void heard(node_id const& target);
-
-    /// A probe whose direct answer is late.
+    /// Registers a direct probe.
+    /// @param target the probed node
+    /// @param indirect_at when indirect probes are due if no ack has arrived
+    /// @param deadline when the probe counts as failed
+    /// @returns the probe's sequence number; never 0
+    std::uint32_t
+    start(node_id const& target, instant indirect_at, instant deadline);
+    /// Removes all probes of a node from which a message was received.
+    void complete(node_id const& target);
+
+    /// A probe whose direct ack is late.
     struct late_probe {
         std::uint32_t sequence = 0;
         node_id target;
     };
-    /// @returns probes whose helpers should be asked now, each once
-    std::vector<late_probe> take_late(instant now);
-    /// @returns targets whose probes have failed; these are closed
-    std::vector<node_id> take_failed(instant now);
-    /// @returns true when the target is being probed
-    bool probing(node_id const& target) const;
+    /// @returns the probes for which indirect probes are due; each is returned
+    /// once and stays pending
+    std::vector<late_probe> drain_late(instant now);
+    /// Removes the probes whose deadline has passed.
+    /// @returns their targets
+    std::vector<node_id> drain_failed(instant now);
+    /// @returns true if a probe of this node is pending
+    bool contains(node_id const& target) const;
 
 private:
-    struct open_probe {
+    struct pending_probe {
         node_id target;
-        instant ask_at;
-        instant end_at;
-        bool asked = false;
+        instant indirect_at;
+        instant deadline;
+        bool indirect_requested = false;
     };
 
-    std::map<std::uint32_t, open_probe> open_;
-    std::uint32_t last_ = 0;
+    std::map<std::uint32_t, pending_probe> probes_;
+    std::uint32_t last_sequence_ = 0;
 };
 
 } // namespace camphorpoint
--- a/src/Membership/quota_shares.hpp
+++ b/src/Membership/quota_shares.hpp
@@ -13,99 +13,107 @@
 
 namespace camphorpoint {
 
-/// Times of the leases under which parts of a limit are lent.
+/// Times of the leases under which nodes lend parts of a limit to each other.
 struct quota_loan_times {
-    /// How long a node may use what it was lent, from its asking on.
+    /// How long a borrower may use a loan, counted from its request.
     std::chrono::milliseconds lease{4'000};
-    /// How long a part that was dealt waits before it is used or lent: who had
-    /// it before may use it until its own lease is over, and what was lent of
-    /// it until a lease later.
-    std::chrono::milliseconds settling{5'000};
-    /// A loan is renewed after this.
-    std::chrono::milliseconds renewal{2'000};
-    /// An ask without answer goes to the next holder after this.
-    std::chrono::milliseconds answer{400};
+    /// Time from the assignment of a unit until the node uses or lends it. The
+    /// former holder may use the unit until its own lease of the unit ends, and
+    /// a node that borrowed from it one loan lease longer.
+    std::chrono::milliseconds activation_delay{5'000};
+    /// Time after a granted loan until the borrower requests the next one.
+    std::chrono::milliseconds renewal_interval{2'000};
+    /// Time without a reply after which the next holder is asked.
+    std::chrono::milliseconds reply_timeout{400};
 };
 
-/// Which part of a limit that all nodes share this node may use. Guards against
-/// nodes that compute their shares from whom they know: after a restart of all,
-/// under loss or a cut, each knows too few and takes too much. It holds because
-/// shares are not computed: the platform deals parts, each to one node at a
-/// time, and a holder lends of its own what it does not use meanwhile. The
-/// shares add up to the limit at most, whatever gets lost or starts anew.
+/// Quota share of this node in the limits that all nodes have in common.
+/// The shares of all nodes together never exceed the limit, whatever messages
+/// are lost and whichever nodes restart. Shares computed from the known members
+/// would exceed it: after a restart of all nodes, under message loss or in a
+/// network partition each node knows too few others and takes too much.
+/// Instead, the platform divides each limit into units and assigns each unit to
+/// one node at a time; a holder lends some of its share to nodes that have no
+/// unit.
 /// References: D. Barbara, H. Garcia-Molina, "The demarcation protocol", VLDB
 /// Journal 3(3), 1994; C. Gray, D. Cheriton, "Leases", SOSP 1989.
 class quota_shares {
 public:
-    /// Amounts are in billionths of the limit, rounded down, so that they add
-    /// up without error.
+    /// Amount in billionths of the limit, rounded down so that the sum of all
+    /// amounts does not exceed the limit through rounding.
     using amount = std::uint32_t;
 
-    /// An ask to a holder of parts.
-    struct question {
+    /// A request that this node is to send to a holder of units.
+    struct loan_request {
         node_id to;
-        std::uint32_t number = 0;
+        std::uint32_t request_number = 0;
     };
 
-    /// @param self  this node
-    /// @param total parts that the platform deals
-    quota_shares(node_id self, std::size_t total, quota_loan_times times = {});
+    /// @param self id of this node
+    /// @param unit_count number of units into which the platform divides a
+    /// limit
+    /// @param times times of the loans
+    quota_shares(
+        node_id self, std::size_t unit_count, quota_loan_times times = {});
 
-    /// The platform has dealt its parts anew.
-    /// @param own     those of this node
-    /// @param holders the nodes that have any
-    void dealt(
-        std::vector<std::size_t> const& own, std::vector<node_id> holders,
+    /// Applies a new assignment of the units by the platform.
+    /// @param own_units units assigned to this node
+    /// @param unit_holders nodes that have at least one unit
+    void set_assigned_units(
+        std::vector<std::size_t> const& own_units,
+        std::vector<node_id> unit_holders, instant now);
+    /// @returns the loan request that is due; nothing if this node has a unit
+    /// of its own, knows no holder, or has sent a request recently
+    std::optional<loan_request> next_loan_request(instant now);
+    /// Handles a loan request of another node.
+    /// @returns the amount lent for the time of a lease; may be 0
+    amount handle_loan_request(node_id const& from, instant now);
+    /// Handles the reply of a holder. A reply to no open request is ignored.
+    void handle_loan_reply(
+        node_id const& from, std::uint32_t request_number, amount lent,
         instant now);
-    /// @returns the ask that is due, if this node has no part of its own
-    std::optional<question> ask(instant now);
-    /// Another node asks.
-    /// @returns what it is lent for the time of a lease
-    amount on_ask(node_id const& from, instant now);
-    /// A holder has answered.
-    void on_given(
-        node_id const& from, std::uint32_t number, amount given, instant now);
 
-    /// @returns this node's part of the limit, from 0 to 1
-    double own(instant now) const;
+    /// @returns the quota share that this node may use now, from 0 to 1: its
+    /// own active units less what it has lent, plus what it has borrowed
+    double current_share(instant now) const;
 
 private:
     struct loan {
-        amount lent = 0;
+        amount granted = 0;
         instant until;
     };
     struct borrower {
         std::deque<loan> loans;
-        instant asked;
+        instant last_request_at;
     };
-    struct borrowed {
-        std::uint32_t number = 0;
-        loan what;
+    struct borrowed_loan {
+        std::uint32_t request_number = 0;
+        loan terms;
     };
-    struct open_ask {
-        std::uint32_t number = 0;
+    struct open_request {
+        std::uint32_t request_number = 0;
         instant at;
     };
 
-    amount dealt_amount(instant now) const;
-    amount lent(instant now) const;
+    amount assigned_amount(instant now) const;
+    amount total_lent(instant now) const;
     static amount lent_to(borrower const& one, instant now);
-    void forget_old(instant now);
+    void remove_expired(instant now);
 
     node_id self_;
-    std::size_t total_;
+    std::size_t unit_count_;
     quota_loan_times times_;
-    /// Own parts, and from when on each counts.
-    std::map<std::size_t, instant> parts_;
-    /// Holders in the order in which this node asks them.
-    std::vector<node_id> holders_;
+    /// Own units, and the time from which each may be used.
+    std::map<std::size_t, instant> units_;
+    /// Holders in the order in which this node asks them for loans.
+    std::vector<node_id> unit_holders_;
     std::map<node_id, borrower> borrowers_;
-    std::map<node_id, borrowed> borrowed_;
-    std::deque<open_ask> asks_;
-    std::uint32_t last_number_ = 0;
-    /// Asks in a row that had no answer.
-    std::size_t unanswered_ = 0;
-    instant next_ask_;
+    std::map<node_id, borrowed_loan> borrowed_loans_;
+    std::deque<open_request> open_requests_;
+    std::uint32_t last_request_number_ = 0;
+    /// Consecutive requests without a reply.
+    std::size_t unanswered_requests_ = 0;
+    instant next_request_at_;
 };
 
 } // namespace camphorpoint
