--- a/src/Ownership/control_record.cpp
+++ b/src/Ownership/control_record.cpp
@@ -41,43 +41,43 @@
 
 // The functions below are found by cereal through the types' namespace.
 template <class Archive>
-void serialize(Archive& archive, claim& what) {
-    named_resource(archive, what.resource);
+void serialize(Archive& archive, claim& record) {
+    named_resource(archive, record.resource);
 }
 
 template <class Archive>
-void serialize(Archive& archive, renewal& what) {
-    named_resource(archive, what.resource);
-    named(archive, "fencing", what.fencing.value);
+void serialize(Archive& archive, renewal& record) {
+    named_resource(archive, record.resource);
+    named(archive, "fencing", record.fencing.value);
 }
 
 template <class Archive>
-void serialize(Archive& archive, release& what) {
-    named_resource(archive, what.resource);
-    named(archive, "fencing", what.fencing.value);
-    named(archive, "stopped", what.stopped);
-    node_run successor = what.successor.value_or(node_run{});
+void serialize(Archive& archive, release& record) {
+    named_resource(archive, record.resource);
+    named(archive, "fencing", record.fencing.value);
+    named(archive, "stopped", record.stopped);
+    node_run successor = record.successor.value_or(node_run{});
     named_node(archive, "successor", successor.node);
     named(archive, "successor_run", successor.run);
-    what.successor.reset();
+    record.successor.reset();
     if (!successor.node.empty()) {
-        what.successor = successor;
+        record.successor = successor;
     }
 }
 
 template <class Archive>
-void serialize(Archive& archive, control_record& what) {
+void serialize(Archive& archive, control_record& record) {
     std::uint32_t version = format_version;
     named(archive, "version", version);
     if (version != format_version) {
         throw cereal::Exception("another version of the record");
     }
-    named_node(archive, "node", what.writer.node);
-    named(archive, "run", what.writer.run);
-    named(archive, "append", what.append);
-    named(archive, "claims", what.claims);
-    named(archive, "renewals", what.renewals);
-    named(archive, "releases", what.releases);
+    named_node(archive, "node", record.writer.node);
+    named(archive, "run", record.writer.run);
+    named(archive, "append", record.append);
+    named(archive, "claims", record.claims);
+    named(archive, "renewals", record.renewals);
+    named(archive, "releases", record.releases);
 }
 
 std::string encode_control_record(control_record const& record) {
--- a/src/Ownership/log_follower.cpp
+++ b/src/Ownership/log_follower.cpp
@@ -5,7 +5,7 @@
 namespace camphorpoint {
 
 log_follower::verdict
-log_follower::judge(log_batch const& batch) const noexcept {
+log_follower::classify(log_batch const& batch) const noexcept {
     // A head behind what was applied comes from a copy of the log that lags,
     // or from an answer that was overtaken. Counting it as fresh would let a
     // holder live on an old view of the log.
@@ -17,14 +17,14 @@
 
 void log_follower::restart(log_offset first) noexcept {
     next_ = first;
-    fresh_at_.reset();
+    fresh_as_of_.reset();
 }
 
-void log_follower::applied(log_offset offset) noexcept {
+void log_follower::on_record_applied(log_offset offset) noexcept {
     next_ = log_offset{offset.value + 1};
 }
 
-bool log_follower::finished(log_batch const& batch) noexcept {
+bool log_follower::on_batch_applied(log_batch const& batch) noexcept {
     reading_ = false;
     if (!batch.reaches_head()) {
         next_read_ = batch.read_started;
@@ -32,12 +32,13 @@
     }
     // The start counts, not the answer's arrival: a claim may have been
     // appended any time after the log looked.
-    fresh_at_ = std::max(fresh_at_.value_or(instant{}), batch.read_started);
+    fresh_as_of_ =
+        std::max(fresh_as_of_.value_or(instant{}), batch.read_started);
     next_read_ = batch.read_started + poll_;
     return true;
 }
 
-void log_follower::failed(instant now) noexcept {
+void log_follower::on_read_failed(instant now) noexcept {
     reading_ = false;
     next_read_ = now + poll_;
 }
--- a/src/Ownership/log_follower.hpp
+++ b/src/Ownership/log_follower.hpp
@@ -27,28 +27,28 @@
         : poll_(poll) {}
 
     /// @returns what to make of the batch; changes nothing
-    verdict judge(log_batch const& batch) const noexcept;
+    verdict classify(log_batch const& batch) const noexcept;
     /// Begins anew at the oldest record.
     void restart(log_offset first) noexcept;
     /// Takes note of an applied record.
-    void applied(log_offset offset) noexcept;
+    void on_record_applied(log_offset offset) noexcept;
     /// Takes note that a batch was applied whole.
     /// @returns true when the batch reached the head
-    bool finished(log_batch const& batch) noexcept;
+    bool on_batch_applied(log_batch const& batch) noexcept;
     /// A read ended without an answer.
-    void failed(instant now) noexcept;
+    void on_read_failed(instant now) noexcept;
     /// @returns true when a read should begin now; it then counts as begun
     bool begin_read(instant now) noexcept;
 
     /// @returns the first offset not applied yet
     log_offset next() const noexcept { return next_; }
     /// @returns the start of the last read that reached the head
-    std::optional<instant> fresh_at() const noexcept { return fresh_at_; }
+    std::optional<instant> fresh_as_of() const noexcept { return fresh_as_of_; }
 
 private:
     duration poll_;
     log_offset next_;
-    std::optional<instant> fresh_at_;
+    std::optional<instant> fresh_as_of_;
     bool reading_ = false;
     instant next_read_{};
 };
--- a/src/Ownership/node_ranking.cpp
+++ b/src/Ownership/node_ranking.cpp
@@ -13,7 +13,7 @@
     std::uint64_t value = 0;
     node_id const* id = nullptr;
 
-    bool beats(score const& other) const {
+    bool ranks_before(score const& other) const {
         if (value != other.value) {
             return value > other.value;
         }
@@ -33,32 +33,34 @@
 
 std::size_t
 node_ranking::rank_of(node_id const& node, resource_id const& resource) const {
-    auto const mine = std::ranges::find(nodes_, node, &ranked_node::id);
-    if (mine == nodes_.end()) {
+    auto const self = std::ranges::find(nodes_, node, &ranked_node::id);
+    if (self == nodes_.end()) {
         return nodes_.size();
     }
     std::uint64_t const key = hash_text(to_string(resource));
-    score const own{combine_hashes(key, mine->hash), &mine->id};
-    auto const goes_first = [&](ranked_node const& each) {
-        return score{combine_hashes(key, each.hash), &each.id}.beats(own);
+    score const own{combine_hashes(key, self->hash), &self->id};
+    auto const ranks_higher = [&](ranked_node const& each) {
+        return score{combine_hashes(key, each.hash), &each.id}.ranks_before(
+            own);
     };
-    return static_cast<std::size_t>(std::ranges::count_if(nodes_, goes_first));
+    return static_cast<std::size_t>(
+        std::ranges::count_if(nodes_, ranks_higher));
 }
 
 node_id node_ranking::first(resource_id const& resource) const {
-    return first_but({}, resource);
+    return first_excluding({}, resource);
 }
 
-node_id node_ranking::first_but(
-    std::set<node_id> const& left_out, resource_id const& resource) const {
+node_id node_ranking::first_excluding(
+    std::set<node_id> const& excluded, resource_id const& resource) const {
     std::uint64_t const key = hash_text(to_string(resource));
     score best;
     for (ranked_node const& each : nodes_) {
-        if (left_out.contains(each.id)) {
+        if (excluded.contains(each.id)) {
             continue;
         }
         score const next{combine_hashes(key, each.hash), &each.id};
-        if (best.id == nullptr || next.beats(best)) {
+        if (best.id == nullptr || next.ranks_before(best)) {
             best = next;
         }
     }
--- a/src/Ownership/node_ranking.hpp
+++ b/src/Ownership/node_ranking.hpp
@@ -24,8 +24,8 @@
     node_id first(resource_id const& resource) const;
     /// @returns the node that should own when some are left out; empty when
     /// there is none
-    node_id first_but(
-        std::set<node_id> const& left_out, resource_id const& resource) const;
+    node_id first_excluding(
+        std::set<node_id> const& excluded, resource_id const& resource) const;
     /// @returns how many nodes there are
     std::size_t size() const noexcept { return nodes_.size(); }
 
--- a/src/Ownership/outgoing_handovers.cpp
+++ b/src/Ownership/outgoing_handovers.cpp
@@ -11,7 +11,7 @@
 }
 
 outgoing_handover const*
-outgoing_handovers::stopped(resource_id const& resource, instant now) {
+outgoing_handovers::on_stopped(resource_id const& resource, instant now) {
     auto const found = moves_.find(resource);
     if (found == moves_.end() ||
         found->second.phase != handover_phase::stopping) {
@@ -28,7 +28,7 @@
     return &move;
 }
 
-void outgoing_handovers::accepted(
+void outgoing_handovers::on_accepted(
     resource_id const& resource, node_id const& from, log_offset fencing) {
     auto const found = moves_.find(resource);
     if (found == moves_.end()) {
@@ -57,7 +57,7 @@
 void outgoing_handovers::redirect(
     resource_id const& resource, node_run const& successor, instant now) {
     outgoing_handover& move = moves_.at(resource);
-    move.passed_over.insert(move.successor.node);
+    move.tried_successors.insert(move.successor.node);
     move.successor = successor;
     move.phase = handover_phase::stopping;
     move.stopped = false;
@@ -86,7 +86,7 @@
     return back;
 }
 
-std::vector<release> outgoing_handovers::take_releases(instant now) {
+std::vector<release> outgoing_handovers::start_releases(instant now) {
     std::vector<release> result;
     for (auto& [resource, move] : moves_) {
         if (move.phase != handover_phase::releasing || now < move.retry_at) {
@@ -116,7 +116,8 @@
     }
 }
 
-void outgoing_handovers::give_up(resource_id const& resource) {
+void outgoing_handovers::release_without_successor(
+    resource_id const& resource) {
     outgoing_handover& move = moves_.at(resource);
     move.phase = handover_phase::releasing;
 }
@@ -125,7 +126,7 @@
     moves_.erase(resource);
 }
 
-bool outgoing_handovers::moving(resource_id const& resource) const {
+bool outgoing_handovers::is_moving(resource_id const& resource) const {
     return moves_.contains(resource);
 }
 
--- a/src/Ownership/outgoing_handovers.hpp
+++ b/src/Ownership/outgoing_handovers.hpp
@@ -32,7 +32,7 @@
     log_offset fencing;
     node_run successor;
     /// Successors that were offered the table and did not take it.
-    std::set<node_id> passed_over;
+    std::set<node_id> tried_successors;
     handover_phase phase = handover_phase::stopping;
     /// When the phase is given up.
     instant deadline;
@@ -59,9 +59,10 @@
     void begin(outgoing_handover move, instant now);
     /// The service has stopped.
     /// @returns the move, when an offer should be sent
-    outgoing_handover const* stopped(resource_id const& resource, instant now);
+    outgoing_handover const*
+    on_stopped(resource_id const& resource, instant now);
     /// The successor has accepted.
-    void accepted(
+    void on_accepted(
         resource_id const& resource, node_id const& from, log_offset fencing);
     /// @returns the moves whose successor has not accepted yet
     std::vector<outgoing_handover> offered() const;
@@ -69,20 +70,20 @@
     void redirect(
         resource_id const& resource, node_run const& successor, instant now);
     /// The holder was never in effect: release at once, without a successor.
-    void give_up(resource_id const& resource);
+    void release_without_successor(resource_id const& resource);
     /// Drops all moves, as when the table began anew.
     void clear() { moves_.clear(); }
     /// Lets limits take effect.
     /// @returns the moves that are given up and go back to holding
     std::vector<resource_id> expire(instant now);
     /// @returns the releases to append; they count as under way
-    std::vector<release> take_releases(instant now);
+    std::vector<release> start_releases(instant now);
     /// An append came to nothing: the release is to be appended again.
     void append_failed(resource_id const& resource, instant retry_at);
     /// The resource is no longer ours.
     void finish(resource_id const& resource);
     /// @returns true when the resource is being moved
-    bool moving(resource_id const& resource) const;
+    bool is_moving(resource_id const& resource) const;
     /// @returns how many moves are under way
     std::size_t size() const noexcept { return moves_.size(); }
 
--- a/src/Ownership/ownership_manager.cpp
+++ b/src/Ownership/ownership_manager.cpp
@@ -23,14 +23,14 @@
         actions_.push_back(control_read{follower_.next()});
     }
     appends_.expire(settings_.append_limit, now);
-    note_awaited(now);
-    tell_lapse(now);
-    tell_gained(now);
+    update_awaits_transfer(now);
+    report_lapse(now);
+    report_gained(now);
     run_handovers(now);
     if (!log_is_current(now)) {
         return;
     }
-    rank_some(now);
+    rank_pending(now);
     claim_due(now);
     renew(now);
     rebalance(now);
@@ -42,7 +42,7 @@
     }
     draining_ = true;
     takeovers_.clear();
-    note_awaited(now);
+    update_awaits_transfer(now);
     rank_live();
     for (auto const& [resource, held] : holdings_) {
         begin_handover(resource, ranking_.first(resource), now);
@@ -52,13 +52,14 @@
 // Guards against a node that ends between its acceptance of a table and the
 // reading of the release that names it: the resource would belong to a dead
 // node, and its table be lost. Past the limits the giver has given up.
-void ownership_manager::note_awaited(instant now) {
+void ownership_manager::update_awaits_transfer(instant now) {
     duration const longest = duration(settings_.accept_limit) +
                              settings_.append_limit + settings_.read_lag +
                              settings_.poll;
-    awaits_transfer_ = std::ranges::any_of(accepted_, [&](auto const& each) {
-        return now < each.second.received + longest;
-    });
+    awaits_transfer_ =
+        std::ranges::any_of(accepted_offers_, [&](auto const& each) {
+            return now < each.second.received + longest;
+        });
 }
 
 bool ownership_manager::drained() const noexcept {
@@ -75,16 +76,16 @@
 // the start of a read that showed no newer claim, and the successor's wait
 // from after its claim's append, so the two never meet. Whoever sends checks
 // not_after once more, since the process may be paused right here.
-std::optional<authority> ownership_manager::within(
+std::optional<authority> ownership_manager::authority_within(
     resource_id const& resource, duration span, instant now) const {
     auto const found = holdings_.find(resource);
-    if (found == holdings_.end() || !found->second.told) {
+    if (found == holdings_.end() || !found->second.reported) {
         return std::nullopt;
     }
-    if (now < found->second.effective_from || handovers_.moving(resource)) {
+    if (now < found->second.effective_from || handovers_.is_moving(resource)) {
         return std::nullopt;
     }
-    std::optional<instant> const fresh = follower_.fresh_at();
+    std::optional<instant> const fresh = follower_.fresh_as_of();
     if (!fresh || now >= *fresh + span) {
         return std::nullopt;
     }
@@ -93,14 +94,14 @@
 
 std::optional<authority> ownership_manager::authority_for(
     resource_id const& resource, instant now) const {
-    return within(resource, settings_.lease, now);
+    return authority_within(resource, settings_.lease, now);
 }
 
 std::optional<authority> ownership_manager::load_authority(
     resource_id const& resource, bool engine_checks, instant now) const {
     duration const span =
         engine_checks ? settings_.grant_lease : settings_.lease;
-    return within(resource, span, now);
+    return authority_within(resource, span, now);
 }
 
 std::optional<authority> ownership_manager::evict_authority(
@@ -109,12 +110,12 @@
     if (found == holdings_.end() || now < found->second.evict_from) {
         return std::nullopt;
     }
-    return within(resource, settings_.lease, now);
+    return authority_within(resource, settings_.lease, now);
 }
 
 std::optional<authority> ownership_manager::grant_authority(
     resource_id const& resource, instant now) const {
-    return within(resource, settings_.grant_lease, now);
+    return authority_within(resource, settings_.grant_lease, now);
 }
 
 std::optional<owner_info>
@@ -132,26 +133,27 @@
         return false;
     }
     ownership_entry const* entry = table_.find(resource);
-    return entry != nullptr && !(entry->owned() && listed_alive(entry->owner));
+    return entry != nullptr && !(entry->owned() && is_live(entry->owner));
 }
 
 bool ownership_manager::log_is_current(instant now) const {
-    std::optional<instant> const fresh = follower_.fresh_at();
+    std::optional<instant> const fresh = follower_.fresh_as_of();
     return fresh && now < *fresh + settings_.lease;
 }
 
-void ownership_manager::tell_gained(instant now) {
+void ownership_manager::report_gained(instant now) {
     std::vector<resource_id> ready;
-    for (resource_id const& each : waiting_) {
+    for (resource_id const& each : pending_gains_) {
         if (now >= holdings_[each].effective_from && log_is_current(now)) {
             ready.push_back(each);
         }
     }
     for (resource_id const& each : ready) {
-        waiting_.erase(each);
+        pending_gains_.erase(each);
         holding& held = holdings_[each];
-        held.told = true;
-        say(event_code::ownership_gained, log_level::info,
+        held.reported = true;
+        emit_log(
+            event_code::ownership_gained, log_level::info,
             fmt::format(
                 "resource={} fencing={} planned={}", to_string(each),
                 held.fencing.value, held.planned));
@@ -165,13 +167,14 @@
     }
 }
 
-void ownership_manager::tell_lapse(instant now) {
+void ownership_manager::report_lapse(instant now) {
     bool const lapsed = !log_is_current(now);
     if (lapsed == lapsed_) {
         return;
     }
     lapsed_ = lapsed;
-    say(lapsed ? event_code::authority_lapsed : event_code::authority_regained,
+    emit_log(
+        lapsed ? event_code::authority_lapsed : event_code::authority_regained,
         lapsed ? log_level::warning : log_level::info,
         fmt::format("held={}", holdings_.size()));
 }
@@ -183,7 +186,7 @@
     actions_.push_back(control_append{number, encode_control_record(record)});
 }
 
-void ownership_manager::say(
+void ownership_manager::emit_log(
     event_code code, log_level level, std::string detail) {
     actions_.push_back(log_event{code, level, std::move(detail)});
 }
--- a/src/Ownership/ownership_manager.hpp
+++ b/src/Ownership/ownership_manager.hpp
@@ -142,7 +142,7 @@
         bool planned = false;
         bool first = false;
         /// True once ownership_gained was told.
-        bool told = false;
+        bool reported = false;
         std::string table;
     };
     struct live_run {
@@ -168,55 +168,55 @@
     void apply_records(log_batch const& batch, instant now);
     void apply_record(log_record const& record, instant now);
     void reached_head(log_batch const& batch, instant now);
-    void note_alive(node_run const& writer, instant now);
-    void
-    entry_changed(resource_id const& resource, instant learned, instant now);
-    void hold(
+    void record_liveness(node_run const& writer, instant now);
+    void on_entry_changed(
+        resource_id const& resource, instant learned_at, instant now);
+    void start_holding(
         resource_id const& resource, ownership_entry const& entry,
-        instant learned);
-    void use_offer(
+        instant learned_at);
+    void apply_offer(
         resource_id const& resource, ownership_entry const& entry,
         holding& next);
-    void drop_old_offer(resource_id const& resource, log_offset in_force);
     void
-    lose(resource_id const& resource, node_run const& new_owner, instant now);
+    drop_superseded_offer(resource_id const& resource, log_offset in_force);
+    void stop_holding(
+        resource_id const& resource, node_run const& new_owner, instant now);
     void restart_table(log_batch const& batch, instant now);
     void set_live(std::vector<owner_candidate> const& live, instant now);
     void rank_live();
-    void consider(resource_id const& resource, instant now);
-    void consider_all(instant now);
+    void update_takeover(resource_id const& resource, instant now);
+    void update_all_takeovers(instant now);
     bool orphaned(resource_id const& resource) const;
-    bool listed_alive(node_run const& who) const;
+    bool is_live(node_run const& who) const;
     std::optional<instant> claimable_from(resource_id const& resource) const;
-    bool read_since(instant missed) const;
-    void rank_some(instant now);
+    bool has_read_since(instant missed) const;
+    void rank_pending(instant now);
     void claim_due(instant now);
-    void tell_gained(instant now);
-    void tell_lapse(instant now);
-    void plan_renewal(instant now);
+    void report_gained(instant now);
+    void report_lapse(instant now);
+    void schedule_renewal(instant now);
     void renew(instant now);
     void prune(log_batch const& batch, instant now);
     void rebalance(instant now);
-    std::uint64_t run_of(node_id const& node) const;
+    std::uint64_t latest_run(node_id const& node) const;
     bool may_move_to(node_id const& successor, instant now) const;
     void begin_handover(
         resource_id const& resource, node_id const& successor, instant now);
     void run_handovers(instant now);
-    void offer_elsewhere(instant now);
-    void note_awaited(instant now);
+    void retry_other_successors(instant now);
+    void update_awaits_transfer(instant now);
     void append(control_record record, instant now);
-    void append_came_to_nothing(control_record const& record, instant now);
+    void handle_failed_append(control_record const& record, instant now);
+    void handle(node_id const& from, handover_offer const& offer, instant now);
+    void
+    handle(node_id const& from, handover_accepted const& accepted, instant now);
     void
-    on_ownership(node_id const& from, handover_offer const& offer, instant now);
-    void on_ownership(
-        node_id const& from, handover_accepted const& accepted, instant now);
-    void on_ownership(
-        node_id const& from, holder_stopped const& stopped, instant now);
-    static std::chrono::milliseconds wait_left(instant end, instant now);
+    handle(node_id const& from, holder_stopped const& stopped, instant now);
+    static std::chrono::milliseconds remaining_wait(instant end, instant now);
     instant wait_end(std::chrono::milliseconds left, instant now) const;
-    std::optional<authority>
-    within(resource_id const& resource, duration span, instant now) const;
-    void say(event_code code, log_level level, std::string detail);
+    std::optional<authority> authority_within(
+        resource_id const& resource, duration span, instant now) const;
+    void emit_log(event_code code, log_level level, std::string detail);
 
     ownership_settings settings_;
     node_run self_;
@@ -230,10 +230,10 @@
     pending_appends appends_;
     outgoing_handovers handovers_;
     std::map<resource_id, holding> holdings_;
-    std::set<resource_id> waiting_;
-    std::map<resource_id, accepted_offer> accepted_;
+    std::set<resource_id> pending_gains_;
+    std::map<resource_id, accepted_offer> accepted_offers_;
     std::map<resource_id, early_stop> early_stops_;
-    std::map<node_id, instant> last_record_;
+    std::map<node_id, instant> last_record_at_;
     /// The newest run of each node that wrote a record.
     std::map<node_id, std::uint64_t> written_runs_;
     std::vector<ownership_action> actions_;
@@ -244,7 +244,7 @@
     log_offset prune_before_;
     instant next_prune_{};
     /// When a resource that the log does not name may be claimed.
-    std::optional<instant> absent_from_;
+    std::optional<instant> unnamed_claimable_from_;
     resource_id rebalance_cursor_;
     bool draining_ = false;
     /// True while an accepted offer's release may still make this node owner.
--- a/src/Ownership/ownership_manager_replay.cpp
+++ b/src/Ownership/ownership_manager_replay.cpp
@@ -18,9 +18,9 @@
     if (batch.stream != log_stream::control) {
         return;
     }
-    switch (follower_.judge(batch)) {
+    switch (follower_.classify(batch)) {
     case log_follower::verdict::stale:
-        follower_.failed(now);
+        follower_.on_read_failed(now);
         return;
     case log_follower::verdict::trimmed:
         restart_table(batch, now);
@@ -32,7 +32,7 @@
         break;
     }
     apply_records(batch, now);
-    if (follower_.finished(batch)) {
+    if (follower_.on_batch_applied(batch)) {
         reached_head(batch, now);
     } else if (follower_.begin_read(now)) {
         actions_.push_back(control_read{follower_.next()});
@@ -40,7 +40,7 @@
 }
 
 void ownership_manager::on_read_failed(instant now) {
-    follower_.failed(now);
+    follower_.on_read_failed(now);
 }
 
 // Guards against a node that was paused for longer than the log keeps
@@ -50,18 +50,19 @@
     bool const first_read = follower_.next() == log_offset{};
     follower_.restart(batch.first);
     table_.restart(false);
-    absent_from_.reset();
+    unnamed_claimable_from_.reset();
     takeovers_.clear();
     handovers_.clear();
-    accepted_.clear();
+    accepted_offers_.clear();
     early_stops_.clear();
-    waiting_.clear();
+    pending_gains_.clear();
     while (!holdings_.empty()) {
         resource_id const resource = holdings_.begin()->first;
-        lose(resource, node_run{}, now);
+        stop_holding(resource, node_run{}, now);
     }
     if (!first_read) {
-        say(event_code::control_log_trimmed, log_level::warning,
+        emit_log(
+            event_code::control_log_trimmed, log_level::warning,
             fmt::format("first={}", batch.first.value));
     }
 }
@@ -70,7 +71,7 @@
     for (log_record const& each : batch.records) {
         if (each.offset >= follower_.next()) {
             apply_record(each, now);
-            follower_.applied(each.offset);
+            follower_.on_record_applied(each.offset);
         }
     }
 }
@@ -79,71 +80,73 @@
     std::optional<control_record> const read =
         decode_control_record(record.data);
     if (!read) {
-        say(event_code::control_record_broken, log_level::error,
+        emit_log(
+            event_code::control_record_broken, log_level::error,
             fmt::format("offset={}", record.offset.value));
         return;
     }
-    instant learned = now;
+    instant learned_at = now;
     if (read->writer == self_) {
         std::optional<pending_append> const mine =
             appends_.read_back(read->append);
         // The answer came after the append, so a wait may begin there.
-        if (mine && mine->answered) {
-            learned = *mine->answered;
+        if (mine && mine->answered_at) {
+            learned_at = *mine->answered_at;
         }
     } else {
-        note_alive(read->writer, now);
+        record_liveness(read->writer, now);
     }
     std::vector<resource_id> const changed = table_.apply(record.offset, *read);
-    bool const ours = read->writer != self_ || appends_.ours(read->append);
+    bool const valid =
+        read->writer != self_ || appends_.started_here(read->append);
     for (resource_id const& each : changed) {
         // A record that bears this run's name but was not written by it comes
         // from another process that was started in the same millisecond.
-        if (ours) {
-            entry_changed(each, learned, now);
+        if (valid) {
+            on_entry_changed(each, learned_at, now);
         } else {
-            lose(each, node_run{}, now);
+            stop_holding(each, node_run{}, now);
         }
     }
 }
 
 // Only records that were appended since the last look say that their writer
 // lives now; those read at a start may be old.
-void ownership_manager::note_alive(node_run const& writer, instant now) {
+void ownership_manager::record_liveness(node_run const& writer, instant now) {
     std::uint64_t& run = written_runs_[writer.node];
     run = std::max(run, writer.run);
     if (log_is_current(now)) {
-        last_record_[writer.node] = now;
+        last_record_at_[writer.node] = now;
     }
 }
 
-void ownership_manager::entry_changed(
-    resource_id const& resource, instant learned, instant now) {
+void ownership_manager::on_entry_changed(
+    resource_id const& resource, instant learned_at, instant now) {
     ownership_entry const& entry = *table_.find(resource);
     if (entry.owner == self_) {
-        hold(resource, entry, learned);
+        start_holding(resource, entry, learned_at);
     } else if (holdings_.contains(resource)) {
-        lose(resource, entry.owner, now);
+        stop_holding(resource, entry.owner, now);
     }
-    drop_old_offer(resource, entry.fencing);
-    consider(resource, now);
+    drop_superseded_offer(resource, entry.fencing);
+    update_takeover(resource, now);
 }
 
 // An offer counts until the claim that it ends has been succeeded. Guards
 // against the loss of one that came before this node read how its sender came
 // to own: two moves within one period of the log's reading. It showed as
 // bookings that ended as key-unknown-after-takeover after a planned stop.
-void ownership_manager::drop_old_offer(
+void ownership_manager::drop_superseded_offer(
     resource_id const& resource, log_offset in_force) {
-    auto const found = accepted_.find(resource);
-    if (found != accepted_.end() && found->second.fencing < in_force) {
-        accepted_.erase(found);
+    auto const found = accepted_offers_.find(resource);
+    if (found != accepted_offers_.end() && found->second.fencing < in_force) {
+        accepted_offers_.erase(found);
     }
 }
 
-void ownership_manager::hold(
+void ownership_manager::start_holding(
     resource_id const& resource, ownership_entry const& entry,
-    instant learned) {
+    instant learned_at) {
     auto const held = holdings_.find(resource);
     if (held != holdings_.end()) {
         // Both claims are this run's and nobody came between: it goes on.
@@ -156,14 +159,14 @@
     // Guards against two deciders at once: the old holder acts until its
     // lease, counted from its last read, is over. The wait may begin at the
     // earliest when the claim stands in the log, by this node's own clock.
-    next.effective_from = learned + settings_.claim_wait();
-    next.evict_from = learned + settings_.evict_wait();
+    next.effective_from = learned_at + settings_.claim_wait();
+    next.evict_from = learned_at + settings_.evict_wait();
     if (entry.transferred) {
-        use_offer(resource, entry, next);
+        apply_offer(resource, entry, next);
     } else if (entry.predecessor_stopped) {
         next.first = !entry.previous;
-        next.effective_from = learned;
-        next.evict_from = learned;
+        next.effective_from = learned_at;
+        next.evict_from = learned_at;
         next.planned = true;
     }
     auto const early = early_stops_.find(resource);
@@ -172,15 +175,15 @@
         early_stops_.erase(early);
     }
     holdings_.emplace(resource, std::move(next));
-    waiting_.insert(resource);
+    pending_gains_.insert(resource);
 }
 
 // Only an offer that this run accepted tells how long evictions must still
 // wait. Without it the transfer is like any claim, and waits.
-void ownership_manager::use_offer(
+void ownership_manager::apply_offer(
     resource_id const& resource, ownership_entry const& entry, holding& next) {
-    auto const found = accepted_.find(resource);
-    bool const matches = found != accepted_.end() &&
+    auto const found = accepted_offers_.find(resource);
+    bool const matches = found != accepted_offers_.end() &&
                          entry.predecessor_stopped &&
                          entry.previous == found->second.fencing;
     if (!matches) {
@@ -193,7 +196,7 @@
     next.table = std::move(offer.table);
 }
 
-void ownership_manager::lose(
+void ownership_manager::stop_holding(
     resource_id const& resource, node_run const& new_owner, instant now) {
     auto const found = holdings_.find(resource);
     if (found == holdings_.end()) {
@@ -201,11 +204,12 @@
     }
     holding const held = std::move(found->second);
     holdings_.erase(found);
-    waiting_.erase(resource);
-    bool const planned = handovers_.moving(resource);
+    pending_gains_.erase(resource);
+    bool const planned = handovers_.is_moving(resource);
     handovers_.finish(resource);
-    if (held.told) {
-        say(event_code::ownership_lost, log_level::info,
+    if (held.reported) {
+        emit_log(
+            event_code::ownership_lost, log_level::info,
             fmt::format(
                 "resource={} fencing={} to={}", to_string(resource),
                 held.fencing.value, new_owner.node.str()));
@@ -215,24 +219,24 @@
     bool const other = !new_owner.node.empty() && new_owner.node != self_.node;
     if (other && !planned) {
         holder_stopped const stopped{
-            resource, held.fencing, wait_left(held.evict_from, now)};
+            resource, held.fencing, remaining_wait(held.evict_from, now)};
         actions_.push_back(send_ownership_message{new_owner.node, stopped});
     }
 }
 
 void ownership_manager::reached_head(log_batch const& batch, instant now) {
     for (pending_append const& each :
-         appends_.absent(batch.read_started, settings_.read_lag)) {
-        append_came_to_nothing(each.record, now);
+         appends_.drain_absent(batch.read_started, settings_.read_lag)) {
+        handle_failed_append(each.record, now);
     }
-    if (!absent_from_) {
+    if (!unnamed_claimable_from_) {
         // Nodes whose claims have expired renew them as soon as they read the
         // log again; until then a missing entry does not mean no owner.
-        absent_from_ = now;
+        unnamed_claimable_from_ = now;
         if (!table_.complete()) {
-            *absent_from_ += settings_.log_liveness_window;
+            *unnamed_claimable_from_ += settings_.log_liveness_window;
         }
-        consider_all(now);
+        update_all_takeovers(now);
     }
     prune(batch, now);
 }
@@ -240,7 +244,7 @@
 void ownership_manager::prune(log_batch const& batch, instant now) {
     for (auto const& [resource, held] : holdings_) {
         ownership_entry const* entry = table_.find(resource);
-        if (entry != nullptr && entry->named_at < batch.first &&
+        if (entry != nullptr && entry->last_named_at < batch.first &&
             appends_.empty()) {
             next_renewal_ = now;
         }
@@ -252,7 +256,7 @@
     std::vector<resource_id> const dropped =
         table_.prune(prune_before_, self_.node);
     for (resource_id const& each : dropped) {
-        consider(each, now);
+        update_takeover(each, now);
     }
     // What expires now has a whole period to be renewed by its owner.
     prune_before_ = batch.first;
@@ -263,16 +267,16 @@
     instant now) {
     switch (how) {
     case append_result::appended:
-        appends_.answered(append, now);
+        appends_.on_answered(append, now);
         return;
     case append_result::lost:
-        appends_.lost(append, now);
+        appends_.on_lost(append, now);
         return;
     case append_result::not_sent:
         break;
     }
     if (std::optional<pending_append> const none = appends_.read_back(append)) {
-        append_came_to_nothing(none->record, now);
+        handle_failed_append(none->record, now);
     }
 }
 
@@ -280,11 +284,11 @@
 // claim of the same run goes on with the first, a release that does not end
 // the last claim is void, and a claim that comes after another node's is a new
 // one that has to wait.
-void ownership_manager::append_came_to_nothing(
+void ownership_manager::handle_failed_append(
     control_record const& record, instant now) {
     instant const retry = now + settings_.poll;
     for (claim const& each : record.claims) {
-        consider(each.resource, now);
+        update_takeover(each.resource, now);
         if (orphaned(each.resource)) {
             takeovers_.postpone(each.resource, retry);
         }
--- a/src/Ownership/ownership_manager_transfers.cpp
+++ b/src/Ownership/ownership_manager_transfers.cpp
@@ -17,17 +17,17 @@
 /// How many resources one record names; it stays below 32 KB.
 constexpr std::size_t resources_per_record = 256;
 /// At 1,900 nodes each moves one resource in 95 s at most: 20 appends a second.
-constexpr std::chrono::milliseconds rebalance_share{50};
-constexpr std::size_t rebalance_looks = 8;
+constexpr std::chrono::milliseconds rebalance_interval_per_node{50};
+constexpr std::size_t rebalance_checks_per_round = 8;
 /// What becomes due in between goes into one record.
 constexpr std::chrono::seconds claim_spacing{1};
 /// A successor that did not take a table is not asked again so soon.
-constexpr int periods_after_abort = 6;
+constexpr int rebalance_backoff_periods = 6;
 constexpr unsigned renewals_per_retention = 4;
 /// A takeover that waits for the next read of the log is looked at again.
-constexpr std::chrono::milliseconds look_again{50};
+constexpr std::chrono::milliseconds takeover_recheck{50};
 /// A planned stop asks so many more nodes when one does not take a table.
-constexpr std::size_t most_passed_over = 3;
+constexpr std::size_t max_tried_successors = 3;
 
 } // namespace
 
@@ -39,7 +39,7 @@
     set_live(live, now);
     for (resource_id const& each : resources_) {
         if (!before.contains(each)) {
-            consider(each, now);
+            update_takeover(each, now);
         }
     }
     for (resource_id const& each : before) {
@@ -78,12 +78,12 @@
     }
     live_ = std::move(next);
     rank_live();
-    takeovers_.rank_again();
+    takeovers_.rerank_all();
     for (node_id const& each : changed) {
         // A copy, since considering may change what is owned.
         std::set<resource_id> const owned = table_.owned_by(each);
         for (resource_id const& resource : owned) {
-            consider(resource, now);
+            update_takeover(resource, now);
         }
     }
 }
@@ -100,13 +100,14 @@
     ranking_.set_nodes(nodes);
 }
 
-void ownership_manager::consider_all(instant now) {
+void ownership_manager::update_all_takeovers(instant now) {
     for (resource_id const& each : resources_) {
-        consider(each, now);
+        update_takeover(each, now);
     }
 }
 
-void ownership_manager::consider(resource_id const& resource, instant now) {
+void ownership_manager::update_takeover(
+    resource_id const& resource, instant now) {
     if (orphaned(resource)) {
         takeovers_.add(resource, now);
     } else {
@@ -115,17 +116,18 @@
 }
 
 bool ownership_manager::orphaned(resource_id const& resource) const {
-    if (draining_ || !absent_from_ || !resources_.contains(resource)) {
+    if (draining_ || !unnamed_claimable_from_ ||
+        !resources_.contains(resource)) {
         return false;
     }
     if (holdings_.contains(resource) || appends_.claims(resource)) {
         return false;
     }
     ownership_entry const* entry = table_.find(resource);
-    return entry == nullptr || !entry->owned() || !listed_alive(entry->owner);
+    return entry == nullptr || !entry->owned() || !is_live(entry->owner);
 }
 
-bool ownership_manager::listed_alive(node_run const& who) const {
+bool ownership_manager::is_live(node_run const& who) const {
     if (who.node == self_.node) {
         // What an earlier run of this node claimed is not ours.
         return who.run == self_.run;
@@ -138,12 +140,12 @@
 ownership_manager::claimable_from(resource_id const& resource) const {
     ownership_entry const* entry = table_.find(resource);
     if (entry == nullptr) {
-        return absent_from_;
+        return unnamed_claimable_from_;
     }
     // Guards against two nodes that cannot see each other but both read the
     // log, and would take a resource from each other for ever.
-    auto const seen = last_record_.find(entry->owner.node);
-    if (!entry->owned() || seen == last_record_.end()) {
+    auto const seen = last_record_at_.find(entry->owner.node);
+    if (!entry->owned() || seen == last_record_at_.end()) {
         return std::nullopt;
     }
     auto const listed = live_.find(entry->owner.node);
@@ -155,8 +157,8 @@
     return seen->second + settings_.log_liveness_window;
 }
 
-void ownership_manager::rank_some(instant now) {
-    for (resource_id const& each : takeovers_.take_unranked(ranked_per_tick)) {
+void ownership_manager::rank_pending(instant now) {
+    for (resource_id const& each : takeovers_.drain_unranked(ranked_per_tick)) {
         std::size_t const rank = ranking_.rank_of(self_.node, each);
         duration const delay = settings_.rank_delay;
         takeovers_.schedule(each, delay * static_cast<std::int64_t>(rank));
@@ -173,8 +175,8 @@
 // claim would take the resource from the successor that has the table. It
 // shows as bookings that end as key-unknown-after-takeover. A read that began
 // after the node was missed shows all that it wrote.
-bool ownership_manager::read_since(instant missed) const {
-    std::optional<instant> const fresh = follower_.fresh_at();
+bool ownership_manager::has_read_since(instant missed) const {
+    std::optional<instant> const fresh = follower_.fresh_as_of();
     return fresh && *fresh >= missed;
 }
 
@@ -184,14 +186,14 @@
     }
     control_record record;
     for (resource_id const& each :
-         takeovers_.take_due(now, resources_per_record)) {
+         takeovers_.drain_due(now, resources_per_record)) {
         std::optional<instant> const from = claimable_from(each);
         if (from && now < *from) {
             takeovers_.postpone(each, *from);
             continue;
         }
-        if (!read_since(takeovers_.since(each))) {
-            takeovers_.postpone(each, now + look_again);
+        if (!has_read_since(takeovers_.since(each))) {
+            takeovers_.postpone(each, now + takeover_recheck);
             continue;
         }
         takeovers_.remove(each);
@@ -200,7 +202,8 @@
     if (record.claims.empty()) {
         return;
     }
-    say(event_code::claim_appended, log_level::info,
+    emit_log(
+        event_code::claim_appended, log_level::info,
         fmt::format(
             "resources={} first={}", record.claims.size(),
             to_string(record.claims.front().resource)));
@@ -208,7 +211,7 @@
     append(std::move(record), now);
 }
 
-void ownership_manager::plan_renewal(instant now) {
+void ownership_manager::schedule_renewal(instant now) {
     duration const whole =
         duration(settings_.retention) / renewals_per_retention;
     // Spread over the last quarter, so that nodes that started together do
@@ -221,15 +224,15 @@
 
 void ownership_manager::renew(instant now) {
     if (!next_renewal_) {
-        plan_renewal(now);
+        schedule_renewal(now);
     }
     if (now < *next_renewal_) {
         return;
     }
-    plan_renewal(now);
+    schedule_renewal(now);
     control_record record;
     for (auto const& [resource, held] : holdings_) {
-        if (!resources_.contains(resource) && !handovers_.moving(resource)) {
+        if (!resources_.contains(resource) && !handovers_.is_moving(resource)) {
             // It left the platform's list long ago.
             begin_handover(resource, node_id(), now);
             continue;
@@ -246,7 +249,7 @@
 
 // A node that was never heard over the probes may still be known by what it
 // wrote to the log.
-std::uint64_t ownership_manager::run_of(node_id const& node) const {
+std::uint64_t ownership_manager::latest_run(node_id const& node) const {
     auto const listed = live_.find(node);
     auto const wrote = written_runs_.find(node);
     return std::max(
@@ -266,10 +269,11 @@
     if (draining_ || holdings_.empty() || now < next_rebalance_) {
         return;
     }
-    duration const shared =
-        duration(rebalance_share) * static_cast<std::int64_t>(live_.size());
+    duration const shared = duration(rebalance_interval_per_node) *
+                            static_cast<std::int64_t>(live_.size());
     next_rebalance_ = now + std::max(duration(settings_.rebalance), shared);
-    std::size_t const looks = std::min(rebalance_looks, holdings_.size());
+    std::size_t const looks =
+        std::min(rebalance_checks_per_round, holdings_.size());
     for (std::size_t count = 0; count < looks; ++count) {
         auto next = holdings_.upper_bound(rebalance_cursor_);
         if (next == holdings_.end()) {
@@ -292,22 +296,22 @@
     move.fencing = held.fencing;
     move.draining = draining_;
     move.may_evict = now >= held.evict_from;
-    std::uint64_t const run = run_of(successor);
-    if (held.told && run != 0) {
+    std::uint64_t const run = latest_run(successor);
+    if (held.reported && run != 0) {
         move.successor = {successor, run};
     }
     handovers_.begin(move, now);
-    if (held.told) {
+    if (held.reported) {
         actions_.push_back(handover_requested{resource, successor});
     } else {
         // Not in effect yet: the one before may still act, so whoever comes
         // next must wait.
-        handovers_.give_up(resource);
+        handovers_.release_without_successor(resource);
     }
 }
 
 std::chrono::milliseconds
-ownership_manager::wait_left(instant end, instant now) {
+ownership_manager::remaining_wait(instant end, instant now) {
     duration const left = std::max(duration::zero(), end - now);
     return std::chrono::ceil<std::chrono::milliseconds>(left);
 }
@@ -322,7 +326,7 @@
 
 void ownership_manager::handover_ready(
     resource_id const& resource, std::string table, instant now) {
-    outgoing_handover const* move = handovers_.stopped(resource, now);
+    outgoing_handover const* move = handovers_.on_stopped(resource, now);
     auto const held = holdings_.find(resource);
     if (move == nullptr || held == holdings_.end()) {
         return;
@@ -331,7 +335,7 @@
     offer.resource = resource;
     offer.fencing = move->fencing;
     offer.successor_run = move->successor.run;
-    offer.evict_wait_left = wait_left(held->second.evict_from, now);
+    offer.evict_wait_left = remaining_wait(held->second.evict_from, now);
     offer.table = std::move(table);
     actions_.push_back(
         send_ownership_message{move->successor.node, std::move(offer)});
@@ -342,18 +346,18 @@
 // would begin as after a crash, without the tables. It shows as bookings that
 // end as key-unknown-after-takeover. The stopping node offers to the next in
 // the ranking instead, as soon as it learns that its choice stops as well.
-void ownership_manager::offer_elsewhere(instant now) {
+void ownership_manager::retry_other_successors(instant now) {
     for (outgoing_handover const& move : handovers_.offered()) {
         auto const listed = live_.find(move.successor.node);
         bool const stops = listed == live_.end() || listed->second.leaving;
         bool const in_time = now < move.deadline && !stops;
-        if (in_time || move.passed_over.size() >= most_passed_over) {
+        if (in_time || move.tried_successors.size() >= max_tried_successors) {
             continue;
         }
-        std::set<node_id> left_out = move.passed_over;
-        left_out.insert(move.successor.node);
-        node_id const next = ranking_.first_but(left_out, move.resource);
-        std::uint64_t const run = run_of(next);
+        std::set<node_id> excluded = move.tried_successors;
+        excluded.insert(move.successor.node);
+        node_id const next = ranking_.first_excluding(excluded, move.resource);
+        std::uint64_t const run = latest_run(next);
         if (run != 0) {
             handovers_.redirect(move.resource, {next, run}, now);
             actions_.push_back(handover_requested{move.resource, next});
@@ -363,17 +367,18 @@
 
 void ownership_manager::run_handovers(instant now) {
     if (draining_) {
-        offer_elsewhere(now);
+        retry_other_successors(now);
     }
     for (resource_id const& each : handovers_.expire(now)) {
-        say(event_code::handover_given_up, log_level::warning,
+        emit_log(
+            event_code::handover_given_up, log_level::warning,
             fmt::format("resource={}", to_string(each)));
         actions_.push_back(handover_aborted{each});
         next_rebalance_ =
-            now + duration(settings_.rebalance) * periods_after_abort;
+            now + duration(settings_.rebalance) * rebalance_backoff_periods;
     }
     control_record record;
-    record.releases = handovers_.take_releases(now);
+    record.releases = handovers_.start_releases(now);
     if (!record.releases.empty()) {
         append(std::move(record), now);
     }
@@ -381,16 +386,15 @@
 
 void ownership_manager::on_message(
     node_id const& from, ownership_message const& message, instant now) {
-    std::visit(
-        [&](auto const& each) { on_ownership(from, each, now); }, message);
+    std::visit([&](auto const& each) { handle(from, each, now); }, message);
 }
 
-void ownership_manager::on_ownership(
+void ownership_manager::handle(
     node_id const& from, handover_offer const& offer, instant now) {
     if (draining_ || offer.successor_run != self_.run) {
         return;
     }
-    accepted_offer& mine = accepted_[offer.resource];
+    accepted_offer& mine = accepted_offers_[offer.resource];
     mine.fencing = offer.fencing;
     mine.received = now;
     mine.evict_from = wait_end(offer.evict_wait_left, now);
@@ -399,15 +403,15 @@
     actions_.push_back(send_ownership_message{from, answer});
 }
 
-void ownership_manager::on_ownership(
+void ownership_manager::handle(
     node_id const& from, handover_accepted const& accepted, instant /*now*/) {
-    handovers_.accepted(accepted.resource, from, accepted.fencing);
+    handovers_.on_accepted(accepted.resource, from, accepted.fencing);
 }
 
 // The former holder has read our claim and stopped for good, so nothing that
 // it granted can be sent later than its messages travel. Those who held before
 // it may still be unaware; for them its own wait goes on.
-void ownership_manager::on_ownership(
+void ownership_manager::handle(
     node_id const& /*from*/, holder_stopped const& stopped, instant now) {
     auto const found = holdings_.find(stopped.resource);
     if (found == holdings_.end()) {
--- a/src/Ownership/ownership_settings.cpp
+++ b/src/Ownership/ownership_settings.cpp
@@ -7,7 +7,7 @@
 constexpr std::int64_t million = 1'000'000;
 
 /// A span of another node's clock, as long as it can be on ours.
-duration stretched(duration span, std::uint32_t rate_error) noexcept {
+duration with_clock_error(duration span, std::uint32_t rate_error) noexcept {
     return span + span * rate_error / million;
 }
 
@@ -17,14 +17,15 @@
 // after the append. Its authority ends one lease later by its own clock, and
 // what it sent last is under way for command_transit more.
 duration ownership_settings::claim_wait() const noexcept {
-    return stretched(lease, clock_rate_error) + command_transit + read_lag;
+    return with_clock_error(lease, clock_rate_error) + command_transit +
+           read_lag;
 }
 
 duration ownership_settings::evict_wait() const noexcept {
     if (engines_refuse_busy_evictions) {
         return claim_wait();
     }
-    return stretched(grant_lease, clock_rate_error) + command_transit +
+    return with_clock_error(grant_lease, clock_rate_error) + command_transit +
            read_lag;
 }
 
--- a/src/Ownership/ownership_table.cpp
+++ b/src/Ownership/ownership_table.cpp
@@ -31,64 +31,65 @@
 }
 
 void ownership_table::apply_claim(
-    log_offset offset, node_run const& writer, claim const& what) {
+    log_offset offset, node_run const& writer, claim const& update) {
     ownership_entry entry;
     entry.owner = writer;
     entry.fencing = offset;
-    entry.named_at = offset;
-    if (ownership_entry const* before = find(what.resource)) {
+    entry.last_named_at = offset;
+    if (ownership_entry const* before = find(update.resource)) {
         entry.previous = before->fencing;
         entry.predecessor_stopped =
             !before->owned() && before->predecessor_stopped;
     } else {
         entry.predecessor_stopped = complete_;
     }
-    set(what.resource, std::move(entry));
+    set(update.resource, std::move(entry));
 }
 
 // A renewal says only that its writer held this claim when it wrote. It never
 // takes a resource from a later claim, so a renewal that a paused holder
 // appends after it was succeeded changes nothing.
 bool ownership_table::apply_renewal(
-    log_offset offset, node_run const& writer, renewal const& what) {
-    if (what.fencing >= offset) {
+    log_offset offset, node_run const& writer, renewal const& update) {
+    if (update.fencing >= offset) {
         return false;
     }
-    ownership_entry const* before = find(what.resource);
-    if (before != nullptr && before->fencing > what.fencing) {
+    ownership_entry const* before = find(update.resource);
+    if (before != nullptr && before->fencing > update.fencing) {
         return false;
     }
-    if (before != nullptr && before->fencing == what.fencing) {
+    if (before != nullptr && before->fencing == update.fencing) {
         if (before->owner == writer) {
-            entries_[what.resource].named_at = offset;
+            entries_[update.resource].last_named_at = offset;
         }
         return false;
     }
     ownership_entry entry;
     entry.owner = writer;
-    entry.fencing = what.fencing;
-    entry.named_at = offset;
-    set(what.resource, std::move(entry));
+    entry.fencing = update.fencing;
+    entry.last_named_at = offset;
+    set(update.resource, std::move(entry));
     return true;
 }
 
 // A release that does not end the last claim is void: otherwise one that a
 // paused holder appends late would spare a third node the wait for the second.
 bool ownership_table::apply_release(
-    log_offset offset, node_run const& writer, release const& what) {
-    ownership_entry const* before = find(what.resource);
+    log_offset offset, node_run const& writer, release const& update) {
+    ownership_entry const* before = find(update.resource);
     bool const known = before != nullptr;
-    if (known && (before->owner != writer || before->fencing != what.fencing)) {
+    if (known &&
+        (before->owner != writer || before->fencing != update.fencing)) {
         return false;
     }
     ownership_entry entry;
-    entry.owner = what.successor.value_or(node_run{});
+    entry.owner = update.successor.value_or(node_run{});
     entry.fencing = offset;
-    entry.named_at = offset;
-    entry.previous = what.fencing;
-    entry.predecessor_stopped = known && what.stopped;
-    entry.transferred = what.successor.has_value();
-    set(what.resource, std::move(entry));
+    entry.last_named_at = offset;
+    entry.previous = update.fencing;
+    entry.predecessor_stopped = known && update.stopped;
+    entry.transferred = update.successor.has_value();
+    set(update.resource, std::move(entry));
     return true;
 }
 
@@ -96,7 +97,7 @@
 ownership_table::prune(log_offset first, node_id const& keep) {
     std::vector<resource_id> expired;
     for (auto const& [resource, entry] : entries_) {
-        if (entry.named_at < first && entry.owner.node != keep) {
+        if (entry.last_named_at < first && entry.owner.node != keep) {
             expired.push_back(resource);
         }
     }
@@ -122,13 +123,13 @@
 }
 
 void ownership_table::set(resource_id const& resource, ownership_entry entry) {
-    ownership_entry& place = entries_[resource];
-    if (place.owned()) {
-        by_owner_[place.owner.node].erase(resource);
+    ownership_entry& stored = entries_[resource];
+    if (stored.owned()) {
+        by_owner_[stored.owner.node].erase(resource);
     }
-    place = std::move(entry);
-    if (place.owned()) {
-        by_owner_[place.owner.node].insert(resource);
+    stored = std::move(entry);
+    if (stored.owned()) {
+        by_owner_[stored.owner.node].insert(resource);
     }
 }
 
--- a/src/Ownership/ownership_table.hpp
+++ b/src/Ownership/ownership_table.hpp
@@ -24,7 +24,7 @@
     /// True when a release named this owner, instead of its own claim.
     bool transferred = false;
     /// The newest record that names the resource.
-    log_offset named_at;
+    log_offset last_named_at;
 
     /// @returns true when somebody owns the resource
     bool owned() const noexcept { return !owner.node.empty(); }
@@ -62,11 +62,11 @@
 private:
     void set(resource_id const& resource, ownership_entry entry);
     void
-    apply_claim(log_offset offset, node_run const& writer, claim const& what);
+    apply_claim(log_offset offset, node_run const& writer, claim const& update);
     bool apply_renewal(
-        log_offset offset, node_run const& writer, renewal const& what);
+        log_offset offset, node_run const& writer, renewal const& update);
     bool apply_release(
-        log_offset offset, node_run const& writer, release const& what);
+        log_offset offset, node_run const& writer, release const& update);
 
     std::map<resource_id, ownership_entry> entries_;
     std::map<node_id, std::set<resource_id>> by_owner_;
--- a/src/Ownership/pending_appends.cpp
+++ b/src/Ownership/pending_appends.cpp
@@ -10,12 +10,12 @@
     record.append = number;
     pending_append entry;
     entry.record = std::move(record);
-    entry.begun = now;
+    entry.started_at = now;
     pending_.emplace(number, std::move(entry));
     return number;
 }
 
-bool pending_appends::ours(std::uint64_t append) const noexcept {
+bool pending_appends::started_here(std::uint64_t append) const noexcept {
     return append >= first_ && append < next_;
 }
 
@@ -29,34 +29,35 @@
     return result;
 }
 
-void pending_appends::answered(std::uint64_t append, instant now) {
+void pending_appends::on_answered(std::uint64_t append, instant now) {
     auto const found = pending_.find(append);
     if (found != pending_.end()) {
-        found->second.answered = now;
+        found->second.answered_at = now;
     }
 }
 
-void pending_appends::lost(std::uint64_t append, instant now) {
+void pending_appends::on_lost(std::uint64_t append, instant now) {
     auto const found = pending_.find(append);
-    if (found != pending_.end() && !found->second.lost) {
-        found->second.lost = now;
+    if (found != pending_.end() && !found->second.lost_at) {
+        found->second.lost_at = now;
     }
 }
 
 void pending_appends::expire(duration limit, instant now) {
     for (auto& [number, each] : pending_) {
-        if (!each.answered && !each.lost && now - each.begun >= limit) {
-            each.lost = now;
+        if (!each.answered_at && !each.lost_at &&
+            now - each.started_at >= limit) {
+            each.lost_at = now;
         }
     }
 }
 
 std::vector<pending_append>
-pending_appends::absent(instant read_started, duration lag) {
+pending_appends::drain_absent(instant read_started, duration lag) {
     std::vector<pending_append> result;
     std::erase_if(pending_, [&](auto const& item) {
         pending_append const& each = item.second;
-        if (!each.lost || read_started < *each.lost + lag) {
+        if (!each.lost_at || read_started < *each.lost_at + lag) {
             return false;
         }
         result.push_back(each);
--- a/src/Ownership/takeover_queue.cpp
+++ b/src/Ownership/takeover_queue.cpp
@@ -23,7 +23,7 @@
     by_due_.clear();
 }
 
-void takeover_queue::rank_again() {
+void takeover_queue::rerank_all() {
     for (auto const& [resource, due] : due_of_) {
         unranked_.insert(resource);
     }
@@ -31,9 +31,9 @@
     by_due_.clear();
 }
 
-std::vector<resource_id> takeover_queue::take_unranked(std::size_t most) {
+std::vector<resource_id> takeover_queue::drain_unranked(std::size_t limit) {
     std::vector<resource_id> result;
-    while (!unranked_.empty() && result.size() < most) {
+    while (!unranked_.empty() && result.size() < limit) {
         result.push_back(*unranked_.begin());
         unranked_.erase(unranked_.begin());
     }
@@ -53,10 +53,10 @@
 }
 
 std::vector<resource_id>
-takeover_queue::take_due(instant now, std::size_t most) {
+takeover_queue::drain_due(instant now, std::size_t limit) {
     std::vector<resource_id> result;
     while (!by_due_.empty() && by_due_.begin()->first <= now &&
-           result.size() < most) {
+           result.size() < limit) {
         resource_id const next = *by_due_.begin()->second.begin();
         unschedule(next);
         result.push_back(next);
--- a/src/Ownership/takeover_queue.hpp
+++ b/src/Ownership/takeover_queue.hpp
@@ -21,10 +21,10 @@
     /// Takes all out.
     void clear();
     /// Everything must be ranked again, since the live nodes changed.
-    void rank_again();
+    void rerank_all();
     /// @returns at most this many resources that wait to be ranked; each must
     /// be scheduled or removed next
-    std::vector<resource_id> take_unranked(std::size_t most);
+    std::vector<resource_id> drain_unranked(std::size_t limit);
     /// Sets when a resource may be claimed.
     /// @param after counted from when it was added
     void schedule(resource_id const& resource, duration after);
@@ -32,7 +32,7 @@
     void postpone(resource_id const& resource, instant due);
     /// @returns at most this many resources whose time has come; each must be
     /// postponed or removed next
-    std::vector<resource_id> take_due(instant now, std::size_t most);
+    std::vector<resource_id> drain_due(instant now, std::size_t limit);
     /// @returns when a resource that waits was added
     instant since(resource_id const& resource) const;
     /// @returns how many resources wait
--- a/test/ownership_fixture.cpp
+++ b/test/ownership_fixture.cpp
@@ -29,7 +29,7 @@
     return result;
 }
 
-log_batch control_log::read_behind(
+log_batch control_log::read_lagging(
     log_offset from, instant started, instant known_until) const {
     wall_time const last(
         std::chrono::floor<milliseconds>(known_until.time_since_epoch()));
@@ -58,7 +58,8 @@
     return nodes_.emplace(name, std::move(fresh)).first->second;
 }
 
-test_node& cluster::start_beside(std::string const& name, std::uint64_t run) {
+test_node&
+cluster::start_second_run(std::string const& name, std::uint64_t run) {
     auto former = nodes_.extract(name);
     former.mapped().cut_from_log = true;
     former.key() = name + "#" + std::to_string(run);
@@ -84,7 +85,7 @@
     }
     for (auto& [name, each] : nodes_) {
         if (!each.dead && !each.paused) {
-            each.decider.set_candidates(live, resources_, clock_of(each));
+            each.manager.set_candidates(live, resources_, clock_of(each));
         }
     }
 }
@@ -93,11 +94,11 @@
     instant const end = now + span;
     while (now < end) {
         now += step;
-        deliver();
+        deliver_answers();
         for (auto& [name, each] : nodes_) {
             if (!each.dead && !each.paused) {
-                each.decider.on_tick(clock_of(each));
-                serve(each);
+                each.manager.on_tick(clock_of(each));
+                perform(each);
             }
         }
     }
@@ -105,13 +106,13 @@
 
 void cluster::drain(test_node& which) {
     which.leaving = true;
-    which.decider.start_drain(clock_of(which));
+    which.manager.start_drain(clock_of(which));
     set_live(live_);
 }
 
-std::string cluster::settle(resource_id const& resource) {
+std::string cluster::run_until_owned(resource_id const& resource) {
     for (int count = 0; count < 1'000; ++count) {
-        for (std::string const& each : acting(resource)) {
+        for (std::string const& each : nodes_with_authority(resource)) {
             if (!nodes_.at(each).paused) {
                 return each;
             }
@@ -122,11 +123,12 @@
     return {};
 }
 
-std::vector<std::string> cluster::acting(resource_id const& resource) {
+std::vector<std::string>
+cluster::nodes_with_authority(resource_id const& resource) {
     std::vector<std::string> result;
     for (auto const& [name, each] : nodes_) {
         if (!each.dead &&
-            each.decider.authority_for(resource, clock_of(each))) {
+            each.manager.authority_for(resource, clock_of(each))) {
             result.push_back(name);
         }
     }
@@ -141,35 +143,35 @@
         if (each.dead) {
             continue;
         }
-        evict += each.decider.evict_authority(resource, clock) ? 1 : 0;
-        grant += each.decider.grant_authority(resource, clock) ? 1 : 0;
+        evict += each.manager.evict_authority(resource, clock) ? 1 : 0;
+        grant += each.manager.grant_authority(resource, clock) ? 1 : 0;
     }
     if (evict > 0) {
         REQUIRE(grant <= 1);
     }
 }
 
-void cluster::serve(test_node& from) {
-    for (ownership_action const& action : from.decider.take_actions()) {
+void cluster::perform(test_node& from) {
+    for (ownership_action const& action : from.manager.take_actions()) {
         if (auto const* read = std::get_if<control_read>(&action)) {
-            serve(from, *read);
+            perform(from, *read);
         } else if (auto const* add = std::get_if<control_append>(&action)) {
-            serve(from, *add);
+            perform(from, *add);
         } else if (
             auto const* send = std::get_if<send_ownership_message>(&action)) {
-            serve(from, *send);
+            perform(from, *send);
         } else if (auto const* won = std::get_if<ownership_gained>(&action)) {
             from.gained.push_back(*won);
         } else if (auto const* lost = std::get_if<ownership_lost>(&action)) {
             from.lost.push_back(*lost);
         } else if (
             auto const* want = std::get_if<handover_requested>(&action)) {
-            from.wanted.push_back(*want);
-            if (stop_at_once) {
-                from.decider.handover_ready(
+            from.requested.push_back(*want);
+            if (services_stop_at_once) {
+                from.manager.handover_ready(
                     want->resource, "table of " + from.self.node.str(),
                     clock_of(from));
-                serve(from);
+                perform(from);
             }
         } else if (auto const* back = std::get_if<handover_aborted>(&action)) {
             from.aborted.push_back(*back);
@@ -177,27 +179,27 @@
     }
 }
 
-void cluster::serve(test_node& from, control_read const& read) {
+void cluster::perform(test_node& from, control_read const& read) {
     if (log.down || from.cut_from_log) {
-        from.decider.on_read_failed(clock_of(from));
+        from.manager.on_read_failed(clock_of(from));
         return;
     }
     instant const clock = clock_of(from);
-    if (slowness == 0) {
-        from.decider.on_batch(log.read(read.from, clock), clock);
+    if (max_answer_steps == 0) {
+        from.manager.on_batch(log.read(read.from, clock), clock);
         return;
     }
     answer next{from.self.node.str(), from.self.run, {}, {}};
-    next.steps = 1 + random() % slowness;
+    next.steps = 1 + random() % max_answer_steps;
     milliseconds const lag(
-        random() % static_cast<std::uint64_t>(behind.count() + 1));
-    next.batch = log.read_behind(read.from, clock, now - lag);
-    under_way_.push_back(std::move(next));
+        random() % static_cast<std::uint64_t>(max_copy_lag.count() + 1));
+    next.batch = log.read_lagging(read.from, clock, now - lag);
+    pending_answers_.push_back(std::move(next));
 }
 
-void cluster::deliver() {
+void cluster::deliver_answers() {
     std::vector<answer> waiting;
-    waiting.swap(under_way_);
+    waiting.swap(pending_answers_);
     for (answer& each : waiting) {
         auto const to = nodes_.find(each.to);
         bool const there = to != nodes_.end() && !to->second.dead &&
@@ -206,16 +208,16 @@
             continue;
         }
         if (to->second.paused || --each.steps > 0) {
-            under_way_.push_back(std::move(each));
+            pending_answers_.push_back(std::move(each));
             continue;
         }
-        to->second.decider.on_batch(each.batch, clock_of(to->second));
+        to->second.manager.on_batch(each.batch, clock_of(to->second));
     }
 }
 
-void cluster::serve(test_node& from, control_append const& append) {
+void cluster::perform(test_node& from, control_append const& append) {
     if (log.down || from.cut_from_log) {
-        from.decider.on_append_ended(
+        from.manager.on_append_ended(
             append.append, append_result::not_sent, {}, clock_of(from));
         return;
     }
@@ -224,19 +226,19 @@
     append_result const how =
         log.lose_answer ? append_result::lost : append_result::appended;
     log.lose_answer = false;
-    from.decider.on_append_ended(append.append, how, at, clock_of(from));
+    from.manager.on_append_ended(append.append, how, at, clock_of(from));
 }
 
-void cluster::serve(test_node& from, send_ownership_message const& send) {
+void cluster::perform(test_node& from, send_ownership_message const& send) {
     auto const to = nodes_.find(send.to.str());
-    bool const arrives = messages && to != nodes_.end() && !to->second.dead &&
-                         !to->second.paused;
+    bool const arrives = messages_arrive && to != nodes_.end() &&
+                         !to->second.dead && !to->second.paused;
     if (!arrives) {
         return;
     }
-    to->second.decider.on_message(
+    to->second.manager.on_message(
         from.self.node, send.message, clock_of(to->second));
-    serve(to->second);
+    perform(to->second);
 }
 
 } // namespace camphorpoint::ownership_test
--- a/test/ownership_fixture.hpp
+++ b/test/ownership_fixture.hpp
@@ -30,14 +30,14 @@
     log_batch read(log_offset from, instant started) const;
     /// @returns a batch as a copy of the log that is behind would give it
     log_batch
-    read_behind(log_offset from, instant started, instant known_until) const;
+    read_lagging(log_offset from, instant started, instant known_until) const;
     /// Drops all records.
     void expire();
 };
 
 /// One node: its owner, its clock, and what it was told.
 struct test_node {
-    ownership_manager decider;
+    ownership_manager manager;
     node_run self;
     bool paused = false;
     bool leaving = false;
@@ -48,7 +48,7 @@
     std::int64_t clock_rate_error = 0;
     std::vector<ownership_gained> gained = {};
     std::vector<ownership_lost> lost = {};
-    std::vector<handover_requested> wanted = {};
+    std::vector<handover_requested> requested = {};
     std::vector<handover_aborted> aborted = {};
 };
 
@@ -62,7 +62,7 @@
     test_node& node(std::string const& name);
     /// Leaves the old run of a node going, cut off from the log, and starts
     /// another under its name.
-    test_node& start_beside(std::string const& name, std::uint64_t run);
+    test_node& start_second_run(std::string const& name, std::uint64_t run);
     /// @returns the time on a node's own clock
     instant clock_of(test_node const& which) const;
     /// @returns all nodes, former runs included
@@ -75,9 +75,9 @@
     void run(duration span);
     /// Runs until the resource's owner may act.
     /// @returns the owner's name
-    std::string settle(resource_id const& resource);
+    std::string run_until_owned(resource_id const& resource);
     /// @returns the live, running nodes that may act for the resource now
-    std::vector<std::string> acting(resource_id const& resource);
+    std::vector<std::string> nodes_with_authority(resource_id const& resource);
 
     /// Fails the test when one may evict while another may grant.
     void check_evictions(resource_id const& resource);
@@ -86,13 +86,13 @@
     instant now{seconds(1'000)};
     std::uint64_t appends = 0;
     /// Whether services answer handover_requested at once.
-    bool stop_at_once = true;
+    bool services_stop_at_once = true;
     /// Whether messages between nodes arrive.
-    bool messages = true;
+    bool messages_arrive = true;
     /// For how many steps an answer of the log is under way at the most, and
     /// how far its copies are behind at the most.
-    std::size_t slowness = 0;
-    milliseconds behind{0};
+    std::size_t max_answer_steps = 0;
+    milliseconds max_copy_lag{0};
     std::mt19937_64 random{1};
 
 private:
@@ -104,17 +104,17 @@
         log_batch batch;
     };
 
-    void deliver();
-    void serve(test_node& from);
-    void serve(test_node& from, control_read const& read);
-    void serve(test_node& from, control_append const& append);
-    void serve(test_node& from, send_ownership_message const& send);
+    void deliver_answers();
+    void perform(test_node& from);
+    void perform(test_node& from, control_read const& read);
+    void perform(test_node& from, control_append const& append);
+    void perform(test_node& from, send_ownership_message const& send);
 
     std::vector<resource_id> resources_;
     ownership_settings settings_;
     std::map<std::string, test_node> nodes_;
     std::vector<std::string> live_;
-    std::vector<answer> under_way_;
+    std::vector<answer> pending_answers_;
 };
 
 } // namespace camphorpoint::ownership_test
--- a/test/ownership_fuzz_test.cpp
+++ b/test/ownership_fuzz_test.cpp
@@ -20,7 +20,8 @@
 }
 
 /// Lets something go wrong, or right again.
-void disturb(cluster& nodes, std::mt19937_64& random, std::uint64_t& run) {
+void inject_random_event(
+    cluster& nodes, std::mt19937_64& random, std::uint64_t& run) {
     std::vector<std::string> const names{"a", "b", "c"};
     std::string const& name = names[random() % names.size()];
     test_node& which = nodes.node(name);
@@ -38,18 +39,18 @@
         nodes.log.lose_answer = true;
         break;
     case 4:
-        nodes.messages = !nodes.messages;
+        nodes.messages_arrive = !nodes.messages_arrive;
         break;
     case 5:
-        nodes.stop_at_once = !nodes.stop_at_once;
+        nodes.services_stop_at_once = !nodes.services_stop_at_once;
         break;
     case 6:
         if (!which.paused) {
-            which.decider.start_drain(nodes.clock_of(which));
+            which.manager.start_drain(nodes.clock_of(which));
         }
         break;
     case 7: {
-        test_node& fresh = nodes.start_beside(name, ++run);
+        test_node& fresh = nodes.start_second_run(name, ++run);
         fresh.clock_ahead = milliseconds(random() % 1'000'000);
         break;
     }
@@ -72,7 +73,7 @@
         which.paused = false;
         which.cut_from_log = false;
         nodes.log.down = false;
-        nodes.messages = true;
+        nodes.messages_arrive = true;
         nodes.set_live(names);
     }
 }
@@ -92,8 +93,8 @@
         settings.grant_lease = seconds(20);
         settings.log_liveness_window = seconds(2);
         cluster nodes(two_resources(), settings);
-        nodes.slowness = 8;
-        nodes.behind = settings.read_lag;
+        nodes.max_answer_steps = 8;
+        nodes.max_copy_lag = settings.read_lag;
         nodes.random.seed(seed);
         std::uint64_t run = 1;
         for (std::string const each : {"a", "b", "c"}) {
@@ -106,11 +107,12 @@
         nodes.set_live({"a", "b", "c"});
         std::map<resource_id, std::string> last;
         for (int round = 0; round < rounds; ++round) {
-            disturb(nodes, random, run);
+            inject_random_event(nodes, random, run);
             for (std::uint64_t count = random() % 30; count > 0; --count) {
                 nodes.run(step);
                 for (resource_id const& each : two_resources()) {
-                    std::vector<std::string> const found = nodes.acting(each);
+                    std::vector<std::string> const found =
+                        nodes.nodes_with_authority(each);
                     REQUIRE_MESSAGE(found.size() <= 1, "seed ", seed);
                     acted += found.size();
                     if (!found.empty() && last[each] != found.front()) {
--- a/test/ownership_handover_test.cpp
+++ b/test/ownership_handover_test.cpp
@@ -36,48 +36,50 @@
     nodes.start("a");
     nodes.start("b");
     nodes.set_live({"a", "b"});
-    std::string const holder = nodes.settle(replica);
-    std::string const heir = holder == "a" ? "b" : "a";
+    std::string const holder = nodes.run_until_owned(replica);
+    std::string const successor = holder == "a" ? "b" : "a";
     test_node& old = nodes.node(holder);
-    test_node& next = nodes.node(heir);
+    test_node& next = nodes.node(successor);
     nodes.run(seconds(20));
     instant const begun = nodes.now;
 
     SUBCASE("the successor has the table and acts within a second or two") {
         nodes.drain(old);
         nodes.run(seconds(2));
-        CHECK(nodes.acting(replica) == std::vector<std::string>{heir});
+        CHECK(
+            nodes.nodes_with_authority(replica) ==
+            std::vector<std::string>{successor});
         CHECK(next.gained.front().planned);
         CHECK(next.gained.front().table == "table of " + holder);
-        CHECK(next.decider.evict_authority(replica, nodes.now));
-        CHECK(old.decider.drained());
+        CHECK(next.manager.evict_authority(replica, nodes.now));
+        CHECK(old.manager.drained());
         CHECK(nodes.appends == 2);
     }
 
     SUBCASE("no two act on the way, and a stopping holder does not") {
-        nodes.stop_at_once = false;
+        nodes.services_stop_at_once = false;
         nodes.drain(old);
-        CHECK_FALSE(old.decider.grant_authority(replica, nodes.now));
+        CHECK_FALSE(old.manager.grant_authority(replica, nodes.now));
         nodes.run(seconds(5));
-        CHECK(nodes.acting(replica).empty());
-        old.decider.handover_ready(replica, "late table", nodes.now);
-        CHECK(nodes.settle(replica) == heir);
+        CHECK(nodes.nodes_with_authority(replica).empty());
+        old.manager.handover_ready(replica, "late table", nodes.now);
+        CHECK(nodes.run_until_owned(replica) == successor);
         CHECK(next.gained.front().table == "late table");
     }
 
     SUBCASE("a service that does not stop costs the successor the wait") {
-        nodes.stop_at_once = false;
+        nodes.services_stop_at_once = false;
         nodes.drain(old);
-        CHECK(nodes.settle(replica) == heir);
+        CHECK(nodes.run_until_owned(replica) == successor);
         ownership_settings const settings;
         CHECK(nodes.now - begun >= settings.stop_limit + settings.claim_wait());
         CHECK_FALSE(next.gained.front().planned);
     }
 
     SUBCASE("a successor that does not answer is not named") {
-        nodes.messages = false;
+        nodes.messages_arrive = false;
         nodes.drain(old);
-        CHECK(nodes.settle(replica) == heir);
+        CHECK(nodes.run_until_owned(replica) == successor);
         CHECK(nodes.now - begun < seconds(6));
         CHECK(next.gained.front().planned);
         CHECK(next.gained.front().table.empty());
@@ -86,15 +88,17 @@
     SUBCASE("it leaves the list before its heir has read its release") {
         next.cut_from_log = true;
         nodes.drain(old);
-        for (int count = 0; !old.decider.drained() && count < 1'000; ++count) {
+        for (int count = 0; !old.manager.drained() && count < 1'000; ++count) {
             nodes.run(std::chrono::milliseconds(100));
         }
-        REQUIRE(old.decider.drained());
+        REQUIRE(old.manager.drained());
         old.dead = true;
         next.cut_from_log = false;
-        nodes.set_live({heir});
+        nodes.set_live({successor});
         nodes.run(seconds(3));
-        CHECK(nodes.acting(replica) == std::vector<std::string>{heir});
+        CHECK(
+            nodes.nodes_with_authority(replica) ==
+            std::vector<std::string>{successor});
         CHECK(nodes.appends == 2);
     }
 
@@ -102,21 +106,23 @@
         nodes.log.lose_answer = true;
         nodes.drain(old);
         nodes.run(seconds(2));
-        CHECK(nodes.acting(replica) == std::vector<std::string>{heir});
-        CHECK(old.decider.drained());
+        CHECK(
+            nodes.nodes_with_authority(replica) ==
+            std::vector<std::string>{successor});
+        CHECK(old.manager.drained());
     }
 
     SUBCASE("the log is down: the node goes, and its heir waits later") {
         nodes.log.down = true;
         nodes.drain(old);
         nodes.run(seconds(20));
-        CHECK_FALSE(old.decider.drained());
-        CHECK(nodes.acting(replica).empty());
+        CHECK_FALSE(old.manager.drained());
+        CHECK(nodes.nodes_with_authority(replica).empty());
         old.dead = true;
-        nodes.set_live({heir});
+        nodes.set_live({successor});
         nodes.log.down = false;
         instant const back = nodes.now;
-        CHECK(nodes.settle(replica) == heir);
+        CHECK(nodes.run_until_owned(replica) == successor);
         CHECK(nodes.now - back >= ownership_settings().claim_wait());
     }
 }
@@ -157,14 +163,14 @@
     batch.read_started = instant(seconds(10));
     batch.head = log_offset{2};
     batch.records = {{log_offset{0}, {}, ""}, {log_offset{1}, {}, ""}};
-    REQUIRE(follower.judge(batch) == log_follower::verdict::usable);
-    follower.applied(log_offset{1});
-    CHECK(follower.finished(batch));
+    REQUIRE(follower.classify(batch) == log_follower::verdict::usable);
+    follower.on_record_applied(log_offset{1});
+    CHECK(follower.on_batch_applied(batch));
     batch.head = log_offset{1};
     batch.records.pop_back();
     batch.read_started = instant(seconds(20));
-    CHECK(follower.judge(batch) == log_follower::verdict::stale);
-    CHECK(follower.fresh_at() == instant(seconds(10)));
+    CHECK(follower.classify(batch) == log_follower::verdict::stale);
+    CHECK(follower.fresh_as_of() == instant(seconds(10)));
 }
 
 // A record that another version wrote, or that was cut, must not be taken by
@@ -175,9 +181,9 @@
     record.append = 42;
     record.claims.push_back({replica});
     record.renewals.push_back({key_shard_resource(3), log_offset{5}});
-    node_run const heir{node_id("b"), 9};
+    node_run const successor{node_id("b"), 9};
     record.releases.push_back(
-        {store_resource("weights"), log_offset{6}, true, heir});
+        {store_resource("weights"), log_offset{6}, true, successor});
     std::string const text = encode_control_record(record);
     CHECK(decode_control_record(text) == record);
     CHECK(text.find('\n') == std::string::npos);
@@ -203,7 +209,7 @@
     nodes.run(seconds(60));
     std::size_t held = 0;
     for (std::string const& each : names) {
-        held += nodes.node(each).decider.held_count();
+        held += nodes.node(each).manager.held_count();
     }
     CHECK(held == key_shard_count);
     // The first claims: about one record for each node.
@@ -212,25 +218,26 @@
     SUBCASE("in calm: four renewals a node in the time that the log keeps") {
         std::uint64_t const before = nodes.appends;
         nodes.run(std::chrono::hours(1));
-        std::uint64_t const an_hour = nodes.appends - before;
-        CHECK(an_hour >= 4 * names.size());
-        CHECK(an_hour <= 6 * names.size());
-        MESSAGE("appends an hour at 9 nodes: ", an_hour);
+        std::uint64_t const appends_per_hour = nodes.appends - before;
+        CHECK(appends_per_hour >= 4 * names.size());
+        CHECK(appends_per_hour <= 6 * names.size());
+        MESSAGE("appends an hour at 9 nodes: ", appends_per_hour);
         MESSAGE(
-            "hence a second at 1,900: ", double(an_hour) / 9 * 1'900 / 3'600);
+            "hence a second at 1,900: ",
+            double(appends_per_hour) / 9 * 1'900 / 3'600);
     }
 
     SUBCASE("at a death: one or two from each heir") {
         std::uint64_t const before = nodes.appends;
         nodes.node("node-4").dead = true;
-        std::vector<std::string> rest = names;
-        rest.erase(rest.begin() + 4);
-        nodes.set_live(rest);
+        std::vector<std::string> survivors = names;
+        survivors.erase(survivors.begin() + 4);
+        nodes.set_live(survivors);
         nodes.run(seconds(20));
-        CHECK(nodes.appends - before <= 2 * rest.size());
+        CHECK(nodes.appends - before <= 2 * survivors.size());
         held = 0;
-        for (std::string const& each : rest) {
-            held += nodes.node(each).decider.held_count();
+        for (std::string const& each : survivors) {
+            held += nodes.node(each).manager.held_count();
         }
         CHECK(held == key_shard_count);
 
@@ -238,10 +245,10 @@
             nodes.start("node-4", 2);
             nodes.set_live(names);
             nodes.run(seconds(20));
-            CHECK(nodes.node("node-4").decider.held_count() == 0);
+            CHECK(nodes.node("node-4").manager.held_count() == 0);
             std::uint64_t const then = nodes.appends;
             nodes.run(std::chrono::minutes(10));
-            CHECK(nodes.node("node-4").decider.held_count() > 10);
+            CHECK(nodes.node("node-4").manager.held_count() > 10);
             CHECK(nodes.appends - then <= 100);
         }
     }
