--- a/src/Ownership/control_record.cpp
+++ b/src/Ownership/control_record.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t format_version = 1;
 
-/// Calls the archive with one named value.
+/// Serializes one value under its JSON key.
 template <class Archive, class Value>
 void named(Archive& archive, char const* name, Value& value) {
     archive(cereal::make_nvp(name, value));
@@ -24,7 +24,7 @@
     auto kind = static_cast<std::uint32_t>(resource.kind);
     named(archive, "kind", kind);
     if (kind > static_cast<std::uint32_t>(resource_kind::key_shard)) {
-        throw cereal::Exception("no such kind of resource");
+        throw cereal::Exception("unknown kind of resource");
     }
     resource.kind = static_cast<resource_kind>(kind);
     named(archive, "name", resource.name);
@@ -39,7 +39,8 @@
 
 } // namespace
 
-// The functions below are found by cereal through the types' namespace.
+// cereal finds the functions below by argument-dependent lookup, so they must
+// be in the namespace of the types.
 template <class Archive>
 void serialize(Archive& archive, claim& record) {
     named_resource(archive, record.resource);
@@ -70,7 +71,7 @@
     std::uint32_t version = format_version;
     named(archive, "version", version);
     if (version != format_version) {
-        throw cereal::Exception("another version of the record");
+        throw cereal::Exception("unsupported version of the control record");
     }
     named_node(archive, "node", record.writer.node);
     named(archive, "run", record.writer.run);
@@ -89,7 +90,8 @@
         archive(cereal::make_nvp("control", copy));
     }
     std::string text = stream.str();
-    // Line breaks only lay the text out: within strings JSON escapes them.
+    // cereal writes line breaks only between JSON tokens; line breaks within
+    // strings are escaped, so removing them keeps the text equivalent.
     std::erase(text, '\n');
     return text;
 }
@@ -103,8 +105,9 @@
     } catch (std::exception const&) {
         return std::nullopt;
     }
-    // cereal skips members that it does not know and reads past the end of the
-    // object; a record that another version wrote must not be taken half.
+    // cereal ignores unknown JSON members and trailing text. A record written
+    // by another version must not be applied in part, so only text that encodes
+    // to the same bytes again is accepted.
     if (encode_control_record(result) != text) {
         return std::nullopt;
     }
--- a/src/Ownership/control_record.hpp
+++ b/src/Ownership/control_record.hpp
@@ -11,10 +11,11 @@
 
 namespace camphorpoint {
 
-/// One run of a node: a restarted node is not its former self.
+/// Identifies one run of a node's process. After a restart a node has another
+/// run number and does not inherit what its former run owned.
 struct node_run {
     node_id node;
-    /// When the process started, in milliseconds of the calendar clock.
+    /// Start time of the process, in milliseconds of the calendar clock.
     std::uint64_t run = 0;
 
     friend auto operator<=>(node_run const&, node_run const&) = default;
@@ -24,40 +25,44 @@
     }
 };
 
-/// The writer takes the resource. The record's offset is the fencing number.
+/// The writer claims the resource. The log offset of the record is the fencing
+/// number of the claim.
 struct claim {
     resource_id resource;
     friend bool operator==(claim const&, claim const&) = default;
 };
 
-/// The writer says again that it holds the resource, before the log drops the
-/// claim. The fencing number stays that of the claim.
+/// The writer confirms that it still holds the resource, before the log's
+/// retention drops the record of the claim. The fencing number stays that of
+/// the claim.
 struct renewal {
     resource_id resource;
     log_offset fencing;
     friend bool operator==(renewal const&, renewal const&) = default;
 };
 
-/// The writer gives the resource up.
+/// The writer releases the resource.
 struct release {
     resource_id resource;
-    /// The claim that ends; the release is void when it is not the last one.
+    /// Fencing number of the claim that ends. The release is void when this is
+    /// not the latest claim of the resource.
     log_offset fencing;
-    /// True when the writer had full authority, stopped, and saw its last
-    /// order end before it appended: the next owner need not wait.
+    /// True when the writer had full authority, stopped using it, and saw its
+    /// last command complete before it appended the release. The next owner
+    /// then need not wait for a lease to expire.
     bool stopped = false;
-    /// Owns the resource from this record on; its fencing number is the
-    /// record's offset.
+    /// If set, the node run that owns the resource from this record on; its
+    /// fencing number is the offset of this record.
     std::optional<node_run> successor;
     friend bool operator==(release const&, release const&) = default;
 };
 
-/// One record of the control stream. It names many resources, since a node's
-/// death moves all of that node's resources at once.
+/// One record of the control stream. A record can name many resources, because
+/// the failure of one node moves all of its resources at once.
 struct control_record {
     node_run writer;
-    /// The writer's own number for the append, by which it finds the record
-    /// when the append's answer was lost.
+    /// Number that the writer gave the append. The writer uses it to recognize
+    /// its record when the answer to the append was lost.
     std::uint64_t append = 0;
     std::vector<claim> claims;
     std::vector<renewal> renewals;
@@ -66,12 +71,14 @@
     operator==(control_record const&, control_record const&) = default;
 };
 
+/// Encodes a record for the control stream.
 /// @returns the record as one line of JSON text
 std::string encode_control_record(control_record const& record);
-/// Reads a record strictly: what would not be written back as the same text is
-/// refused.
-/// @param text the log record's data
-/// @returns the record, or nothing when the text is not exactly one
+/// Decodes a record strictly: text that would not be encoded to the same bytes
+/// again is rejected.
+/// @param text data of the log record
+/// @returns the record, or nothing when the text is not exactly one valid
+/// record
 std::optional<control_record> decode_control_record(std::string const& text);
 
 } // namespace camphorpoint
--- a/src/Ownership/handover_messages.hpp
+++ b/src/Ownership/handover_messages.hpp
@@ -11,16 +11,19 @@
 
 namespace camphorpoint {
 
-/// Holder to successor: I have stopped; here is what I know.
+/// Sent by the holder of a resource to the chosen successor: the holder has
+/// stopped using the resource and passes on its state.
 struct handover_offer {
     resource_id resource;
-    /// The holder's claim.
+    /// Fencing number of the holder's claim.
     log_offset fencing;
-    /// The run of the successor that is meant.
+    /// Run of the successor process that the offer is meant for. Another run of
+    /// the same node ignores the offer.
     std::uint64_t successor_run = 0;
-    /// How long the holder itself would still evict nothing.
+    /// Remaining time during which the holder would not have evicted adapters.
     std::chrono::milliseconds evict_wait_left{};
-    /// The holder's table, in the owning service's own encoding.
+    /// State of the holder, in an encoding that the service behind the resource
+    /// defines.
     std::string table;
 
     template <class Archive>
@@ -31,7 +34,8 @@
     }
 };
 
-/// Successor to holder: I have the table and will take over.
+/// Answer of the successor: it has stored the state and is ready to own the
+/// resource.
 struct handover_accepted {
     resource_id resource;
     log_offset fencing;
@@ -42,13 +46,14 @@
     }
 };
 
-/// Former holder to its successor: I have read your claim and stopped.
+/// Sent by a former holder to the new owner: the former holder has read the new
+/// owner's claim and has stopped using the resource.
 struct holder_stopped {
     resource_id resource;
-    /// The claim under which the former holder held.
+    /// Fencing number of the former holder's claim.
     log_offset fencing;
-    /// How long the former holder itself would still evict nothing, because of
-    /// those who held before it.
+    /// Remaining time during which the former holder would not have evicted
+    /// adapters, because of the holders before it.
     std::chrono::milliseconds evict_wait_left{};
 
     template <class Archive>
@@ -59,7 +64,7 @@
     }
 };
 
-/// What nodes say to each other about ownership.
+/// Messages that nodes exchange about ownership.
 using ownership_message =
     std::variant<handover_offer, handover_accepted, holder_stopped>;
 
--- a/src/Ownership/log_follower.cpp
+++ b/src/Ownership/log_follower.cpp
@@ -6,9 +6,10 @@
 
 log_follower::verdict
 log_follower::classify(log_batch const& batch) const noexcept {
-    // A head behind what was applied comes from a copy of the log that lags,
-    // or from an answer that was overtaken. Counting it as fresh would let a
-    // holder live on an old view of the log.
+    // A head before the position already applied comes from a lagging replica
+    // of the log or from an answer that arrived out of order. Counting such an
+    // answer as fresh would extend a holder's lease on the basis of an outdated
+    // view of the log.
     if (batch.from > next_ || batch.head < next_) {
         return verdict::stale;
     }
@@ -30,8 +31,8 @@
         next_read_ = batch.read_started;
         return false;
     }
-    // The start counts, not the answer's arrival: a claim may have been
-    // appended any time after the log looked.
+    // The start of the read counts, not the arrival of its answer: another node
+    // may have appended a claim at any time after the log served the read.
     fresh_as_of_ =
         std::max(fresh_as_of_.value_or(instant{}), batch.read_started);
     next_read_ = batch.read_started + poll_;
--- a/src/Ownership/log_follower.hpp
+++ b/src/Ownership/log_follower.hpp
@@ -8,41 +8,47 @@
 
 namespace camphorpoint {
 
-/// Follows one stream: where to read next, when to read, and how fresh the
-/// knowledge is that no newer record exists.
+/// Tracks the reading of one log stream: the next offset to read, the time of
+/// the next read, and the latest time at which the stream is known to have had
+/// no newer record.
 class log_follower {
 public:
-    /// What a batch means for the follower.
+    /// How a batch relates to what has been applied.
     enum class verdict {
-        /// Late or from a copy of the log that is behind: nothing new.
+        /// The answer arrived late or comes from a lagging copy of the log;
+        /// it contains nothing new.
         stale,
-        /// Apply the records from next() on.
+        /// The records from next() on can be applied.
         usable,
-        /// Records expired before they were read: forget and begin anew.
+        /// Records expired before they were read. The replayed state must be
+        /// discarded and the replay restarted at the oldest record.
         trimmed
     };
 
-    /// @param poll how often to read
+    /// @param poll interval between reads
     explicit log_follower(duration poll)
         : poll_(poll) {}
 
-    /// @returns what to make of the batch; changes nothing
+    /// Classifies a batch without changing any state.
     verdict classify(log_batch const& batch) const noexcept;
-    /// Begins anew at the oldest record.
+    /// Restarts at the oldest record of the log.
     void restart(log_offset first) noexcept;
-    /// Takes note of an applied record.
+    /// Records that the record at the offset has been applied.
     void on_record_applied(log_offset offset) noexcept;
-    /// Takes note that a batch was applied whole.
-    /// @returns true when the batch reached the head
+    /// Records that all records of a batch have been applied.
+    /// @returns true when the batch reached the head of the log
     bool on_batch_applied(log_batch const& batch) noexcept;
-    /// A read ended without an answer.
+    /// Records that a read failed or had no usable answer; the next read starts
+    /// one poll interval later.
     void on_read_failed(instant now) noexcept;
-    /// @returns true when a read should begin now; it then counts as begun
+    /// Starts a read if one is due and none is in progress.
+    /// @returns true when the read starts now
     bool begin_read(instant now) noexcept;
 
-    /// @returns the first offset not applied yet
+    /// @returns the first offset that has not been applied yet
     log_offset next() const noexcept { return next_; }
-    /// @returns the start of the last read that reached the head
+    /// @returns the start time of the latest read that reached the head of the
+    /// log; empty when there was none since the last restart
     std::optional<instant> fresh_as_of() const noexcept { return fresh_as_of_; }
 
 private:
--- a/src/Ownership/node_ranking.cpp
+++ b/src/Ownership/node_ranking.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// One node's claim to a resource; the greatest goes first.
+/// Rendezvous score of one node for a resource; the node with the greatest
+/// score ranks first, ties are broken by the smaller id.
 struct score {
     std::uint64_t value = 0;
     node_id const* id = nullptr;
--- a/src/Ownership/outgoing_handovers.cpp
+++ b/src/Ownership/outgoing_handovers.cpp
@@ -73,8 +73,9 @@
             continue;
         }
         if (move.draining) {
-            // A successor that did not take the table must not own: it would
-            // be told of a resource that it may be unable to serve.
+            // A successor that did not accept the state must not be named as
+            // owner: it would become the owner of a resource that it may be
+            // unable to serve.
             move.phase = handover_phase::releasing;
         } else {
             back.push_back(resource);
@@ -99,8 +100,9 @@
         if (move.accepted) {
             next.successor = move.successor;
         }
-        // Without a successor nobody learns how long evictions must still
-        // wait, so only a holder that need not wait itself spares the next.
+        // Without a successor, no node learns how much longer evictions must
+        // wait. Therefore the release only spares the next owner its wait if
+        // this holder itself was already free to evict.
         next.stopped = move.stopped && (move.accepted || move.may_evict);
         result.push_back(std::move(next));
     }
--- a/src/Ownership/outgoing_handovers.hpp
+++ b/src/Ownership/outgoing_handovers.hpp
@@ -14,77 +14,88 @@
 
 namespace camphorpoint {
 
-/// How far a planned move has come.
+/// Progress of a planned handover.
 enum class handover_phase : std::uint8_t {
-    /// The service is asked to stop.
+    /// The service behind the resource has been asked to stop using it.
     stopping,
-    /// It has stopped; the successor is asked to accept the table.
+    /// The service has stopped; the successor has been asked to accept the
+    /// state.
     offered,
-    /// The release is to be appended.
+    /// The release must be appended to the control stream.
     releasing,
-    /// The release's append is under way, or its answer was lost.
+    /// The append of the release is in progress, or its answer was lost.
     appending
 };
 
-/// One planned move of a resource to another node.
+/// One planned handover of a resource to another node.
 struct outgoing_handover {
     resource_id resource;
     log_offset fencing;
     node_run successor;
-    /// Successors that were offered the table and did not take it.
+    /// Successors that were offered the state and did not accept it.
     std::set<node_id> tried_successors;
     handover_phase phase = handover_phase::stopping;
-    /// When the phase is given up.
+    /// When the current phase times out.
     instant deadline;
-    /// True at a planned stop: there is no way back to holding.
+    /// True during a planned stop of the node: the handover cannot be
+    /// cancelled, so at a timeout the resource is released.
     bool draining = false;
-    /// True once the service has stopped.
+    /// True once the service has stopped using the resource.
     bool stopped = false;
-    /// True once the successor has accepted.
+    /// True once the successor has accepted the state.
     bool accepted = false;
-    /// True when the holder itself was free to evict.
+    /// True when the holder was free to evict adapters as the handover began.
     bool may_evict = false;
-    /// A release that failed is not appended again before.
+    /// Earliest time to append the release again after a failed append.
     instant retry_at{};
 };
 
-/// The planned moves under way. Each phase has a limit: past it, a rebalance
-/// goes back to holding, and a planned stop releases without a successor.
+/// The planned handovers in progress. Each phase has a timeout. When it
+/// expires, a handover that serves rebalancing is cancelled and the node keeps
+/// the resource; a handover of a planned stop continues with a release without
+/// a successor.
 class outgoing_handovers {
 public:
     explicit outgoing_handovers(ownership_settings const& settings)
         : settings_(settings) {}
 
-    /// Begins a move.
+    /// Begins a handover.
     void begin(outgoing_handover move, instant now);
-    /// The service has stopped.
-    /// @returns the move, when an offer should be sent
+    /// Records that the service has stopped using the resource.
+    /// @returns the handover if its state should be offered to the successor,
+    /// otherwise null
     outgoing_handover const*
     on_stopped(resource_id const& resource, instant now);
-    /// The successor has accepted.
+    /// Records that a node accepted the state. The answer is ignored unless it
+    /// comes from the current successor and names the current claim.
+    /// @param fencing fencing number of the claim that the answer names
     void on_accepted(
         resource_id const& resource, node_id const& from, log_offset fencing);
-    /// @returns the moves whose successor has not accepted yet
+    /// @returns the handovers whose successor has not accepted yet
     std::vector<outgoing_handover> offered() const;
-    /// Begins an offered move anew, to another successor.
+    /// Restarts an offered handover with another successor.
     void redirect(
         resource_id const& resource, node_run const& successor, instant now);
-    /// The holder was never in effect: release at once, without a successor.
+    /// Releases the resource at once and without a successor, because this
+    /// node's claim never took effect.
     void release_without_successor(resource_id const& resource);
-    /// Drops all moves, as when the table began anew.
+    /// Drops all handovers, as when the ownership table is restarted.
     void clear() { moves_.clear(); }
-    /// Lets limits take effect.
-    /// @returns the moves that are given up and go back to holding
+    /// Applies the timeouts of the phases.
+    /// @returns the resources whose handover is cancelled and which the node
+    /// keeps
     std::vector<resource_id> expire(instant now);
-    /// @returns the releases to append; they count as under way
+    /// Marks all handovers that are ready to be released as being appended.
+    /// @returns the releases to append
     std::vector<release> start_releases(instant now);
-    /// An append came to nothing: the release is to be appended again.
+    /// Records that the append of a release failed and must be repeated.
+    /// @param retry_at earliest time of the next append
     void append_failed(resource_id const& resource, instant retry_at);
-    /// The resource is no longer ours.
+    /// Ends the handover, because this node no longer owns the resource.
     void finish(resource_id const& resource);
-    /// @returns true when the resource is being moved
+    /// @returns true when a handover of the resource is in progress
     bool is_moving(resource_id const& resource) const;
-    /// @returns how many moves are under way
+    /// @returns the number of handovers in progress
     std::size_t size() const noexcept { return moves_.size(); }
 
 private:
--- a/src/Ownership/ownership_action.hpp
+++ b/src/Ownership/ownership_action.hpp
@@ -14,65 +14,70 @@
 
 namespace camphorpoint {
 
-/// Read the control stream.
+/// Requests a read of the control stream.
 struct control_read {
     log_offset from;
 };
 
-/// Append to the control stream; answer with owner::on_append_ended.
+/// Requests an append to the control stream. The result is reported with
+/// ownership_manager::on_append_ended.
 struct control_append {
     std::uint64_t append = 0;
     std::string data;
 };
 
-/// Send a message to a peer; it goes to the peer's owner::on_message.
+/// Requests that a message be sent to a peer, which passes it to
+/// ownership_manager::on_message.
 struct send_ownership_message {
     node_id to;
     ownership_message message;
 };
 
-/// This node now decides for the resource. What runs on it is unknown, but for
-/// what the table says.
+/// This node now owns the resource. Which requests and adapters are active on
+/// the resource is unknown, except for what the table contains.
 struct ownership_gained {
     resource_id resource;
     log_offset fencing;
-    /// When the takeover took effect: idempotency keys first sent before it
-    /// may have run under the former owner.
+    /// When ownership took effect. Idempotency keys that were first sent before
+    /// this time may have been executed under the former owner.
     instant since;
-    /// Nothing may be evicted before.
+    /// Earliest time at which the node may evict adapters.
     instant evict_from;
-    /// True when the former holder stopped before this node began.
+    /// True when the former holder stopped before this node's ownership began.
     bool planned = false;
-    /// True when nobody ever owned the resource, so that nothing can run.
+    /// True when the resource never had an owner, so that no request can be
+    /// active on it.
     bool first = false;
-    /// The former holder's table; empty when none was handed over.
+    /// State of the former holder; empty when none was handed over.
     std::string table;
-    /// The claim that was in force before; absent when the log shows none.
+    /// Fencing number of the previous claim; absent when the log shows none.
     std::optional<log_offset> previous;
 };
 
-/// This node no longer decides for the resource: drop its queue and table. The
-/// asks in it did not run and may be refused with owner_unreachable.
+/// This node no longer owns the resource. The service must discard the queue
+/// and state of the resource. Requests in the queue were not executed and may
+/// be rejected with owner_unreachable.
 struct ownership_lost {
     resource_id resource;
     log_offset fencing;
-    /// Who owns now; empty when nobody does.
+    /// The present owner; empty when there is none.
     node_id new_owner;
 };
 
-/// Stop granting and ordering for the resource; once the last order has ended,
-/// answer with owner::handover_ready and the table.
+/// Requests that the service stop granting slots and sending commands for the
+/// resource. Once the last command has completed, the service answers with
+/// ownership_manager::handover_ready and its state.
 struct handover_requested {
     resource_id resource;
     node_id successor;
 };
 
-/// The planned move came to nothing; go on granting.
+/// The planned handover was cancelled; the service continues to grant slots.
 struct handover_aborted {
     resource_id resource;
 };
 
-/// All that ownership can ask for or tell.
+/// Actions and notifications of the ownership manager.
 using ownership_action = std::variant<
     control_read, control_append, send_ownership_message, ownership_gained,
     ownership_lost, handover_requested, handover_aborted, log_event>;
--- a/src/Ownership/ownership_manager.cpp
+++ b/src/Ownership/ownership_manager.cpp
@@ -14,7 +14,8 @@
     , self_(std::move(self))
     , random_(random)
     , follower_(settings.poll)
-    // Half of the numbers lie above any start, so that the count cannot wrap.
+    // The first number is at most half of the range, so the counter cannot wrap
+    // around.
     , appends_(random_() / 2)
     , handovers_(settings) {}
 
@@ -49,9 +50,10 @@
     }
 }
 
-// Guards against a node that ends between its acceptance of a table and the
-// reading of the release that names it: the resource would belong to a dead
-// node, and its table be lost. Past the limits the giver has given up.
+// Prevents a node from shutting down after it has accepted the state of a
+// resource but before it has read the release that names it as owner. The
+// resource would then belong to a stopped node, and its state would be lost.
+// After the sum of these limits the sender has abandoned the handover.
 void ownership_manager::update_awaits_transfer(instant now) {
     duration const longest = duration(settings_.accept_limit) +
                              settings_.append_limit + settings_.read_lag +
@@ -71,11 +73,12 @@
     return std::exchange(actions_, {});
 }
 
-// Guards against a holder that was paused, or cut off from the log, past its
-// lease: it would go on ordering beside its successor. The span counts from
-// the start of a read that showed no newer claim, and the successor's wait
-// from after its claim's append, so the two never meet. Whoever sends checks
-// not_after once more, since the process may be paused right here.
+// Prevents a holder that was paused or cut off from the log past its lease from
+// sending commands at the same time as its successor. The span counts from the
+// start of a read that showed no newer claim, and the wait of the successor
+// starts only after its claim was appended, so the two periods cannot overlap.
+// The sender of a command must check not_after again, because the process may
+// be paused right after this function returns.
 std::optional<authority> ownership_manager::authority_within(
     resource_id const& resource, duration span, instant now) const {
     auto const found = holdings_.find(resource);
--- a/src/Ownership/ownership_manager.hpp
+++ b/src/Ownership/ownership_manager.hpp
@@ -25,112 +25,132 @@
 
 namespace camphorpoint {
 
-/// Leave to act for a resource.
+/// Permission to act for a resource.
 struct authority {
-    /// Goes with each order and grant.
+    /// Fencing number to send with each command and grant.
     log_offset fencing;
-    /// The act must have left the node by then.
+    /// Time by which the command or grant must have left the node.
     instant not_after;
 };
 
 /// A node that may own resources.
 struct owner_candidate {
     node_id id;
-    /// The run that was last heard of; 0 when only the platform's list names
-    /// the node.
+    /// The latest known run of the node; 0 when the node is known only from the
+    /// platform's instance list.
     std::uint64_t run = 0;
-    /// True while it stops: it still holds, but gets nothing new.
+    /// True while the node stops: it keeps its resources until they are handed
+    /// over, but gets no new ones.
     bool leaving = false;
     friend bool
     operator==(owner_candidate const&, owner_candidate const&) = default;
 };
 
-/// Who owns a resource, as this node last read it.
+/// The owner of a resource according to the latest record that this node read.
 struct owner_info {
     node_run owner;
     log_offset fencing;
 };
 
-/// Ownership of replicas, weight stores and key shards. Decides only: events
-/// and the time go in, actions come out.
+/// Manages the ownership of replicas, weight stores and key shards for one
+/// node. The class does no input or output: events and the time are passed in,
+/// and it returns the actions to perform.
 ///
-/// Who should own is rendezvous hashing over the live nodes; who does own is
-/// the last claim in the control stream. A holder's authority runs for the
-/// lease from the start of its last read that reached the log's head, as in
-/// C. Gray, D. Cheriton, "Leases", SOSP 1989; a claimer waits until the old
-/// holder's has ended. Fencing numbers as in M. Burrows, "The Chubby lock
-/// service", OSDI 2006 (sequencers).
+/// Rendezvous hashing over the live nodes determines which node should own a
+/// resource; the latest claim in the control stream determines which node does
+/// own it. The authority of a holder lasts for one lease from the start of its
+/// last read that reached the head of the log, as in C. Gray, D. Cheriton,
+/// "Leases", SOSP 1989. A node that claims a resource waits until the authority
+/// of the previous holder has ended. For the fencing numbers see the sequencers
+/// in M. Burrows, "The Chubby lock service", OSDI 2006.
 class ownership_manager {
 public:
-    /// @param settings the same on all nodes
-    /// @param self     this node and this run of it
-    /// @param random   seeded; numbers appends and spreads renewals
+    /// @param settings must be the same on all nodes
+    /// @param self this node and its present run
+    /// @param random seeded generator; used to number appends and to spread
+    ///        renewals over time
     ownership_manager(
         ownership_settings settings, node_run self, std::mt19937_64 random);
 
-    /// Tells who may own and what there is to own; call it when membership
-    /// changed, not every tick.
+    /// Sets the nodes that may own resources and the resources to own. Call it
+    /// when the membership or the resources have changed, not in every tick.
     void set_candidates(
         std::vector<owner_candidate> const& live,
         std::vector<resource_id> const& resources, instant now);
-    /// An answer to control_read.
+    /// Handles the answer to a control_read.
     void on_batch(log_batch const& batch, instant now);
-    /// A read failed or was too late.
+    /// Handles a control_read that failed or timed out.
     void on_read_failed(instant now);
-    /// An answer to control_append.
+    /// Handles the end of a control_append.
+    /// @param append number of the append
+    /// @param how whether the record was appended, was never sent, or may have
+    ///        been appended although no answer arrived
     void on_append_ended(
         std::uint64_t append, append_result how, log_offset offset,
         instant now);
-    /// A peer's message about ownership.
+    /// Handles a message of a peer about ownership.
     void on_message(
         node_id const& from, ownership_message const& message, instant now);
-    /// The service behind the resource has stopped: nothing is ordered or
-    /// granted any more, and the last order has ended.
-    /// @param table what the successor should know
+    /// Reports that the service behind the resource has stopped: it no longer
+    /// sends commands or grants for the resource, and its last command has
+    /// completed.
+    /// @param table state to pass on to the successor
     void
     handover_ready(resource_id const& resource, std::string table, instant now);
-    /// Begins a planned stop: everything is handed over, nothing is claimed.
+    /// Begins a planned stop of this node: all resources are handed over, and
+    /// none is claimed.
     void start_drain(instant now);
-    /// Time has passed.
+    /// Advances all timers; call it periodically.
     void on_tick(instant now);
-    /// @returns what is to be done, in order; the list is empty afterwards
+    /// Removes and returns the pending actions.
+    /// @returns the actions, in the order in which they must be performed
     std::vector<ownership_action> take_actions();
 
-    /// The gate for acts that need the lease: orders to engines that ignore
-    /// fencing numbers, a store's loads, leave to run a key. Ask right before
-    /// each act, never earlier.
-    /// @returns leave, or nothing when it lapsed or was never there
+    /// Authority for acts that need the lease: commands to engines that ignore
+    /// fencing numbers, loads from a weight store, and permission to execute an
+    /// idempotency key. Call this immediately before each act, because an
+    /// earlier answer may have expired.
+    /// @returns the authority, or nothing when this node does not own the
+    /// resource or its lease has expired
     std::optional<authority>
     authority_for(resource_id const& resource, instant now) const;
-    /// The gate for load orders.
-    /// @param engine_checks true when the engine refuses old fencing numbers:
-    ///        it then arbitrates itself, and loads go on through a log outage
+    /// Authority for load commands.
+    /// @param engine_checks true when the engine rejects outdated fencing
+    ///        numbers. The engine then resolves conflicts between owners
+    ///        itself, and loads continue through an outage of the log.
     std::optional<authority> load_authority(
         resource_id const& resource, bool engine_checks, instant now) const;
-    /// The gate for evictions: the lease, and no holder before us can have
-    /// requests under way that we do not know of.
+    /// Authority for evictions. It needs the lease, and also that no previous
+    /// holder can still have requests in progress that this node does not know
+    /// of.
     std::optional<authority>
     evict_authority(resource_id const& resource, instant now) const;
-    /// The gate for grants of batch slots to resident adapters; holds longer
-    /// than the lease, since a second granter only costs queueing as long as
-    /// nobody evicts.
+    /// Authority for grants of batch slots to resident adapters. It lasts
+    /// longer than the lease, because a second node that grants slots only adds
+    /// queueing as long as no node evicts adapters.
     std::optional<authority>
     grant_authority(resource_id const& resource, instant now) const;
 
-    /// @returns the last claim that this node read
+    /// @returns the owner according to the latest claim that this node read;
+    /// empty when there is none
     std::optional<owner_info> owner_of(resource_id const& resource) const;
-    /// @returns true when an entry node may send to the replica without a
-    /// grant: the log is out of reach and the replica's owner is dead, so that
-    /// nobody can take over. Only resident adapters, only a fixed share of the
-    /// batch; see docs/design/ownership.md.
+    /// Says whether an entry node may send requests to the replica without a
+    /// grant. This is allowed when the log is unreachable and the owner of the
+    /// replica has failed, so that no other node can take over. It holds only
+    /// for resident adapters and a fixed fraction of the batch; see
+    /// docs/design/ownership.md.
+    /// @returns true when requests may be sent without a grant
     bool fallback_allowed(resource_id const& resource, instant now) const;
-    /// @returns true when the control stream was read up to its head lately
+    /// @returns true when this node read the control stream up to its head
+    /// within the last lease
     bool log_is_current(instant now) const;
-    /// @returns true when a planned stop has given everything away
+    /// @returns true when a planned stop was begun and this node no longer
+    /// holds any resource, pending append or accepted offer
     bool drained() const noexcept;
-    /// @returns how many resources this node holds or waits for
+    /// @returns the number of resources that this node holds, including those
+    /// whose ownership has not taken effect yet
     std::size_t held_count() const noexcept { return holdings_.size(); }
-    /// @returns the replayed table
+    /// @returns the table replayed from the control stream
     ownership_table const& table() const noexcept { return table_; }
 
 private:
@@ -141,17 +161,18 @@
         instant evict_from;
         bool planned = false;
         bool first = false;
-        /// True once ownership_gained was told.
+        /// True once ownership_gained was emitted.
         bool reported = false;
         std::string table;
     };
     struct live_run {
         std::uint64_t run = 0;
         bool leaving = false;
-        /// Since when this run has been among the live nodes.
+        /// When this run was first listed among the live nodes.
         instant since;
     };
-    /// A former holder's word that came before our claim was read back.
+    /// A holder_stopped message that arrived before this node read back its own
+    /// claim.
     struct early_stop {
         holder_stopped message;
         instant received;
@@ -234,35 +255,39 @@
     std::map<resource_id, accepted_offer> accepted_offers_;
     std::map<resource_id, early_stop> early_stops_;
     std::map<node_id, instant> last_record_at_;
-    /// The newest run of each node that wrote a record.
+    /// The newest run of each node of which a record was read.
     std::map<node_id, std::uint64_t> written_runs_;
     std::vector<ownership_action> actions_;
     std::optional<instant> next_renewal_;
     instant next_claim_{};
     instant next_rebalance_{};
-    /// Entries that expired before this offset are dropped at the next prune.
+    /// Entries whose newest record lies before this offset are dropped at the
+    /// next pruning.
     log_offset prune_before_;
     instant next_prune_{};
-    /// When a resource that the log does not name may be claimed.
+    /// Earliest time at which a resource that the replayed records do not name
+    /// may be claimed; empty until the first read that reached the head.
     std::optional<instant> unnamed_claimable_from_;
     resource_id rebalance_cursor_;
     bool draining_ = false;
-    /// True while an accepted offer's release may still make this node owner.
+    /// True while the release that belongs to an accepted offer may still make
+    /// this node the owner.
     bool awaits_transfer_ = false;
     bool lapsed_ = true;
 };
 
-/// What other services may ask of ownership without steering it.
+/// Read-only access to ownership for other services.
 class ownership_view {
 public:
     explicit ownership_view(ownership_manager const& source)
         : source_(&source) {}
 
-    /// @returns the last claim that this node read
+    /// @returns the owner according to the latest claim that this node read;
+    /// empty when there is none
     std::optional<owner_info> owner_of(resource_id const& resource) const {
         return source_->owner_of(resource);
     }
-    /// @returns true when a request may go to the replica without a grant
+    /// @returns true when a request may be sent to the replica without a grant
     bool fallback_allowed(resource_id const& resource, instant now) const {
         return source_->fallback_allowed(resource, now);
     }
--- a/src/Ownership/ownership_manager_replay.cpp
+++ b/src/Ownership/ownership_manager_replay.cpp
@@ -1,4 +1,4 @@
-// How the owner follows the control stream.
+// Replay of the control stream by the ownership manager.
 #include "Ownership/ownership_manager.hpp"
 
 #include <fmt/format.h>
@@ -43,9 +43,9 @@
     follower_.on_read_failed(now);
 }
 
-// Guards against a node that was paused for longer than the log keeps
-// records: claims may have come and gone unread, so nothing that it held or
-// knew counts any more. It shows as control_log_trimmed.
+// Handles a node that was paused for longer than the log retains records.
+// Claims may have been appended and expired unread, so everything that the node
+// held or knew is discarded. The event control_log_trimmed reports this.
 void ownership_manager::restart_table(log_batch const& batch, instant now) {
     bool const first_read = follower_.next() == log_offset{};
     follower_.restart(batch.first);
@@ -89,7 +89,8 @@
     if (read->writer == self_) {
         std::optional<pending_append> const mine =
             appends_.read_back(read->append);
-        // The answer came after the append, so a wait may begin there.
+        // The answer arrived after the append took effect, so a wait may start
+        // at the arrival of the answer.
         if (mine && mine->answered_at) {
             learned_at = *mine->answered_at;
         }
@@ -100,8 +101,9 @@
     bool const valid =
         read->writer != self_ || appends_.started_here(read->append);
     for (resource_id const& each : changed) {
-        // A record that bears this run's name but was not written by it comes
-        // from another process that was started in the same millisecond.
+        // A record that names this run as its writer but has an unknown append
+        // number was written by another process of the same node name that
+        // started in the same millisecond.
         if (valid) {
             on_entry_changed(each, learned_at, now);
         } else {
@@ -110,8 +112,8 @@
     }
 }
 
-// Only records that were appended since the last look say that their writer
-// lives now; those read at a start may be old.
+// Only a record that was appended since the previous read proves that its
+// writer is alive now; records read at startup may be old.
 void ownership_manager::record_liveness(node_run const& writer, instant now) {
     std::uint64_t& run = written_runs_[writer.node];
     run = std::max(run, writer.run);
@@ -132,10 +134,11 @@
     update_takeover(resource, now);
 }
 
-// An offer counts until the claim that it ends has been succeeded. Guards
-// against the loss of one that came before this node read how its sender came
-// to own: two moves within one period of the log's reading. It showed as
-// bookings that ended as key-unknown-after-takeover after a planned stop.
+// Drops an accepted offer only once a later claim than the one it names is in
+// force. An offer must be kept when it arrives before this node has read how
+// its sender became the owner, which happens when a resource moves twice within
+// one poll interval. Otherwise the state in the offer is lost, and bookings
+// fail with key-unknown-after-takeover after a planned stop.
 void ownership_manager::drop_superseded_offer(
     resource_id const& resource, log_offset in_force) {
     auto const found = accepted_offers_.find(resource);
@@ -149,16 +152,18 @@
     instant learned_at) {
     auto const held = holdings_.find(resource);
     if (held != holdings_.end()) {
-        // Both claims are this run's and nobody came between: it goes on.
+        // Both claims are of this run and no other node claimed in between, so
+        // ownership continues.
         held->second.fencing = entry.fencing;
         return;
     }
     holding next;
     next.fencing = entry.fencing;
     next.previous = entry.previous;
-    // Guards against two deciders at once: the old holder acts until its
-    // lease, counted from its last read, is over. The wait may begin at the
-    // earliest when the claim stands in the log, by this node's own clock.
+    // Prevents two nodes from acting as owner at the same time: the old holder
+    // may act until its lease, which counts from its last read, has expired.
+    // The wait must not start before the claim is in the log, measured by this
+    // node's clock.
     next.effective_from = learned_at + settings_.claim_wait();
     next.evict_from = learned_at + settings_.evict_wait();
     if (entry.transferred) {
@@ -178,8 +183,9 @@
     pending_gains_.insert(resource);
 }
 
-// Only an offer that this run accepted tells how long evictions must still
-// wait. Without it the transfer is like any claim, and waits.
+// Only an offer that this run accepted contains the remaining time during which
+// evictions must wait. Without one, a transfer is treated like any other claim,
+// and the full wait applies.
 void ownership_manager::apply_offer(
     resource_id const& resource, ownership_entry const& entry, holding& next) {
     auto const found = accepted_offers_.find(resource);
@@ -230,8 +236,9 @@
         handle_failed_append(each.record, now);
     }
     if (!unnamed_claimable_from_) {
-        // Nodes whose claims have expired renew them as soon as they read the
-        // log again; until then a missing entry does not mean no owner.
+        // Nodes whose claims have expired renew them as soon as they can read
+        // the log again. Until then a missing entry does not prove that a
+        // resource has no owner.
         unnamed_claimable_from_ = now;
         if (!table_.complete()) {
             *unnamed_claimable_from_ += settings_.log_liveness_window;
@@ -258,7 +265,8 @@
     for (resource_id const& each : dropped) {
         update_takeover(each, now);
     }
-    // What expires now has a whole period to be renewed by its owner.
+    // Entries that expire now are dropped one period later, so their owners
+    // have that long to renew them.
     prune_before_ = batch.first;
 }
 
@@ -280,10 +288,10 @@
     }
 }
 
-// A record that was given up may still arrive. That is harmless: a second
-// claim of the same run goes on with the first, a release that does not end
-// the last claim is void, and a claim that comes after another node's is a new
-// one that has to wait.
+// The record of an append that was classified as lost may still arrive. This is
+// harmless: a second claim of the same run continues the first, a release that
+// does not end the latest claim is void, and a claim that follows another
+// node's claim is a new one whose owner has to wait.
 void ownership_manager::handle_failed_append(
     control_record const& record, instant now) {
     instant const retry = now + settings_.poll;
--- a/src/Ownership/ownership_manager_transfers.cpp
+++ b/src/Ownership/ownership_manager_transfers.cpp
@@ -1,4 +1,4 @@
-// How resources come to this node and leave it.
+// Claims, renewals and handovers of the ownership manager.
 #include "Ownership/ownership_manager.hpp"
 
 #include <fmt/format.h>
@@ -11,22 +11,29 @@
 
 namespace {
 
-/// Ranking one resource costs a hash for each live node, so this bounds the
-/// work of a tick: 64 resources and 1,900 nodes are 121,600 short hashes.
+/// Bounds the work of a tick, because ranking one resource costs one hash per
+/// live node: 64 resources and 1,900 nodes are 121,600 short hashes.
 constexpr std::size_t ranked_per_tick = 64;
-/// How many resources one record names; it stays below 32 KB.
+/// Largest number of resources that one record names; it keeps a record below
+/// 32 KB.
 constexpr std::size_t resources_per_record = 256;
-/// At 1,900 nodes each moves one resource in 95 s at most: 20 appends a second.
+/// Rebalancing interval per live node. The interval grows with the number of
+/// nodes to bound the appends of all nodes together: at 1,900 nodes each node
+/// moves at most one resource in 95 s, which is 20 appends per second.
 constexpr std::chrono::milliseconds rebalance_interval_per_node{50};
 constexpr std::size_t rebalance_checks_per_round = 8;
-/// What becomes due in between goes into one record.
+/// Minimum interval between claims; resources that become due in between are
+/// claimed in one record.
 constexpr std::chrono::seconds claim_spacing{1};
-/// A successor that did not take a table is not asked again so soon.
+/// Number of rebalancing periods to wait after a handover timed out, so that a
+/// successor that did not accept is not asked again soon.
 constexpr int rebalance_backoff_periods = 6;
 constexpr unsigned renewals_per_retention = 4;
-/// A takeover that waits for the next read of the log is looked at again.
+/// Delay before a takeover that waits for the next read of the log is checked
+/// again.
 constexpr std::chrono::milliseconds takeover_recheck{50};
-/// A planned stop asks so many more nodes when one does not take a table.
+/// Number of further nodes that a planned stop tries when a successor does not
+/// accept the state of a resource.
 constexpr std::size_t max_tried_successors = 3;
 
 } // namespace
@@ -80,7 +87,8 @@
     rank_live();
     takeovers_.rerank_all();
     for (node_id const& each : changed) {
-        // A copy, since considering may change what is owned.
+        // The set is copied because update_takeover may change what a node
+        // owns.
         std::set<resource_id> const owned = table_.owned_by(each);
         for (resource_id const& resource : owned) {
             update_takeover(resource, now);
@@ -129,7 +137,8 @@
 
 bool ownership_manager::is_live(node_run const& who) const {
     if (who.node == self_.node) {
-        // What an earlier run of this node claimed is not ours.
+        // Resources claimed by an earlier run of this node do not belong to
+        // this run.
         return who.run == self_.run;
     }
     auto const found = live_.find(who.node);
@@ -142,8 +151,8 @@
     if (entry == nullptr) {
         return unnamed_claimable_from_;
     }
-    // Guards against two nodes that cannot see each other but both read the
-    // log, and would take a resource from each other for ever.
+    // Prevents two nodes that cannot reach each other, but can both read the
+    // log, from repeatedly taking a resource from each other.
     auto const seen = last_record_at_.find(entry->owner.node);
     if (!entry->owned() || seen == last_record_at_.end()) {
         return std::nullopt;
@@ -170,11 +179,11 @@
     }
 }
 
-// Guards against a claim on what a node gave away right before it ended: the
-// instance list drops the node before its releases are read here, and the
-// claim would take the resource from the successor that has the table. It
-// shows as bookings that end as key-unknown-after-takeover. A read that began
-// after the node was missed shows all that it wrote.
+// Prevents a claim of a resource that a node handed over just before it shut
+// down. The instance list may drop the node before this node has read its
+// release; a claim would then take the resource from the successor that has the
+// state, and bookings would fail with key-unknown-after-takeover. A read that
+// began after the node left the list shows all records that the node wrote.
 bool ownership_manager::has_read_since(instant missed) const {
     std::optional<instant> const fresh = follower_.fresh_as_of();
     return fresh && *fresh >= missed;
@@ -214,8 +223,8 @@
 void ownership_manager::schedule_renewal(instant now) {
     duration const whole =
         duration(settings_.retention) / renewals_per_retention;
-    // Spread over the last quarter, so that nodes that started together do
-    // not append together.
+    // The time is spread over the last quarter of the interval, so that nodes
+    // that started together do not append together.
     duration const quarter = whole / 4;
     auto const part = static_cast<std::int64_t>(
         random_() % static_cast<std::uint64_t>(quarter.count()));
@@ -233,7 +242,8 @@
     control_record record;
     for (auto const& [resource, held] : holdings_) {
         if (!resources_.contains(resource) && !handovers_.is_moving(resource)) {
-            // It left the platform's list long ago.
+            // The platform's registry no longer lists the resource, so it is
+            // released without a successor.
             begin_handover(resource, node_id(), now);
             continue;
         }
@@ -247,8 +257,8 @@
     }
 }
 
-// A node that was never heard over the probes may still be known by what it
-// wrote to the log.
+// A node from which no probe message was received may still be known by the
+// records that it wrote to the log.
 std::uint64_t ownership_manager::latest_run(node_id const& node) const {
     auto const listed = live_.find(node);
     auto const wrote = written_runs_.find(node);
@@ -304,8 +314,8 @@
     if (held.reported) {
         actions_.push_back(handover_requested{resource, successor});
     } else {
-        // Not in effect yet: the one before may still act, so whoever comes
-        // next must wait.
+        // This node's ownership has not taken effect yet, so the previous
+        // holder may still act and the next owner must wait as well.
         handovers_.release_without_successor(resource);
     }
 }
@@ -316,7 +326,8 @@
     return std::chrono::ceil<std::chrono::milliseconds>(left);
 }
 
-// The span was measured by another node's clock.
+// The remaining time was measured by another node's clock, so the clock rate
+// error is added.
 instant
 ownership_manager::wait_end(std::chrono::milliseconds left, instant now) const {
     constexpr std::int64_t million = 1'000'000;
@@ -341,11 +352,12 @@
         send_ownership_message{move->successor.node, std::move(offer)});
 }
 
-// Guards against two nodes that stop together and choose each other: neither
-// accepts, both would release without naming a successor, and the next owner
-// would begin as after a crash, without the tables. It shows as bookings that
-// end as key-unknown-after-takeover. The stopping node offers to the next in
-// the ranking instead, as soon as it learns that its choice stops as well.
+// Handles two nodes that stop at the same time and choose each other as
+// successor. Neither would accept; both would release without a successor, and
+// the next owner would start without the state, as after a crash, so that
+// bookings fail with key-unknown-after-takeover. Instead, the stopping node
+// offers the state to the next node in the ranking as soon as it learns that
+// its successor stops as well.
 void ownership_manager::retry_other_successors(instant now) {
     for (outgoing_handover const& move : handovers_.offered()) {
         auto const listed = live_.find(move.successor.node);
@@ -408,9 +420,10 @@
     handovers_.on_accepted(accepted.resource, from, accepted.fencing);
 }
 
-// The former holder has read our claim and stopped for good, so nothing that
-// it granted can be sent later than its messages travel. Those who held before
-// it may still be unaware; for them its own wait goes on.
+// The former holder has read this node's claim and stopped for good, so its
+// last grants arrive at the latest after the longest transit time of a message.
+// Holders before it may not have read the claim yet; for these, the former
+// holder's own remaining wait still applies.
 void ownership_manager::handle(
     node_id const& /*from*/, holder_stopped const& stopped, instant now) {
     auto const found = holdings_.find(stopped.resource);
--- a/src/Ownership/ownership_settings.cpp
+++ b/src/Ownership/ownership_settings.cpp
@@ -6,7 +6,8 @@
 
 constexpr std::int64_t million = 1'000'000;
 
-/// A span of another node's clock, as long as it can be on ours.
+/// Returns the longest time that a span measured by another node's clock can
+/// take on the local clock.
 duration with_clock_error(duration span, std::uint32_t rate_error) noexcept {
     return span + span * rate_error / million;
 }
@@ -14,8 +15,9 @@
 } // namespace
 
 // The old holder's last read that did not show the claim began at most read_lag
-// after the append. Its authority ends one lease later by its own clock, and
-// what it sent last is under way for command_transit more.
+// after the append. The old holder's authority ends one lease later on its own
+// clock, and the last command that it sent can be in transit for
+// command_transit more.
 duration ownership_settings::claim_wait() const noexcept {
     return with_clock_error(lease, clock_rate_error) + command_transit +
            read_lag;
--- a/src/Ownership/ownership_table.cpp
+++ b/src/Ownership/ownership_table.cpp
@@ -46,9 +46,9 @@
     set(update.resource, std::move(entry));
 }
 
-// A renewal says only that its writer held this claim when it wrote. It never
-// takes a resource from a later claim, so a renewal that a paused holder
-// appends after it was succeeded changes nothing.
+// A renewal only proves that its writer held this claim when it wrote. It never
+// takes a resource from a later claim, so a renewal appended by a paused holder
+// after its resource was claimed by another node has no effect.
 bool ownership_table::apply_renewal(
     log_offset offset, node_run const& writer, renewal const& update) {
     if (update.fencing >= offset) {
@@ -72,8 +72,9 @@
     return true;
 }
 
-// A release that does not end the last claim is void: otherwise one that a
-// paused holder appends late would spare a third node the wait for the second.
+// A release that does not end the latest claim is void. Otherwise a late
+// release of a paused holder would let a third node skip the wait for the
+// second node's lease.
 bool ownership_table::apply_release(
     log_offset offset, node_run const& writer, release const& update) {
     ownership_entry const* before = find(update.resource);
--- a/src/Ownership/ownership_table.hpp
+++ b/src/Ownership/ownership_table.hpp
@@ -11,52 +11,59 @@
 
 namespace camphorpoint {
 
-/// What the log says of one resource.
+/// State of one resource as replayed from the log.
 struct ownership_entry {
-    /// The last claimer; an empty node after a release without a successor.
+    /// The run of the node that claimed last or was named as successor; the
+    /// node id is empty after a release without a successor.
     node_run owner;
-    /// The offset of its claim: the fencing number.
+    /// Fencing number: the offset of the record that made the node the owner.
     log_offset fencing;
-    /// The claim before; absent when the log no longer tells.
+    /// Fencing number of the previous claim; absent when the log no longer
+    /// contains it.
     std::optional<log_offset> previous;
-    /// True when whoever held before had stopped before this record.
+    /// True when the previous holder had stopped before this record.
     bool predecessor_stopped = false;
-    /// True when a release named this owner, instead of its own claim.
+    /// True when the owner was named by a release of its predecessor, false
+    /// when it claimed the resource itself.
     bool transferred = false;
-    /// The newest record that names the resource.
+    /// Offset of the newest record that names the resource.
     log_offset last_named_at;
 
-    /// @returns true when somebody owns the resource
+    /// @returns true when the resource has an owner
     bool owned() const noexcept { return !owner.node.empty(); }
 };
 
-/// The replay of the control stream: the last claim wins. It may begin at any
-/// offset, since a claim needs nothing before it to be valid; what would need
-/// it (a release that spares the wait) counts only when its claim is known.
+/// Replays the control stream; the latest claim of a resource wins. The replay
+/// may begin at any offset, because a claim is valid without the records before
+/// it. A release that spares the next owner its wait does depend on an earlier
+/// record, and counts only if the claim that it ends is known.
 class ownership_table {
 public:
-    /// Forgets everything, as at a start or when records expired unread.
-    /// @param complete true when reading begins with the log's first record
+    /// Discards all entries, as at startup or when records expired unread.
+    /// @param complete true when reading begins with the first record that was
+    ///        ever appended
     void restart(bool complete);
     /// Applies one record.
-    /// @param offset where the record stands
-    /// @param record what it says
-    /// @returns the resources whose entry changed its owner or fencing number
+    /// @param offset offset of the record in the log
+    /// @param record the decoded record
+    /// @returns the resources whose owner or fencing number changed
     std::vector<resource_id>
     apply(log_offset offset, control_record const& record);
-    /// Drops entries whose last record has expired, but for one node's own.
-    /// @param first the oldest offset that the log keeps
-    /// @param keep  the node whose entries stay
-    /// @returns the resources dropped
+    /// Drops the entries whose newest record has expired, except those of one
+    /// node.
+    /// @param first the oldest offset that the log retains
+    /// @param keep the node whose entries are kept
+    /// @returns the resources whose entries were dropped
     std::vector<resource_id> prune(log_offset first, node_id const& keep);
 
-    /// @returns the resource's entry, or null when the log does not name it
+    /// @returns the entry of the resource, or null when the replayed records do
+    /// not name it
     ownership_entry const* find(resource_id const& resource) const;
-    /// @returns what the node owns, over all its runs
+    /// @returns the resources that the node owns, over all its runs
     std::set<resource_id> const& owned_by(node_id const& node) const;
-    /// @returns true when a resource without an entry never had an owner
+    /// @returns true when a resource without an entry has never had an owner
     bool complete() const noexcept { return complete_; }
-    /// @returns how many resources the table names
+    /// @returns the number of entries
     std::size_t size() const noexcept { return entries_.size(); }
 
 private:
--- a/src/Ownership/pending_appends.hpp
+++ b/src/Ownership/pending_appends.hpp
@@ -10,48 +10,49 @@
 
 namespace camphorpoint {
 
-/// An append that has not been read back yet.
+/// An append whose record has not been read back from the log yet.
 struct pending_append {
     control_record record;
     instant started_at;
-    /// When the log answered that the record stands.
+    /// When the log confirmed the append.
     std::optional<instant> answered_at;
-    /// When it became clear that no answer will come.
+    /// When the append was classified as lost, because no answer will come.
     std::optional<instant> lost_at;
 };
 
-/// The appends that this run began and has not read back.
+/// The appends that this run of the node started and has not read back yet.
 class pending_appends {
 public:
-    /// @param first the first append's number; random, so that another run
-    ///        that bears the same start time is told apart
+    /// @param first number of the first append; it must be random, so that
+    ///        records of another run with the same start time can be
+    ///        distinguished
     explicit pending_appends(std::uint64_t first)
         : first_(first)
         , next_(first) {}
 
-    /// Numbers a record and remembers it.
-    /// @returns the number
+    /// Assigns a number to a record and stores the record as pending.
+    /// @returns the number of the append
     std::uint64_t begin(control_record record, instant now);
-    /// @returns true when this run began the append
+    /// @returns true when this run started the append with this number
     bool started_here(std::uint64_t append) const noexcept;
-    /// The record was read: it is no longer pending.
-    /// @returns what was pending, if it still was
+    /// Removes an append whose record was read from the log.
+    /// @returns the append, if it was still pending
     std::optional<pending_append> read_back(std::uint64_t append);
-    /// The log answered.
+    /// Records that the log confirmed the append.
     void on_answered(std::uint64_t append, instant now);
-    /// No answer will come.
+    /// Records that the append will have no answer.
     void on_lost(std::uint64_t append, instant now);
-    /// Counts those as lost that have had no answer for too long.
+    /// Marks appends as lost that had no answer within the limit.
     void expire(duration limit, instant now);
-    /// Gives up on lost appends that a read begun later did not show.
-    /// @param read_started the start of a read that reached the head
-    /// @param lag          how far reads may be behind
-    /// @returns those that were given up
+    /// Removes the lost appends whose records did not appear in a later read.
+    /// @param read_started start of a read that reached the head of the log
+    /// @param lag largest time by which reads may lag behind the head
+    /// @returns the appends that did not take effect
     std::vector<pending_append>
     drain_absent(instant read_started, duration lag);
     /// @returns true when a pending record claims the resource
     bool claims(resource_id const& resource) const;
-    /// @returns true when nothing is pending
+    /// @returns true when no append is pending
     bool empty() const noexcept { return pending_.empty(); }
 
 private:
--- a/src/Ownership/resource_id.hpp
+++ b/src/Ownership/resource_id.hpp
@@ -9,21 +9,22 @@
 
 namespace camphorpoint {
 
-/// What needs exactly one decider at a time.
+/// Kinds of resources that need exactly one owner at a time.
 enum class resource_kind : std::uint8_t {
-    /// A model engine's replica: its adapter slots and its queue.
+    /// A replica of a model engine: its adapter slots and its queue.
     replica,
     /// A weight store: its load budget.
     store,
-    /// A part of the idempotency key space.
+    /// A shard of the idempotency key space.
     key_shard
 };
 
-/// How many parts the idempotency key space has. The same on all nodes for
-/// good: a change would send a key to an owner that does not remember it.
+/// Number of shards of the idempotency key space. It must be the same on all
+/// nodes and must never change: with another number a key would map to an owner
+/// that has no record of the key.
 inline constexpr std::uint32_t key_shard_count = 256;
 
-/// Names one owned resource.
+/// Identifies a resource that nodes can own.
 struct resource_id {
     resource_kind kind = resource_kind::replica;
     std::string name;
@@ -35,15 +36,15 @@
     }
 };
 
-/// @returns the resource of a model engine's replica
+/// @returns the id of the resource that stands for a replica of a model engine
 resource_id replica_resource(endpoint_id const& replica);
-/// @param name the store's name
-/// @returns the resource of a weight store
+/// @param name name of the weight store
+/// @returns the id of the resource that stands for the weight store
 resource_id store_resource(std::string name);
-/// @param shard below key_shard_count
-/// @returns the resource of a shard of the key space
+/// @param shard number of the shard, less than key_shard_count
+/// @returns the id of the resource that stands for the shard
 resource_id key_shard_resource(std::uint32_t shard);
-/// @returns the resource as text, such as replica/e1, for hashes and log lines
+/// @returns the id as text, such as replica/e1, for hashes and log lines
 std::string to_string(resource_id const& resource);
 
 } // namespace camphorpoint
--- a/src/Ownership/takeover_queue.cpp
+++ b/src/Ownership/takeover_queue.cpp
@@ -42,7 +42,7 @@
 
 void takeover_queue::schedule(resource_id const& resource, duration after) {
     auto const found = since_.find(resource);
-    assert(found != since_.end() && "only what was added can be scheduled");
+    assert(found != since_.end() && "only a queued resource can be scheduled");
     postpone(resource, found->second + after);
 }
 
@@ -66,7 +66,7 @@
 
 instant takeover_queue::since(resource_id const& resource) const {
     auto const found = since_.find(resource);
-    assert(found != since_.end() && "only what was added waits");
+    assert(found != since_.end() && "only a queued resource has a start time");
     return found->second;
 }
 
--- a/src/Ownership/takeover_queue.hpp
+++ b/src/Ownership/takeover_queue.hpp
@@ -10,32 +10,38 @@
 
 namespace camphorpoint {
 
-/// Resources without a live owner, by when this node may claim them. Ranking
-/// costs a hash for each live node, so only a few are ranked each tick.
+/// Resources without a live owner, ordered by the time from which this node may
+/// claim them. Ranking a resource costs one hash per live node, so only a
+/// limited number is ranked in each tick.
 class takeover_queue {
 public:
-    /// Adds a resource that is to be ranked, unless it is there already.
+    /// Adds a resource to be ranked, unless the queue already contains it.
     void add(resource_id const& resource, instant now);
-    /// Takes a resource out, since it found an owner.
+    /// Removes a resource, for instance because it has an owner again.
     void remove(resource_id const& resource);
-    /// Takes all out.
+    /// Removes all resources.
     void clear();
-    /// Everything must be ranked again, since the live nodes changed.
+    /// Marks all resources to be ranked again, because the set of live nodes
+    /// has changed.
     void rerank_all();
-    /// @returns at most this many resources that wait to be ranked; each must
-    /// be scheduled or removed next
+    /// Removes resources from the set of those that must be ranked. The caller
+    /// must schedule or remove each of them next.
+    /// @param limit largest number of resources to return
+    /// @returns the resources to rank
     std::vector<resource_id> drain_unranked(std::size_t limit);
-    /// Sets when a resource may be claimed.
-    /// @param after counted from when it was added
+    /// Sets the time at which a resource may be claimed.
+    /// @param after delay since the resource was added
     void schedule(resource_id const& resource, duration after);
-    /// Sets when a resource is looked at again.
+    /// Sets the time at which a resource becomes due again.
     void postpone(resource_id const& resource, instant due);
-    /// @returns at most this many resources whose time has come; each must be
-    /// postponed or removed next
+    /// Removes resources that are due from the schedule. The caller must
+    /// postpone or remove each of them next.
+    /// @param limit largest number of resources to return
+    /// @returns the due resources
     std::vector<resource_id> drain_due(instant now, std::size_t limit);
-    /// @returns when a resource that waits was added
+    /// @returns the time at which a queued resource was added
     instant since(resource_id const& resource) const;
-    /// @returns how many resources wait
+    /// @returns the number of queued resources
     std::size_t size() const noexcept { return since_.size(); }
 
 private:
