--- a/test/ownership_fixture.cpp
+++ b/test/ownership_fixture.cpp
@@ -119,7 +119,7 @@
         }
         run(step);
     }
-    FAIL("nobody came to own the resource");
+    FAIL("no node obtained authority for the resource within 100 s");
     return {};
 }
 
--- a/test/ownership_fuzz_test.cpp
+++ b/test/ownership_fuzz_test.cpp
@@ -19,7 +19,7 @@
     return {replica_resource(endpoint_id("engine-1")), key_shard_resource(7)};
 }
 
-/// Lets something go wrong, or right again.
+/// Injects a random fault or ends a fault.
 void inject_random_event(
     cluster& nodes, std::mt19937_64& random, std::uint64_t& run) {
     std::vector<std::string> const names{"a", "b", "c"};
@@ -58,7 +58,7 @@
         nodes.log.expire();
         break;
     case 9: {
-        // The nodes see each other dead or alive as it happens.
+        // Each node is seen as alive or failed at random.
         std::vector<std::string> seen;
         for (std::string const& each : names) {
             if (random() % 3 != 0) {
@@ -69,7 +69,7 @@
         break;
     }
     default:
-        // Mostly things come right again.
+        // Most events end the faults, so that the nodes can make progress.
         which.paused = false;
         which.cut_from_log = false;
         nodes.log.down = false;
@@ -80,11 +80,13 @@
 
 } // namespace
 
-// Whatever comes together, and in whichever order: pauses, cuts, outages,
-// lost answers, restarts beside a former self, half-done handovers, expired
-// records, slow and lagging reads, clocks that differ. A user would see two
-// nodes order one engine, or an adapter evicted under a request.
-TEST_CASE("never two deciders, never an eviction beside another's grant") {
+// Runs random combinations of pauses, partitions, outages, lost answers,
+// restarts beside a former run, unfinished handovers, expired records, slow and
+// lagging reads, and clocks that differ. The test guards against two nodes that
+// send commands to one engine and against the eviction of an adapter that a
+// running request uses.
+TEST_CASE(
+    "at most one node has authority, and no node evicts while two may grant") {
     std::size_t acted = 0;
     std::size_t changed = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -124,10 +126,11 @@
             }
         }
     }
-    // The run is worth nothing when nobody ever owned, or never changed.
+    // Without owners and changes of owner the checks above would not test
+    // anything.
     CHECK(acted > 10'000);
     CHECK(changed > 500);
-    MESSAGE("steps with a decider: ", acted, ", changes: ", changed);
+    MESSAGE("steps with an owner: ", acted, ", changes of owner: ", changed);
 }
 
 } // namespace camphorpoint::ownership_test
--- a/test/ownership_handover_test.cpp
+++ b/test/ownership_handover_test.cpp
@@ -28,10 +28,11 @@
 
 } // namespace
 
-// An operator replaces a node. Its users should notice nothing: it stops
-// granting, hands its tables over, and names its successor in the log, so
-// that nobody waits out a lease.
-TEST_CASE("a planned stop hands over") {
+// An operator replaces a node. The stopping node stops granting, hands its
+// state over, and names its successor in the log, so that no node has to wait
+// for a lease to expire. The test guards against interruptions of service and
+// loss of state.
+TEST_CASE("a planned stop hands the resources over") {
     cluster nodes({replica});
     nodes.start("a");
     nodes.start("b");
@@ -43,7 +44,7 @@
     nodes.run(seconds(20));
     instant const begun = nodes.now;
 
-    SUBCASE("the successor has the table and acts within a second or two") {
+    SUBCASE("the successor has the state and acts within two seconds") {
         nodes.drain(old);
         nodes.run(seconds(2));
         CHECK(
@@ -56,7 +57,7 @@
         CHECK(nodes.appends == 2);
     }
 
-    SUBCASE("no two act on the way, and a stopping holder does not") {
+    SUBCASE("no node has authority while the holder stops") {
         nodes.services_stop_at_once = false;
         nodes.drain(old);
         CHECK_FALSE(old.manager.grant_authority(replica, nodes.now));
@@ -67,7 +68,7 @@
         CHECK(next.gained.front().table == "late table");
     }
 
-    SUBCASE("a service that does not stop costs the successor the wait") {
+    SUBCASE("the successor waits for the lease if the service does not stop") {
         nodes.services_stop_at_once = false;
         nodes.drain(old);
         CHECK(nodes.run_until_owned(replica) == successor);
@@ -76,7 +77,7 @@
         CHECK_FALSE(next.gained.front().planned);
     }
 
-    SUBCASE("a successor that does not answer is not named") {
+    SUBCASE("the release does not name a successor that did not answer") {
         nodes.messages_arrive = false;
         nodes.drain(old);
         CHECK(nodes.run_until_owned(replica) == successor);
@@ -85,7 +86,7 @@
         CHECK(next.gained.front().table.empty());
     }
 
-    SUBCASE("it leaves the list before its heir has read its release") {
+    SUBCASE("the node leaves the list before its release was read") {
         next.cut_from_log = true;
         nodes.drain(old);
         for (int count = 0; !old.manager.drained() && count < 1'000; ++count) {
@@ -102,7 +103,7 @@
         CHECK(nodes.appends == 2);
     }
 
-    SUBCASE("the release's answer is lost") {
+    SUBCASE("the answer to the append of the release is lost") {
         nodes.log.lose_answer = true;
         nodes.drain(old);
         nodes.run(seconds(2));
@@ -112,7 +113,7 @@
         CHECK(old.manager.drained());
     }
 
-    SUBCASE("the log is down: the node goes, and its heir waits later") {
+    SUBCASE("the node stops while the log is down, and its successor waits") {
         nodes.log.down = true;
         nodes.drain(old);
         nodes.run(seconds(20));
@@ -127,10 +128,10 @@
     }
 }
 
-// A paused holder wakes long after it was succeeded and appends the release
-// that it had prepared. If it counted, a third node would skip the wait that
-// protects the second.
-TEST_CASE("what a paused holder appends late changes nothing") {
+// A paused holder resumes long after another node claimed its resource, and
+// appends the release that it had prepared. If the release counted, a third
+// node would skip the wait that protects the second.
+TEST_CASE("late records of a paused holder have no effect") {
     ownership_table table;
     table.restart(true);
     control_record first;
@@ -154,10 +155,10 @@
     CHECK(table.find(replica)->fencing == log_offset{11});
 }
 
-// One copy of the log is behind the others, or the log was put back to an
-// earlier state. A holder that took such an answer for fresh would go on for
-// as long as it is asked, without ever seeing its successor's claim.
-TEST_CASE("an answer from a log that is behind prolongs nothing") {
+// A copy of the log lags behind the others, or the log was restored to an
+// earlier state. If a holder counted such an answer as fresh, it would extend
+// its lease indefinitely without reading its successor's claim.
+TEST_CASE("an answer from a lagging log does not extend a lease") {
     log_follower follower{seconds(1)};
     log_batch batch;
     batch.read_started = instant(seconds(10));
@@ -173,9 +174,9 @@
     CHECK(follower.fresh_as_of() == instant(seconds(10)));
 }
 
-// A record that another version wrote, or that was cut, must not be taken by
-// halves: nodes would disagree about who owns what.
-TEST_CASE("the control stream's records are read strictly") {
+// A record that another version wrote, or that was truncated, must not be
+// applied in part: nodes would then disagree on the owners of resources.
+TEST_CASE("control records are decoded strictly") {
     control_record record;
     record.writer = {node_id("a \"quoted\"\nname"), 7};
     record.append = 42;
@@ -196,10 +197,10 @@
     CHECK_FALSE(decode_control_record(wrong_kind));
 }
 
-// The log takes a few hundred appends a second from everybody. Ownership must
-// need next to nothing while all is calm, and a node's death may not cost an
-// append for each thing that it owned.
-TEST_CASE("appends are few") {
+// The log accepts only a few hundred appends per second from all nodes
+// together. Ownership must need few appends in steady state, and the failure of
+// a node must not cost one append per resource that it owned.
+TEST_CASE("ownership needs few appends") {
     std::vector<std::string> const names = node_names(9);
     cluster nodes(all_shards());
     for (std::string const& each : names) {
@@ -212,22 +213,22 @@
         held += nodes.node(each).manager.held_count();
     }
     CHECK(held == key_shard_count);
-    // The first claims: about one record for each node.
+    // The first claims take about one record per node.
     CHECK(nodes.appends <= 2 * names.size());
 
-    SUBCASE("in calm: four renewals a node in the time that the log keeps") {
+    SUBCASE("steady state: four renewals per node and retention time") {
         std::uint64_t const before = nodes.appends;
         nodes.run(std::chrono::hours(1));
         std::uint64_t const appends_per_hour = nodes.appends - before;
         CHECK(appends_per_hour >= 4 * names.size());
         CHECK(appends_per_hour <= 6 * names.size());
-        MESSAGE("appends an hour at 9 nodes: ", appends_per_hour);
+        MESSAGE("appends per hour at 9 nodes: ", appends_per_hour);
         MESSAGE(
-            "hence a second at 1,900: ",
+            "extrapolated appends per second at 1,900 nodes: ",
             double(appends_per_hour) / 9 * 1'900 / 3'600);
     }
 
-    SUBCASE("at a death: one or two from each heir") {
+    SUBCASE("failure of a node: one or two appends per successor") {
         std::uint64_t const before = nodes.appends;
         nodes.node("node-4").dead = true;
         std::vector<std::string> survivors = names;
@@ -241,7 +242,7 @@
         }
         CHECK(held == key_shard_count);
 
-        SUBCASE("and slowly back once the node has returned") {
+        SUBCASE("resources move back slowly once the node has restarted") {
             nodes.start("node-4", 2);
             nodes.set_live(names);
             nodes.run(seconds(20));
--- a/test/ownership_takeover_test.cpp
+++ b/test/ownership_takeover_test.cpp
@@ -15,8 +15,8 @@
     return name == "a" ? "b" : "a";
 }
 
-/// An engine that does what it is told, and refuses old fencing numbers if it
-/// is of the kind that checks them.
+/// An engine that executes commands, and rejects outdated fencing numbers if
+/// `checks` is set.
 struct simple_engine {
     bool checks = false;
     log_offset highest;
@@ -44,11 +44,12 @@
 
 } // namespace
 
-// A user sees two adapters thrash in one slot, or an answer cut off: two nodes
-// give orders to one engine. A holder dies, is paused, or is cut off; others
-// claim; the old one comes back and believes that it still holds. The cause
-// is that no node can know at once what the log says now.
-TEST_CASE("one node at a time decides for a resource") {
+// A holder crashes, is paused, or is cut off from the log; another node claims
+// the resource; then the old holder resumes and acts as if it still held it,
+// because no node can know at once what the log contains now. Two nodes would
+// send commands to one engine: two adapters would replace each other in one
+// slot in turn, or an answer would be cut off.
+TEST_CASE("at most one node has authority for a resource") {
     cluster nodes({replica});
     nodes.start("a");
     nodes.start("b");
@@ -58,16 +59,16 @@
     test_node& old = nodes.node(holder);
     test_node& next = nodes.node(successor);
     ownership_settings const settings;
-    // A node whose record was just read counts as alive for a while.
+    // A node whose record was just read counts as alive during this window.
     nodes.run(settings.log_liveness_window);
 
-    SUBCASE("the first owner of all need not wait") {
+    SUBCASE("the first owner of a resource does not wait") {
         CHECK(old.gained.front().first);
         CHECK(old.manager.evict_authority(replica, nodes.now));
         CHECK(nodes.appends == 1);
     }
 
-    SUBCASE("the owner dies, and its heir waits out the lease") {
+    SUBCASE("the owner crashes, and its successor waits for the lease to end") {
         old.dead = true;
         nodes.set_live({successor});
         instant const died = nodes.now;
@@ -77,7 +78,7 @@
         CHECK(next.gained.front().fencing > old.gained.front().fencing);
         CHECK_FALSE(next.gained.front().planned);
 
-        SUBCASE("and evicts nothing while grants may still be used") {
+        SUBCASE("the successor evicts nothing while old grants may be used") {
             CHECK_FALSE(next.manager.evict_authority(replica, nodes.now));
             CHECK(next.manager.grant_authority(replica, nodes.now));
             nodes.run(settings.evict_wait());
@@ -85,7 +86,7 @@
         }
     }
 
-    SUBCASE("the holder is paused between check and order") {
+    SUBCASE("the holder is paused between the check and the command") {
         std::optional<authority> const permission =
             old.manager.authority_for(replica, nodes.now);
         REQUIRE(permission);
@@ -97,7 +98,8 @@
             next.manager.authority_for(replica, nodes.now);
         REQUIRE(fresh);
 
-        SUBCASE("an engine that ignores fencing is spared by the deadline") {
+        SUBCASE(
+            "the deadline protects an engine that ignores fencing numbers") {
             simple_engine engine;
             CHECK(
                 engine.order(order_under(*fresh), nodes.now) ==
@@ -108,7 +110,7 @@
             CHECK(permission->not_after <= checked + settings.lease);
         }
 
-        SUBCASE("an engine that checks refuses the old number by itself") {
+        SUBCASE("an engine that checks rejects the old fencing number") {
             simple_engine engine{true, {}, {}};
             engine_order late = order_under(*permission);
             late.not_after = instant::max();
@@ -119,7 +121,7 @@
                 engine.order(late, nodes.now) == order_result::refused_fencing);
         }
 
-        SUBCASE("and asks again when it wakes: the gate is shut") {
+        SUBCASE("the resumed holder has no authority") {
             CHECK_FALSE(old.manager.authority_for(replica, nodes.now));
             CHECK_FALSE(old.manager.evict_authority(replica, nodes.now));
             old.paused = false;
@@ -132,8 +134,9 @@
         }
     }
 
-    SUBCASE("a partition leaves the holder without the log") {
-        // It still reaches its engine; the others take it for dead.
+    SUBCASE("a network partition cuts the holder off from the log") {
+        // The holder still reaches its engine; the other node regards it as
+        // failed.
         old.cut_from_log = true;
         next.manager.set_candidates(
             {{node_id(successor), 1}}, {replica}, nodes.now);
@@ -145,7 +148,7 @@
             nodes.nodes_with_authority(replica) ==
             std::vector<std::string>{successor});
 
-        SUBCASE("and once it reads again, its heir may evict soon") {
+        SUBCASE("the successor may evict soon after the holder reads again") {
             old.cut_from_log = false;
             nodes.run(seconds(3));
             CHECK(old.lost.size() == 1);
@@ -153,9 +156,10 @@
         }
     }
 
-    SUBCASE("a third comes while the first may still grant") {
-        // The second reads the third's claim and says that it stopped; that
-        // does not speak for the first, which reads nothing.
+    SUBCASE("a third node claims while the first may still grant") {
+        // The second holder reads the third node's claim and reports that it
+        // stopped. That report does not cover the first holder, which reads
+        // nothing.
         old.cut_from_log = true;
         nodes.set_live({successor});
         nodes.run(settings.claim_wait() + seconds(3));
@@ -173,7 +177,7 @@
         CHECK_FALSE(third.manager.evict_authority(replica, nodes.now));
     }
 
-    SUBCASE("two that see each other dead do not rob each other for ever") {
+    SUBCASE("two nodes that see each other as failed do not compete forever") {
         old.manager.set_candidates(
             {{node_id(holder), 1}}, {replica}, nodes.now);
         next.manager.set_candidates(
@@ -184,10 +188,10 @@
     }
 }
 
-// A user sees a request refused for minutes, or worse, two owners: the log
-// took a claim, but the answer got lost on the way back. The claimer must
-// find out by reading on, and count its wait from then.
-TEST_CASE("the answer to a claim's append is lost") {
+// The log appended a claim, but the answer was lost. The node must find its
+// claim by reading the log and count its wait from then. Otherwise requests
+// would be refused for minutes, or two nodes would own the resource.
+TEST_CASE("the answer to the append of a claim is lost") {
     cluster nodes({replica});
     test_node& only = nodes.start("a");
     nodes.log.lose_answer = true;
@@ -197,10 +201,10 @@
     CHECK(only.gained.front().fencing == log_offset{0});
 }
 
-// A node crashes with requests running and comes back under its own name
-// within a second. It finds its own claim in the log and must not go on as if
-// nothing had happened: its former self may merely be cut off, not dead.
-TEST_CASE("a node restarts under its own name") {
+// A node crashes while requests run and restarts under the same name within a
+// second. It finds the claim of its former run in the log and must not continue
+// that ownership: the former run may only be cut off and still be alive.
+TEST_CASE("a node restarts under the same name") {
     cluster nodes({replica});
     nodes.start("a", 1);
     nodes.set_live({"a"});
@@ -214,7 +218,7 @@
     CHECK(nodes.now - restarted >= ownership_settings().claim_wait());
     CHECK(again.gained.front().fencing == log_offset{1});
 
-    SUBCASE("two runs that bear the same start time are told apart") {
+    SUBCASE("two runs with the same start time are distinguished") {
         test_node& twin = nodes.start("a", 2);
         twin.manager = ownership_manager({}, twin.self, std::mt19937_64(99));
         nodes.set_live({"a"});
@@ -223,10 +227,10 @@
     }
 }
 
-// A node sleeps for longer than the log keeps records. Claims have come and
-// gone unread; what it believed to hold may be another's. A user would see an
-// order from an owner of yesterday.
-TEST_CASE("the log trims while a node is paused") {
+// A node is paused for longer than the log retains records. Claims were
+// appended and expired unread, so a resource that the node held may belong to
+// another node. The test guards against commands from such an outdated owner.
+TEST_CASE("the log expires records while a node is paused") {
     cluster nodes({replica});
     nodes.start("a");
     nodes.start("b");
@@ -241,7 +245,8 @@
     nodes.node(holder).paused = false;
     nodes.set_live({"a", "b"});
     nodes.run(seconds(5));
-    // The heir renewed what expired, and the sleeper learned of it.
+    // The successor renewed the expired claim, and the paused node read the
+    // renewal.
     CHECK(nodes.node(holder).lost.size() == 1);
     CHECK(
         nodes.nodes_with_authority(replica) ==
@@ -252,7 +257,7 @@
     CHECK(seen->owner.node == node_id(successor));
     CHECK(seen->fencing == nodes.node(successor).gained.front().fencing);
 
-    SUBCASE("a later claim bears a higher number still") {
+    SUBCASE("a later claim has a higher fencing number") {
         nodes.node(successor).dead = true;
         nodes.set_live({holder});
         CHECK(nodes.run_until_owned(replica) == holder);
@@ -260,15 +265,15 @@
     }
 }
 
-// The log is down for a long time, and a node dies meanwhile. Nobody can
-// claim. Users of the other owners' replicas should notice little; those of
-// the dead node's are refused until the log is back, unless the engines guard
-// running adapters themselves.
-TEST_CASE("a log outage with a node's death inside") {
+// The log is down for a long time and a node crashes meanwhile, so no node can
+// claim its resources. Requests for the replicas of other owners must continue.
+// Requests for the replicas of the crashed node are refused until the log is
+// back, unless the engines themselves refuse to evict adapters in use.
+TEST_CASE("a node crashes during a log outage") {
     ownership_settings settings;
     bool guarded = false;
-    SUBCASE("engines evict whatever they are told to") {}
-    SUBCASE("engines refuse to evict what runs") {
+    SUBCASE("engines evict adapters in use") {}
+    SUBCASE("engines refuse to evict adapters in use") {
         guarded = true;
     }
     settings.engines_refuse_busy_evictions = guarded;
@@ -283,7 +288,8 @@
     nodes.log.down = true;
     nodes.run(seconds(10));
 
-    // Orders freeze, loads go on where the engine arbitrates, grants go on.
+    // Commands stop, loads continue where the engine checks fencing numbers,
+    // and grants continue.
     CHECK_FALSE(old.authority_for(replica, nodes.now));
     CHECK_FALSE(old.load_authority(replica, false, nodes.now));
     CHECK_FALSE(old.evict_authority(replica, nodes.now));
