--- a/src/Ownership/log_follower.cpp
+++ b/src/Ownership/log_follower.cpp
@@ -5,10 +5,11 @@
 namespace camphorpoint {
 
 log_follower::verdict
-log_follower::judge(log_batch const& batch) const noexcept {
-    // A head behind what was applied comes from a copy of the log that lags,
-    // or from an answer that was overtaken. Counting it as fresh would let a
-    // holder live on an old view of the log.
+log_follower::classify(log_batch const& batch) const noexcept {
+    // A head before the position already applied comes from a lagging replica
+    // of the log or from an answer that arrived out of order. Counting such an
+    // answer as fresh would extend a holder's lease on the basis of an outdated
+    // view of the log.
     if (batch.from > next_ || batch.head < next_) {
         return verdict::stale;
     }
@@ -17,27 +18,28 @@
 
 void log_follower::restart(log_offset first) noexcept {
     next_ = first;
-    fresh_at_.reset();
+    fresh_as_of_.reset();
 }
 
-void log_follower::applied(log_offset offset) noexcept {
+void log_follower::on_record_applied(log_offset offset) noexcept {
     next_ = log_offset{offset.value + 1};
 }
 
-bool log_follower::finished(log_batch const& batch) noexcept {
+bool log_follower::on_batch_applied(log_batch const& batch) noexcept {
     reading_ = false;
     if (!batch.reaches_head()) {
         next_read_ = batch.read_started;
         return false;
     }
-    // The start counts, not the answer's arrival: a claim may have been
-    // appended any time after the log looked.
-    fresh_at_ = std::max(fresh_at_.value_or(instant{}), batch.read_started);
+    // The start of the read counts, not the arrival of its answer: another node
+    // may have appended a claim at any time after the log served the read.
+    fresh_as_of_ =
+        std::max(fresh_as_of_.value_or(instant{}), batch.read_started);
     next_read_ = batch.read_started + poll_;
     return true;
 }
 
-void log_follower::failed(instant now) noexcept {
+void log_follower::on_read_failed(instant now) noexcept {
     reading_ = false;
     next_read_ = now + poll_;
 }
--- a/test/ownership_fuzz_test.cpp
+++ b/test/ownership_fuzz_test.cpp
@@ -19,8 +19,9 @@
     return {replica_resource(endpoint_id("engine-1")), key_shard_resource(7)};
 }
 
-/// Lets something go wrong, or right again.
-void disturb(cluster& nodes, std::mt19937_64& random, std::uint64_t& run) {
+/// Injects a random fault or ends a fault.
+void inject_random_event(
+    cluster& nodes, std::mt19937_64& random, std::uint64_t& run) {
     std::vector<std::string> const names{"a", "b", "c"};
     std::string const& name = names[random() % names.size()];
     test_node& which = nodes.node(name);
@@ -38,18 +39,18 @@
         nodes.log.lose_answer = true;
         break;
     case 4:
-        nodes.messages = !nodes.messages;
+        nodes.messages_arrive = !nodes.messages_arrive;
         break;
     case 5:
-        nodes.stop_at_once = !nodes.stop_at_once;
+        nodes.services_stop_at_once = !nodes.services_stop_at_once;
         break;
     case 6:
         if (!which.paused) {
-            which.decider.start_drain(nodes.clock_of(which));
+            which.manager.start_drain(nodes.clock_of(which));
         }
         break;
     case 7: {
-        test_node& fresh = nodes.start_beside(name, ++run);
+        test_node& fresh = nodes.start_second_run(name, ++run);
         fresh.clock_ahead = milliseconds(random() % 1'000'000);
         break;
     }
@@ -57,7 +58,7 @@
         nodes.log.expire();
         break;
     case 9: {
-        // The nodes see each other dead or alive as it happens.
+        // Each node is seen as alive or failed at random.
         std::vector<std::string> seen;
         for (std::string const& each : names) {
             if (random() % 3 != 0) {
@@ -68,22 +69,24 @@
         break;
     }
     default:
-        // Mostly things come right again.
+        // Most events end the faults, so that the nodes can make progress.
         which.paused = false;
         which.cut_from_log = false;
         nodes.log.down = false;
-        nodes.messages = true;
+        nodes.messages_arrive = true;
         nodes.set_live(names);
     }
 }
 
 } // namespace
 
-// Whatever comes together, and in whichever order: pauses, cuts, outages,
-// lost answers, restarts beside a former self, half-done handovers, expired
-// records, slow and lagging reads, clocks that differ. A user would see two
-// nodes order one engine, or an adapter evicted under a request.
-TEST_CASE("never two deciders, never an eviction beside another's grant") {
+// Runs random combinations of pauses, partitions, outages, lost answers,
+// restarts beside a former run, unfinished handovers, expired records, slow and
+// lagging reads, and clocks that differ. The test guards against two nodes that
+// send commands to one engine and against the eviction of an adapter that a
+// running request uses.
+TEST_CASE(
+    "at most one node has authority, and no node evicts while two may grant") {
     std::size_t acted = 0;
     std::size_t changed = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -92,8 +95,8 @@
         settings.grant_lease = seconds(20);
         settings.log_liveness_window = seconds(2);
         cluster nodes(two_resources(), settings);
-        nodes.slowness = 8;
-        nodes.behind = settings.read_lag;
+        nodes.max_answer_steps = 8;
+        nodes.max_copy_lag = settings.read_lag;
         nodes.random.seed(seed);
         std::uint64_t run = 1;
         for (std::string const each : {"a", "b", "c"}) {
@@ -106,11 +109,12 @@
         nodes.set_live({"a", "b", "c"});
         std::map<resource_id, std::string> last;
         for (int round = 0; round < rounds; ++round) {
-            disturb(nodes, random, run);
+            inject_random_event(nodes, random, run);
             for (std::uint64_t count = random() % 30; count > 0; --count) {
                 nodes.run(step);
                 for (resource_id const& each : two_resources()) {
-                    std::vector<std::string> const found = nodes.acting(each);
+                    std::vector<std::string> const found =
+                        nodes.nodes_with_authority(each);
                     REQUIRE_MESSAGE(found.size() <= 1, "seed ", seed);
                     acted += found.size();
                     if (!found.empty() && last[each] != found.front()) {
@@ -122,10 +126,11 @@
             }
         }
     }
-    // The run is worth nothing when nobody ever owned, or never changed.
+    // Without owners and changes of owner the checks above would not test
+    // anything.
     CHECK(acted > 10'000);
     CHECK(changed > 500);
-    MESSAGE("steps with a decider: ", acted, ", changes: ", changed);
+    MESSAGE("steps with an owner: ", acted, ", changes of owner: ", changed);
 }
 
 } // namespace camphorpoint::ownership_test
