--- a/src/Keys/entry_key_tracker.cpp
+++ b/src/Keys/entry_key_tracker.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t only_attempt = 1;
 
 /// @returns true when the owner, or the next one, may say otherwise soon
-bool may_ask_again(reason why) noexcept {
+bool may_retry(reason why) noexcept {
     return why == reason::owner_unreachable || why == reason::not_ready ||
            why == reason::draining || why == reason::key_clock_disagrees;
 }
@@ -27,7 +27,7 @@
     owners_[shard] = owner;
     for (auto& [id, each] : open_) {
         if (each.shard == shard) {
-            each.next_ask = {};
+            each.next_request_at = {};
         }
     }
 }
@@ -39,106 +39,108 @@
     each.request.key = canonical_key(request.key);
     each.shard = key_shard_of(each.request.key);
     if (!request.idempotent && !parse_key_time(each.request.key)) {
-        settle(each, key_verdict::refused, reason::key_invalid);
+        decide(each, key_verdict::refused, reason::key_invalid);
         return;
     }
-    each.patience_ends =
+    each.wait_until =
         clock.now + (request.idempotent ? settings_.idempotent_wait_budget
                                         : settings_.owner_wait_budget);
-    auto const [place, is_new] = open_.try_emplace(request.id, each);
+    auto const [position, is_new] = open_.try_emplace(request.id, each);
     if (is_new) {
-        send_ask(place->second, clock);
+        send_permission_request(position->second, clock);
     }
 }
 
-void entry_key_tracker::send_ask(
+void entry_key_tracker::send_permission_request(
     open_request& each, clock_reading const& clock) {
-    bool const waits = each.now_in == phase::waiting;
-    each.next_ask = clock.now + (waits ? settings_.waiting_retry_interval
-                                       : settings_.request_retry_interval);
+    bool const is_waiting = each.current_phase == phase::waiting;
+    each.next_request_at =
+        clock.now + (is_waiting ? settings_.waiting_retry_interval
+                                : settings_.request_retry_interval);
     node_id const& owner = owners_[each.shard];
     if (owner.empty()) {
         return;
     }
-    key_permission_request ask;
-    ask.request = each.request.id;
-    ask.attempt = only_attempt;
-    ask.key = each.request.key;
-    ask.body_digest = each.request.body_digest;
-    ask.shard = each.shard;
-    ask.idempotent = each.request.idempotent;
-    ask.time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
+    key_permission_request message;
+    message.request = each.request.id;
+    message.attempt = only_attempt;
+    message.key = each.request.key;
+    message.body_digest = each.request.body_digest;
+    message.shard = each.shard;
+    message.idempotent = each.request.idempotent;
+    message.time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
         each.request.deadline - clock.now);
-    ask.sent = clock.wall;
-    actions_.push_back(key_send{owner, std::move(ask)});
+    message.sent = clock.wall;
+    actions_.push_back(key_send{owner, std::move(message)});
 }
 
-void entry_key_tracker::settle(
+void entry_key_tracker::decide(
     open_request const& each, key_verdict verdict, reason why,
     std::string answer) {
-    key_decision settled;
-    settled.request = each.request.id;
-    settled.verdict = verdict;
-    settled.why = why;
-    settled.answer = std::move(answer);
-    bool const come_back =
+    key_decision decision;
+    decision.request = each.request.id;
+    decision.verdict = verdict;
+    decision.why = why;
+    decision.answer = std::move(answer);
+    bool const may_retry_later =
         verdict == key_verdict::refused || verdict == key_verdict::unknown;
-    settled.retry_after =
-        come_back ? settings_.retry_after : std::chrono::milliseconds(0);
-    actions_.push_back(std::move(settled));
+    decision.retry_after =
+        may_retry_later ? settings_.retry_after : std::chrono::milliseconds(0);
+    actions_.push_back(std::move(decision));
 }
 
 void entry_key_tracker::start(open_request& each) {
-    each.now_in = phase::running;
-    settle(each, key_verdict::run, reason::none);
+    each.current_phase = phase::running;
+    decide(each, key_verdict::run, reason::none);
 }
 
 void entry_key_tracker::on_reply(
     key_reply const& reply, clock_reading const& clock) {
     auto const found = open_.find(reply.request);
     if (found == open_.end() || reply.attempt != only_attempt) {
-        take_late_permission(reply, clock.now);
+        handle_late_permission(reply, clock.now);
         return;
     }
-    if (take_reply(found->second, reply, clock)) {
+    if (handle_reply(found->second, reply, clock)) {
         open_.erase(found);
     }
 }
 
 /// @returns true when the request is over
-bool entry_key_tracker::take_reply(
+bool entry_key_tracker::handle_reply(
     open_request& each, key_reply const& reply, clock_reading const& clock) {
     if (reply.verdict == key_verdict::run) {
-        return take_permission(each, reply, clock);
+        return handle_permission(each, reply, clock);
     }
-    if (each.now_in == phase::running) {
+    if (each.current_phase == phase::running) {
         return false;
     }
     if (reply.verdict == key_verdict::wait) {
-        each.now_in = phase::waiting;
-        each.patience_ends = each.request.deadline;
-        each.next_ask = clock.now + settings_.waiting_retry_interval;
+        each.current_phase = phase::waiting;
+        each.wait_until = each.request.deadline;
+        each.next_request_at = clock.now + settings_.waiting_retry_interval;
         return false;
     }
-    if (reply.verdict == key_verdict::refused && may_ask_again(reply.why)) {
-        bool const joined = each.now_in == phase::waiting;
-        if (joined) {
-            each.now_in = phase::asking;
-            each.patience_ends = clock.now + settings_.owner_wait_budget;
+    if (reply.verdict == key_verdict::refused && may_retry(reply.why)) {
+        bool const was_waiting = each.current_phase == phase::waiting;
+        if (was_waiting) {
+            each.current_phase = phase::requesting;
+            each.wait_until = clock.now + settings_.owner_wait_budget;
         }
-        each.next_ask =
-            joined ? clock.now : clock.now + settings_.request_retry_interval;
+        each.next_request_at =
+            was_waiting ? clock.now
+                        : clock.now + settings_.request_retry_interval;
         return false;
     }
-    remember(each, {}, true, tell::no, clock.now);
-    settle(each, reply.verdict, reply.why, reply.answer);
+    keep_completion(each, {}, true, notify::no, clock.now);
+    decide(each, reply.verdict, reply.why, reply.answer);
     return true;
 }
 
 /// @returns true when the request is over
-bool entry_key_tracker::take_permission(
+bool entry_key_tracker::handle_permission(
     open_request& each, key_reply const& reply, clock_reading const& clock) {
-    if (each.now_in == phase::running) {
+    if (each.current_phase == phase::running) {
         // Idempotent work that began without an owner's word is recorded now.
         if (each.permission == 0) {
             each.permission = reply.permission;
@@ -153,34 +155,35 @@
         return false;
     }
     // The only permission is in hand and goes unused: nothing ran.
-    key_completion end;
-    end.how = outcome::not_run;
-    end.why = reason::deadline_passed;
-    remember(each, end, true, tell::until_noted, clock.now);
-    settle(each, key_verdict::refused, reason::deadline_passed);
+    key_completion completion;
+    completion.how = outcome::not_run;
+    completion.why = reason::deadline_passed;
+    keep_completion(
+        each, completion, true, notify::until_acknowledged, clock.now);
+    decide(each, key_verdict::refused, reason::deadline_passed);
     return true;
 }
 
-void entry_key_tracker::take_late_permission(
+void entry_key_tracker::handle_late_permission(
     key_reply const& reply, instant now) {
     // The request was given up here before its permission came: without a word
     // the key would stay unknown, though nothing ran. What is remembered is how
     // the request ended here, so saying it again is true at any time.
-    auto const found = ended_.find(reply.request);
-    if (reply.verdict != key_verdict::run || found == ended_.end()) {
+    auto const found = completed_.find(reply.request);
+    if (reply.verdict != key_verdict::run || found == completed_.end()) {
         return;
     }
-    found->second.end.permission = reply.permission;
-    found->second.end.fencing = reply.fencing;
-    unnoted_.insert(reply.request);
-    send_end(found->second, now);
+    found->second.completion.permission = reply.permission;
+    found->second.completion.fencing = reply.fencing;
+    unacknowledged_.insert(reply.request);
+    send_completion(found->second, now);
 }
 
-void entry_key_tracker::on_completion_ack(key_completion_ack const& noted) {
-    unnoted_.erase(noted.request);
-    auto const found = ended_.find(noted.request);
-    if (found != ended_.end() && !found->second.withdrawn) {
-        ended_.erase(found);
+void entry_key_tracker::on_completion_ack(key_completion_ack const& ack) {
+    unacknowledged_.erase(ack.request);
+    auto const found = completed_.find(ack.request);
+    if (found != completed_.end() && !found->second.withdrawn) {
+        completed_.erase(found);
     }
 }
 
@@ -188,75 +191,76 @@
     request_id const& id, outcome how, reason why, std::string answer,
     clock_reading const& clock) {
     auto const found = open_.find(id);
-    if (found == open_.end() || found->second.now_in != phase::running) {
+    if (found == open_.end() || found->second.current_phase != phase::running) {
         return;
     }
-    key_completion end;
-    end.how = how;
-    end.why = why;
-    end.answer = std::move(answer);
+    key_completion completion;
+    completion.how = how;
+    completion.why = why;
+    completion.answer = std::move(answer);
     bool const recorded = found->second.permission != 0;
-    remember(
-        found->second, std::move(end), false,
-        recorded ? tell::until_noted : tell::no, clock.now);
+    keep_completion(
+        found->second, std::move(completion), false,
+        recorded ? notify::until_acknowledged : notify::no, clock.now);
     open_.erase(found);
 }
 
 void entry_key_tracker::withdraw(
     request_id const& id, clock_reading const& clock) {
     auto const found = open_.find(id);
-    if (found == open_.end() || found->second.now_in == phase::running) {
+    if (found == open_.end() || found->second.current_phase == phase::running) {
         return;
     }
-    key_completion end;
-    end.how = outcome::not_run;
-    end.why = reason::caller_gone;
-    remember(found->second, end, true, tell::until_noted, clock.now);
+    key_completion completion;
+    completion.how = outcome::not_run;
+    completion.why = reason::caller_gone;
+    keep_completion(
+        found->second, completion, true, notify::until_acknowledged, clock.now);
     open_.erase(found);
 }
 
-void entry_key_tracker::remember(
-    open_request const& each, key_completion end, bool withdrawn, tell owner,
-    instant now) {
-    end.request = each.request.id;
-    end.attempt = only_attempt;
-    end.key = each.request.key;
-    end.body_digest = each.request.body_digest;
-    end.shard = each.shard;
-    end.idempotent = each.request.idempotent;
-    end.permission = each.permission;
-    end.fencing = each.fencing;
+void entry_key_tracker::keep_completion(
+    open_request const& each, key_completion completion, bool withdrawn,
+    notify owner, instant now) {
+    completion.request = each.request.id;
+    completion.attempt = only_attempt;
+    completion.key = each.request.key;
+    completion.body_digest = each.request.body_digest;
+    completion.shard = each.shard;
+    completion.idempotent = each.request.idempotent;
+    completion.permission = each.permission;
+    completion.fencing = each.fencing;
     if (withdrawn) {
-        end.how = outcome::not_run;
+        completion.how = outcome::not_run;
     }
-    if (owner == tell::no && !withdrawn) {
+    if (owner == notify::no && !withdrawn) {
         return;
     }
-    ended_request& kept = ended_[each.request.id];
-    kept.end = std::move(end);
-    kept.forget_at = now + settings_.completion_retention;
-    kept.withdrawn = withdrawn;
-    ended_order_.push_back(each.request.id);
-    if (owner == tell::until_noted) {
-        unnoted_.insert(each.request.id);
-        send_end(kept, now);
+    completed_request& stored = completed_[each.request.id];
+    stored.completion = std::move(completion);
+    stored.forget_at = now + settings_.completion_retention;
+    stored.withdrawn = withdrawn;
+    completed_order_.push_back(each.request.id);
+    if (owner == notify::until_acknowledged) {
+        unacknowledged_.insert(each.request.id);
+        send_completion(stored, now);
     }
 }
 
-void entry_key_tracker::send_end(ended_request& each, instant now) {
+void entry_key_tracker::send_completion(completed_request& each, instant now) {
     each.next_send = now + settings_.heartbeat_period;
-    node_id const& owner = owners_[each.end.shard];
+    node_id const& owner = owners_[each.completion.shard];
     if (!owner.empty()) {
-        actions_.push_back(key_send{owner, each.end});
+        actions_.push_back(key_send{owner, each.completion});
     }
 }
 
 void entry_key_tracker::tick(clock_reading const& clock) {
-    for (auto place = open_.begin(); place != open_.end();) {
-        bool const over = tick_open(place->second, clock);
-        place = over ? open_.erase(place) : std::next(place);
+    for (auto position = open_.begin(); position != open_.end();) {
+        bool const finished = tick_open(position->second, clock);
+        position = finished ? open_.erase(position) : std::next(position);
     }
-    tick_ended(clock.now);
+    tick_completed(clock.now);
     if (clock.now >= next_heartbeat_) {
         next_heartbeat_ = clock.now + settings_.heartbeat_period;
         send_heartbeats();
@@ -270,82 +274,83 @@
 /// @returns true when the request is over
 bool entry_key_tracker::tick_open(
     open_request& each, clock_reading const& clock) {
-    if (each.now_in == phase::running) {
+    if (each.current_phase == phase::running) {
         return false;
     }
-    if (clock.now >= std::min(each.patience_ends, each.request.deadline)) {
-        return give_up(each, clock);
+    if (clock.now >= std::min(each.wait_until, each.request.deadline)) {
+        return time_out(each, clock);
     }
-    if (clock.now >= each.next_ask) {
-        send_ask(each, clock);
+    if (clock.now >= each.next_request_at) {
+        send_permission_request(each, clock);
     }
     return false;
 }
 
 /// @returns true when the request is over
-bool entry_key_tracker::give_up(
+bool entry_key_tracker::time_out(
     open_request& each, clock_reading const& clock) {
     bool const in_time = clock.now < each.request.deadline;
     if (each.request.idempotent && in_time) {
         start(each);
         return false;
     }
-    bool const joined = each.now_in == phase::waiting;
-    key_completion end;
-    end.why = reason::deadline_passed;
-    remember(each, end, true, tell::until_noted, clock.now);
+    bool const was_waiting = each.current_phase == phase::waiting;
+    key_completion completion;
+    completion.why = reason::deadline_passed;
+    keep_completion(
+        each, completion, true, notify::until_acknowledged, clock.now);
     // Not "not run": this request did not run here, but an earlier one with
     // the same key may have, and the caller must not book anew on our word.
-    settle(
+    decide(
         each, key_verdict::unknown,
-        joined ? reason::already_running : reason::owner_unreachable);
+        was_waiting ? reason::already_running : reason::owner_unreachable);
     return true;
 }
 
-void entry_key_tracker::tick_ended(instant now) {
-    for (request_id const& id : unnoted_) {
-        ended_request& each = ended_.at(id);
+void entry_key_tracker::tick_completed(instant now) {
+    for (request_id const& id : unacknowledged_) {
+        completed_request& each = completed_.at(id);
         if (now >= each.next_send) {
-            send_end(each, now);
+            send_completion(each, now);
         }
     }
-    while (!ended_order_.empty()) {
-        auto const oldest = ended_.find(ended_order_.front());
-        bool const over = oldest == ended_.end() ||
-                          now >= oldest->second.forget_at ||
-                          ended_order_.size() > settings_.most_ended;
-        if (!over) {
+    while (!completed_order_.empty()) {
+        auto const oldest = completed_.find(completed_order_.front());
+        bool const finished =
+            oldest == completed_.end() || now >= oldest->second.forget_at ||
+            completed_order_.size() > settings_.most_completed;
+        if (!finished) {
             return;
         }
-        unnoted_.erase(ended_order_.front());
-        ended_order_.pop_front();
-        if (oldest != ended_.end()) {
-            ended_.erase(oldest);
+        unacknowledged_.erase(completed_order_.front());
+        completed_order_.pop_front();
+        if (oldest != completed_.end()) {
+            completed_.erase(oldest);
         }
     }
 }
 
 void entry_key_tracker::send_heartbeats() {
-    std::map<node_id, key_heartbeat> beats;
+    std::map<node_id, key_heartbeat> heartbeats;
     for (auto const& [id, each] : open_) {
         node_id const& owner = owners_[each.shard];
-        if (each.now_in != phase::running || each.permission == 0 ||
+        if (each.current_phase != phase::running || each.permission == 0 ||
             owner.empty()) {
             continue;
         }
-        running_key held;
-        held.request = id;
-        held.attempt = only_attempt;
-        held.key = each.request.key;
-        held.body_digest = each.request.body_digest;
-        held.shard = each.shard;
-        held.idempotent = each.request.idempotent;
-        held.permission = each.permission;
-        held.fencing = each.fencing;
-        beats[owner].held.push_back(std::move(held));
+        running_key running;
+        running.request = id;
+        running.attempt = only_attempt;
+        running.key = each.request.key;
+        running.body_digest = each.request.body_digest;
+        running.shard = each.shard;
+        running.idempotent = each.request.idempotent;
+        running.permission = each.permission;
+        running.fencing = each.fencing;
+        heartbeats[owner].running.push_back(std::move(running));
     }
-    for (auto& [owner, beat] : beats) {
-        actions_.push_back(key_send{owner, std::move(beat)});
+    for (auto& [owner, heartbeat] : heartbeats) {
+        actions_.push_back(key_send{owner, std::move(heartbeat)});
     }
 }
 
--- a/src/Keys/entry_key_tracker.hpp
+++ b/src/Keys/entry_key_tracker.hpp
@@ -39,7 +39,7 @@
     /// An owner's answer has come.
     void on_reply(key_reply const& reply, clock_reading const& clock);
     /// An owner has noted an end.
-    void on_completion_ack(key_completion_ack const& noted);
+    void on_completion_ack(key_completion_ack const& ack);
     /// A request with verdict `run` has ended.
     /// @param how not_run only while no byte can have reached an endpoint
     void complete(
@@ -56,56 +56,57 @@
     /// @returns requests that ask, wait or run
     std::size_t open() const noexcept { return open_.size(); }
     /// @returns ended requests that are still remembered
-    std::size_t remembered() const noexcept { return ended_.size(); }
+    std::size_t completed_count() const noexcept { return completed_.size(); }
 
 private:
-    enum class phase : std::uint8_t { asking, waiting, running };
+    enum class phase : std::uint8_t { requesting, waiting, running };
     struct open_request {
         keyed_request request;
         key_shard shard = 0;
-        phase now_in = phase::asking;
-        instant patience_ends;
-        instant next_ask;
+        phase current_phase = phase::requesting;
+        instant wait_until;
+        instant next_request_at;
         std::uint64_t permission = 0;
         log_offset fencing;
     };
-    struct ended_request {
-        key_completion end;
+    struct completed_request {
+        key_completion completion;
         instant next_send;
         instant forget_at;
         /// True when it never ran here, and never will.
         bool withdrawn = false;
     };
     /// Whether the owner has to be told of an end.
-    enum class tell : std::uint8_t { no, until_noted };
+    enum class notify : std::uint8_t { no, until_acknowledged };
 
-    void send_ask(open_request& each, clock_reading const& clock);
-    void send_end(ended_request& each, instant now);
-    void settle(
+    void
+    send_permission_request(open_request& each, clock_reading const& clock);
+    void send_completion(completed_request& each, instant now);
+    void decide(
         open_request const& each, key_verdict verdict, reason why,
         std::string answer = {});
     void start(open_request& each);
-    bool give_up(open_request& each, clock_reading const& clock);
-    bool take_reply(
+    bool time_out(open_request& each, clock_reading const& clock);
+    bool handle_reply(
         open_request& each, key_reply const& reply, clock_reading const& clock);
-    bool take_permission(
+    bool handle_permission(
         open_request& each, key_reply const& reply, clock_reading const& clock);
-    void take_late_permission(key_reply const& reply, instant now);
-    void remember(
-        open_request const& each, key_completion end, bool withdrawn,
-        tell owner, instant now);
+    void handle_late_permission(key_reply const& reply, instant now);
+    void keep_completion(
+        open_request const& each, key_completion completion, bool withdrawn,
+        notify owner, instant now);
     bool tick_open(open_request& each, clock_reading const& clock);
-    void tick_ended(instant now);
+    void tick_completed(instant now);
     void send_heartbeats();
 
     entry_key_settings settings_;
     std::array<node_id, key_shard_count> owners_;
     std::map<request_id, open_request> open_;
-    std::map<request_id, ended_request> ended_;
+    std::map<request_id, completed_request> completed_;
     /// Ended requests, the oldest first.
-    std::deque<request_id> ended_order_;
+    std::deque<request_id> completed_order_;
     /// Ends that their owners have not noted.
-    std::set<request_id> unnoted_;
+    std::set<request_id> unacknowledged_;
     instant next_heartbeat_;
     std::vector<key_action> actions_;
 };
--- a/src/Keys/key_memory.hpp
+++ b/src/Keys/key_memory.hpp
@@ -15,7 +15,7 @@
     /// @returns false when no further record may be made
     bool has_capacity() const noexcept { return records_ < most_records_; }
     /// @returns true while more answers are kept than may be
-    bool answers_over() const noexcept {
+    bool answers_over_limit() const noexcept {
         return answer_bytes_ > most_answer_bytes_;
     }
     void add_records(std::size_t count) noexcept { records_ += count; }
--- a/src/Keys/key_messages.hpp
+++ b/src/Keys/key_messages.hpp
@@ -112,7 +112,7 @@
 /// Entry node to owner, every second while it runs any: the keys that it runs.
 /// One that is not named for a while becomes unknown.
 struct key_heartbeat {
-    std::vector<running_key> held;
+    std::vector<running_key> running;
 
     template <class Archive>
     void serialize(Archive& archive);
@@ -176,7 +176,7 @@
 
 template <class Archive>
 void key_heartbeat::serialize(Archive& archive) {
-    archive(held);
+    archive(running);
 }
 
 template <class Archive>
--- a/src/Keys/key_owner.cpp
+++ b/src/Keys/key_owner.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds between_clock_warnings{10};
+constexpr std::chrono::seconds clock_warning_interval{10};
 
 } // namespace
 
@@ -17,17 +17,17 @@
         old != tables_.end() && claim.previous == old->second.fencing();
     claims_[shard] = claim;
     if (continues) {
-        old->second.begin(claim.fencing);
+        old->second.begin_claim(claim.fencing);
         return;
     }
     tables_.erase(shard);
     key_table& table =
         tables_.try_emplace(shard, settings_, memory_, shard).first->second;
-    table.begin(claim.fencing);
+    table.begin_claim(claim.fencing);
     // The earlier holder's clock may have been ahead of this one by the clock
     // error, and it took keys ahead of its clock by the limit.
     if (!claim.first) {
-        table.know_nothing_up_to(
+        table.set_unknown_up_to(
             clock.wall + settings_.ahead_limit + settings_.clock_error);
     }
     adopt_staged(shard, clock);
@@ -39,46 +39,47 @@
 }
 
 void key_owner::on_permission_request(
-    node_id const& from, key_permission_request const& ask,
+    node_id const& from, key_permission_request const& message,
     instant authority_until, clock_reading const& clock) {
-    auto const found = tables_.find(ask.shard);
+    auto const found = tables_.find(message.shard);
     if (found == tables_.end()) {
-        refuse(from, ask, reason::owner_unreachable);
+        refuse(from, message, reason::owner_unreachable);
         return;
     }
     key_table& table = found->second;
-    bool const agree = clocks_agree(from, ask, clock);
-    if (!agree && !ask.idempotent && table.find(ask.key) == nullptr) {
-        refuse(from, ask, reason::key_clock_disagrees);
+    bool const agree = clocks_agree(from, message, clock);
+    if (!agree && !message.idempotent && table.find(message.key) == nullptr) {
+        refuse(from, message, reason::key_clock_disagrees);
         return;
     }
-    table.ask(from, ask, clock.now < authority_until, clock);
+    table.on_permission_request(
+        from, message, clock.now < authority_until, clock);
     send_replies(table);
 }
 
 void key_owner::on_completion(
-    node_id const& from, key_completion const& end, instant authority_until,
-    clock_reading const& clock) {
-    auto const found = tables_.find(end.shard);
+    node_id const& from, key_completion const& completion,
+    instant authority_until, clock_reading const& clock) {
+    auto const found = tables_.find(completion.shard);
     if (found == tables_.end()) {
         return;
     }
     key_table& table = found->second;
-    bool const may_decide = clock.now < authority_until;
-    if (table.finish(from, end, may_decide, clock)) {
-        actions_.push_back(
-            key_send{from, key_completion_ack{end.request, end.attempt}});
+    bool const has_authority = clock.now < authority_until;
+    if (table.on_completion(from, completion, has_authority, clock)) {
+        actions_.push_back(key_send{
+            from, key_completion_ack{completion.request, completion.attempt}});
     }
     send_replies(table);
 }
 
 void key_owner::on_heartbeat(
-    node_id const& from, key_heartbeat const& beat,
+    node_id const& from, key_heartbeat const& heartbeat,
     clock_reading const& clock) {
-    for (running_key const& each : beat.held) {
+    for (running_key const& each : heartbeat.running) {
         auto const found = tables_.find(each.shard);
         if (found != tables_.end()) {
-            found->second.heard(from, each, clock);
+            found->second.on_heartbeat(from, each, clock);
         }
     }
 }
@@ -108,10 +109,12 @@
     // Only the table of the claim right before this one is whole: a holder
     // that closed its table gives nothing more under that claim. An older one
     // lacks what a later holder let run.
-    bool const whole = staged->second.parts.size() == staged->second.expected;
-    bool const right_before = claim->second.handed_over &&
-                              claim->second.previous == staged->second.fencing;
-    if (!whole || !right_before) {
+    bool const complete =
+        staged->second.parts.size() == staged->second.expected;
+    bool const is_direct_predecessor =
+        claim->second.handed_over &&
+        claim->second.previous == staged->second.fencing;
+    if (!complete || !is_direct_predecessor) {
         return;
     }
     std::vector<key_record> all;
@@ -135,7 +138,7 @@
 void key_owner::reopen(key_shard shard) {
     auto const found = tables_.find(shard);
     if (found != tables_.end()) {
-        found->second.begin(found->second.fencing());
+        found->second.begin_claim(found->second.fencing());
     }
 }
 
@@ -163,36 +166,37 @@
 }
 
 bool key_owner::clocks_agree(
-    node_id const& from, key_permission_request const& ask,
+    node_id const& from, key_permission_request const& message,
     clock_reading const& clock) {
     // A node whose calendar clock is off (time synchronisation failed) breaks
     // the bound of the takeover check; it would show as a second run after a
     // crash. An ask that was long on its way looks the same, and comes again.
-    auto const ahead = ask.sent - clock.wall;
+    auto const ahead = message.sent - clock.wall;
     if (ahead <= settings_.clock_error && -ahead <= settings_.clock_error) {
         return true;
     }
-    if (!warned_ || clock.now - *warned_ >= between_clock_warnings) {
-        warned_ = clock.now;
+    if (!last_clock_warning_ ||
+        clock.now - *last_clock_warning_ >= clock_warning_interval) {
+        last_clock_warning_ = clock.now;
         actions_.push_back(key_clock_skew{from, ahead});
     }
     return false;
 }
 
 void key_owner::refuse(
-    node_id const& to, key_permission_request const& ask, reason why) {
-    key_reply said;
-    said.request = ask.request;
-    said.attempt = ask.attempt;
-    said.shard = ask.shard;
-    said.verdict = key_verdict::refused;
-    said.why = why;
-    said.retry_after = settings_.retry_after;
-    actions_.push_back(key_send{to, said});
+    node_id const& to, key_permission_request const& message, reason why) {
+    key_reply reply_message;
+    reply_message.request = message.request;
+    reply_message.attempt = message.attempt;
+    reply_message.shard = message.shard;
+    reply_message.verdict = key_verdict::refused;
+    reply_message.why = why;
+    reply_message.retry_after = settings_.retry_after;
+    actions_.push_back(key_send{to, reply_message});
 }
 
 void key_owner::send_replies(key_table& table) {
-    for (addressed_reply& each : table.take_replies()) {
+    for (addressed_reply& each : table.drain_replies()) {
         actions_.push_back(key_send{each.to, std::move(each.reply)});
     }
 }
--- a/src/Keys/key_owner.hpp
+++ b/src/Keys/key_owner.hpp
@@ -47,15 +47,15 @@
     /// @param authority_until when this node's authority over the shard ends;
     ///        the epoch when it has none
     void on_permission_request(
-        node_id const& from, key_permission_request const& ask,
+        node_id const& from, key_permission_request const& message,
         instant authority_until, clock_reading const& clock);
     /// Notes how the work under a key ended, and answers who waited for it.
     void on_completion(
-        node_id const& from, key_completion const& end, instant authority_until,
-        clock_reading const& clock);
+        node_id const& from, key_completion const& completion,
+        instant authority_until, clock_reading const& clock);
     /// Notes which keys an entry node still runs.
     void on_heartbeat(
-        node_id const& from, key_heartbeat const& beat,
+        node_id const& from, key_heartbeat const& heartbeat,
         clock_reading const& clock);
     /// Takes a part of a table that a holder hands over to this node.
     void on_handover(key_handover const& part, clock_reading const& clock);
@@ -88,11 +88,11 @@
     };
 
     bool clocks_agree(
-        node_id const& from, key_permission_request const& ask,
+        node_id const& from, key_permission_request const& message,
         clock_reading const& clock);
     void adopt_staged(key_shard shard, clock_reading const& clock);
-    void
-    refuse(node_id const& to, key_permission_request const& ask, reason why);
+    void refuse(
+        node_id const& to, key_permission_request const& message, reason why);
     void send_replies(key_table& table);
 
     key_settings settings_;
@@ -100,7 +100,7 @@
     std::map<key_shard, key_table> tables_;
     std::map<key_shard, key_claim> claims_;
     std::map<key_shard, staged_table> staged_;
-    std::optional<instant> warned_;
+    std::optional<instant> last_clock_warning_;
     std::vector<key_action> actions_;
 };
 
--- a/src/Keys/key_record.hpp
+++ b/src/Keys/key_record.hpp
@@ -29,7 +29,7 @@
     bool idempotent = false;
     key_state state = key_state::running;
     /// The entry node that has the permission, with its request.
-    node_id entry;
+    node_id entry_node;
     request_id request;
     std::uint32_t attempt = 0;
     std::uint64_t permission = 0;
@@ -49,7 +49,7 @@
 void key_record::serialize(Archive& archive) {
     auto forget = forget_after.time_since_epoch().count();
     archive(
-        key, body_digest, idempotent, state, entry, request, attempt,
+        key, body_digest, idempotent, state, entry_node, request, attempt,
         permission, fencing, why, answer_kept, answer, forget);
     forget_after = wall_time(std::chrono::milliseconds(forget));
 }
--- a/src/Keys/key_settings.hpp
+++ b/src/Keys/key_settings.hpp
@@ -46,7 +46,7 @@
     /// how long a withdrawn request is remembered.
     std::chrono::milliseconds completion_retention{600'000};
     /// Ended requests remembered at the most.
-    std::size_t most_ended = 10'000;
+    std::size_t most_completed = 10'000;
     /// What callers are told to wait before they ask again.
     std::chrono::milliseconds retry_after{1'000};
 };
--- a/src/Keys/key_table.cpp
+++ b/src/Keys/key_table.cpp
@@ -10,12 +10,12 @@
 
 /// Records looked at in one tick: a sweep over a full node's records takes
 /// seconds, which is nothing beside the retention, and a tick stays short.
-constexpr std::size_t looked_at_in_tick = 8;
+constexpr std::size_t records_checked_per_tick = 8;
 
-bool holds(
+bool holds_permission(
     key_record const& record, node_id const& from, request_id const& request,
     std::uint32_t attempt) {
-    return record.entry == from && record.request == request &&
+    return record.entry_node == from && record.request == request &&
            record.attempt == attempt;
 }
 
@@ -39,105 +39,105 @@
     memory_.drop_records(entries_.size());
 }
 
-void key_table::begin(log_offset fencing) {
+void key_table::begin_claim(log_offset fencing) {
     assert(fencing >= fencing_ && "a claim's offset only grows");
     fencing_ = fencing;
     closed_ = false;
 }
 
-void key_table::know_nothing_up_to(wall_time bound) {
+void key_table::set_unknown_up_to(wall_time bound) {
     unknown_up_to_ = std::max(unknown_up_to_, bound);
 }
 
-void key_table::ask(
-    node_id const& from, key_permission_request const& ask, bool may_decide,
-    clock_reading const& clock) {
-    bool const long_key = ask.key.str().size() > settings_.longest_key;
-    if (long_key || (!ask.idempotent && !parse_key_time(ask.key))) {
-        reply(from, ask, key_verdict::refused, reason::key_invalid);
+void key_table::on_permission_request(
+    node_id const& from, key_permission_request const& message,
+    bool has_authority, clock_reading const& clock) {
+    bool const long_key = message.key.str().size() > settings_.longest_key;
+    if (long_key || (!message.idempotent && !parse_key_time(message.key))) {
+        reply(from, message, key_verdict::refused, reason::key_invalid);
         return;
     }
     // A paused holder whose authority has lapsed would give a permission
     // beside its successor's. It shows as a booking that ran twice. The
     // authority ends before the successor's begins, and a permission that left
     // in time is for a key that the successor refuses by its time.
-    bool const may_give = may_decide && !closed_;
-    auto const found = entries_.find(ask.key);
+    bool const may_grant = has_authority && !closed_;
+    auto const found = entries_.find(message.key);
     if (found != entries_.end()) {
-        ask_known(found->second, from, ask, may_give, clock);
-    } else if (!may_give) {
-        reply(from, ask, key_verdict::refused, reason::owner_unreachable);
+        handle_known_key(found->second, from, message, may_grant, clock);
+    } else if (!may_grant) {
+        reply(from, message, key_verdict::refused, reason::owner_unreachable);
     } else {
-        ask_new(from, ask, clock);
+        handle_new_key(from, message, clock);
     }
 }
 
-void key_table::ask_known(
-    entry& known, node_id const& from, key_permission_request const& ask,
-    bool may_decide, clock_reading const& clock) {
+void key_table::handle_known_key(
+    entry& known, node_id const& from, key_permission_request const& message,
+    bool has_authority, clock_reading const& clock) {
     key_record const& record = known.record;
-    if (record.body_digest != ask.body_digest) {
-        reply(from, ask, key_verdict::refused, reason::key_reused);
+    if (record.body_digest != message.body_digest) {
+        reply(from, message, key_verdict::refused, reason::key_reused);
         return;
     }
-    bool const repeat = record.idempotent && ask.idempotent;
+    bool const repeat = record.idempotent && message.idempotent;
     // That it ran stays true whoever owns the shard by now.
     if (record.state == key_state::done && (record.answer_kept || !repeat)) {
-        reply_done(from, ask.request, ask.attempt, known);
-    } else if (!may_decide) {
-        reply(from, ask, key_verdict::refused, reason::owner_unreachable);
+        reply_done(from, message.request, message.attempt, known);
+    } else if (!has_authority) {
+        reply(from, message, key_verdict::refused, reason::owner_unreachable);
     } else {
-        ask_undone(known, from, ask, clock);
+        handle_incomplete_key(known, from, message, clock);
     }
 }
 
-void key_table::ask_undone(
-    entry& known, node_id const& from, key_permission_request const& ask,
+void key_table::handle_incomplete_key(
+    entry& known, node_id const& from, key_permission_request const& message,
     clock_reading const& clock) {
     key_record const& record = known.record;
-    bool const repeat = record.idempotent && ask.idempotent;
+    bool const repeat = record.idempotent && message.idempotent;
     if (record.state == key_state::running) {
-        if (holds(record, from, ask.request, ask.attempt)) {
-            known.last_heard = clock.now;
+        if (holds_permission(record, from, message.request, message.attempt)) {
+            known.last_seen = clock.now;
             reply_run(known);
         } else {
-            join(known, from, ask, clock);
+            add_waiter(known, from, message, clock);
         }
     } else if (record.state == key_state::not_run || repeat) {
-        give(known, from, ask, clock.now);
+        grant_permission(known, from, message, clock.now);
     } else {
-        reply(from, ask, key_verdict::unknown, record.why);
+        reply(from, message, key_verdict::unknown, record.why);
     }
 }
 
-void key_table::ask_new(
-    node_id const& from, key_permission_request const& ask,
+void key_table::handle_new_key(
+    node_id const& from, key_permission_request const& message,
     clock_reading const& clock) {
-    reason const problem =
-        ask.idempotent ? reason::none : time_problem(ask, clock);
-    if (problem == reason::key_too_new) {
-        reply(from, ask, key_verdict::refused, problem);
+    reason const rejection =
+        message.idempotent ? reason::none : check_key_time(message, clock);
+    if (rejection == reason::key_too_new) {
+        reply(from, message, key_verdict::refused, rejection);
         return;
     }
-    if (problem != reason::none) {
-        reply(from, ask, key_verdict::unknown, problem);
+    if (rejection != reason::none) {
+        reply(from, message, key_verdict::unknown, rejection);
         return;
     }
-    entry* const made =
-        make_entry(ask.key, ask.body_digest, ask.idempotent, clock.wall);
+    entry* const made = make_entry(
+        message.key, message.body_digest, message.idempotent, clock.wall);
     if (made != nullptr) {
-        give(*made, from, ask, clock.now);
-    } else if (ask.idempotent) {
+        grant_permission(*made, from, message, clock.now);
+    } else if (message.idempotent) {
         // A full table costs idempotent work its answer's memory, no more.
-        reply(from, ask, key_verdict::run, reason::key_table_full);
+        reply(from, message, key_verdict::run, reason::key_table_full);
     } else {
-        reply(from, ask, key_verdict::refused, reason::key_table_full);
+        reply(from, message, key_verdict::refused, reason::key_table_full);
     }
 }
 
-reason key_table::time_problem(
-    key_permission_request const& ask, clock_reading const& clock) const {
-    wall_time const made = *parse_key_time(ask.key);
+reason key_table::check_key_time(
+    key_permission_request const& message, clock_reading const& clock) const {
+    wall_time const made = *parse_key_time(message.key);
     // Bounds what a holder can have taken: nothing above its own clock plus
     // this limit. The takeover check below relies on it.
     if (made > clock.wall + settings_.ahead_limit) {
@@ -158,114 +158,118 @@
     return reason::none;
 }
 
-void key_table::give(
-    entry& known, node_id const& from, key_permission_request const& ask,
+void key_table::grant_permission(
+    entry& known, node_id const& from, key_permission_request const& message,
     instant now) {
     key_record& record = known.record;
     record.state = key_state::running;
-    record.idempotent = record.idempotent && ask.idempotent;
-    record.entry = from;
-    record.request = ask.request;
-    record.attempt = ask.attempt;
+    record.idempotent = record.idempotent && message.idempotent;
+    record.entry_node = from;
+    record.request = message.request;
+    record.attempt = message.attempt;
     record.permission = next_permission_++;
     record.fencing = fencing_;
     record.why = reason::none;
-    known.last_heard = now;
+    known.last_seen = now;
     running_.insert(record.key);
     reply_run(known);
 }
 
-void key_table::join(
-    entry& known, node_id const& from, key_permission_request const& ask,
+void key_table::add_waiter(
+    entry& known, node_id const& from, key_permission_request const& message,
     clock_reading const& clock) {
     std::erase_if(known.waiters, [&](waiter const& each) {
         bool const same =
-            each.request == ask.request && each.attempt == ask.attempt;
+            each.request == message.request && each.attempt == message.attempt;
         return same || each.until < clock.now;
     });
     if (known.waiters.size() >= settings_.most_waiters) {
-        reply(from, ask, key_verdict::unknown, reason::already_running);
+        reply(from, message, key_verdict::unknown, reason::already_running);
         return;
     }
     known.waiters.push_back(
-        {from, ask.request, ask.attempt, clock.now + ask.time_left});
-    reply(from, ask, key_verdict::wait, reason::already_running);
+        {from, message.request, message.attempt,
+         clock.now + message.time_left});
+    reply(from, message, key_verdict::wait, reason::already_running);
 }
 
-bool key_table::finish(
-    node_id const& from, key_completion const& end, bool may_decide,
+bool key_table::on_completion(
+    node_id const& from, key_completion const& completion, bool has_authority,
     clock_reading const& clock) {
-    if (!may_decide || closed_) {
+    if (!has_authority || closed_) {
         // The successor has to know it: only its word ends the resending.
         return false;
     }
-    auto const found = entries_.find(end.key);
+    auto const found = entries_.find(completion.key);
     if (found == entries_.end()) {
-        finish_new(from, end, clock);
-    } else if (found->second.record.body_digest == end.body_digest) {
-        finish_known(found->second, from, end, clock);
+        complete_new_key(from, completion, clock);
+    } else if (found->second.record.body_digest == completion.body_digest) {
+        complete_known_key(found->second, from, completion, clock);
     }
     return true;
 }
 
-void key_table::finish_new(
-    node_id const& from, key_completion const& end,
+void key_table::complete_new_key(
+    node_id const& from, key_completion const& completion,
     clock_reading const& clock) {
-    if (end.permission == 0 || end.how == outcome::not_run) {
+    if (completion.permission == 0 || completion.how == outcome::not_run) {
         return;
     }
-    entry* const made =
-        make_entry(end.key, end.body_digest, end.idempotent, clock.wall);
+    entry* const made = make_entry(
+        completion.key, completion.body_digest, completion.idempotent,
+        clock.wall);
     if (made == nullptr) {
         return;
     }
-    made->record.entry = from;
-    made->record.request = end.request;
-    made->record.attempt = end.attempt;
-    made->record.permission = end.permission;
-    made->record.fencing = end.fencing;
-    if (end.how == outcome::done) {
-        complete(*made, end.answer);
+    made->record.entry_node = from;
+    made->record.request = completion.request;
+    made->record.attempt = completion.attempt;
+    made->record.permission = completion.permission;
+    made->record.fencing = completion.fencing;
+    if (completion.how == outcome::done) {
+        complete(*made, completion.answer);
     } else {
-        become_unknown(*made, end.why);
+        mark_unknown(*made, completion.why);
     }
 }
 
-void key_table::finish_known(
-    entry& known, node_id const& from, key_completion const& end,
+void key_table::complete_known_key(
+    entry& known, node_id const& from, key_completion const& completion,
     clock_reading const& clock) {
     std::erase_if(known.waiters, [&](waiter const& each) {
-        return each.request == end.request && each.attempt == end.attempt;
+        return each.request == completion.request &&
+               each.attempt == completion.attempt;
     });
     key_record const& record = known.record;
     if (record.state == key_state::done) {
         return;
     }
     // Only the holder of the one permission can say that it was not used.
-    bool const holder = holds(record, from, end.request, end.attempt);
-    bool const open = record.state == key_state::running ||
-                      record.state == key_state::unknown;
-    if (end.how == outcome::done) {
-        complete(known, end.answer);
-    } else if (end.how == outcome::not_run && holder && open) {
-        release(known, clock);
-    } else if (end.how == outcome::unknown && holder && open) {
-        become_unknown(known, end.why);
+    bool const holder =
+        holds_permission(record, from, completion.request, completion.attempt);
+    bool const unfinished = record.state == key_state::running ||
+                            record.state == key_state::unknown;
+    if (completion.how == outcome::done) {
+        complete(known, completion.answer);
+    } else if (completion.how == outcome::not_run && holder && unfinished) {
+        reassign_permission(known, clock);
+    } else if (completion.how == outcome::unknown && holder && unfinished) {
+        mark_unknown(known, completion.why);
     }
 }
 
-void key_table::release(entry& known, clock_reading const& clock) {
+void key_table::reassign_permission(entry& known, clock_reading const& clock) {
     known.record.state = key_state::not_run;
     running_.erase(known.record.key);
     while (!known.waiters.empty()) {
         waiter const next = known.waiters.front();
         known.waiters.erase(known.waiters.begin());
         if (next.until > clock.now) {
-            key_permission_request again;
-            again.request = next.request;
-            again.attempt = next.attempt;
-            again.idempotent = known.record.idempotent;
-            give(known, next.entry, again, clock.now);
+            key_permission_request next_request;
+            next_request.request = next.request;
+            next_request.attempt = next.attempt;
+            next_request.idempotent = known.record.idempotent;
+            grant_permission(known, next.entry_node, next_request, clock.now);
             return;
         }
     }
@@ -276,31 +280,31 @@
     known.record.why = reason::none;
     running_.erase(known.record.key);
     keep_answer(known, answer);
-    answer_waiters(known);
+    notify_waiters(known);
 }
 
-void key_table::become_unknown(entry& known, reason why) {
+void key_table::mark_unknown(entry& known, reason why) {
     known.record.state = key_state::unknown;
     known.record.why = why;
     running_.erase(known.record.key);
-    answer_waiters(known);
+    notify_waiters(known);
 }
 
-void key_table::answer_waiters(entry& known) {
+void key_table::notify_waiters(entry& known) {
     for (waiter const& each : std::exchange(known.waiters, {})) {
         if (known.record.state == key_state::done) {
-            reply_done(each.entry, each.request, each.attempt, known);
+            reply_done(each.entry_node, each.request, each.attempt, known);
             continue;
         }
-        key_permission_request ask;
-        ask.request = each.request;
-        ask.attempt = each.attempt;
+        key_permission_request message;
+        message.request = each.request;
+        message.attempt = each.attempt;
         // Idempotent work may run again: its entry node asks anew.
-        bool const again = known.record.idempotent;
+        bool const may_retry = known.record.idempotent;
         reply(
-            each.entry, ask,
-            again ? key_verdict::refused : key_verdict::unknown,
-            again ? reason::owner_unreachable : known.record.why);
+            each.entry_node, message,
+            may_retry ? key_verdict::refused : key_verdict::unknown,
+            may_retry ? reason::owner_unreachable : known.record.why);
     }
 }
 
@@ -311,10 +315,10 @@
     known.record.answer = answer;
     known.record.answer_kept = true;
     memory_.add_answer(answer.size());
-    answered_.push_back(known.record.key);
-    while (memory_.answers_over() && !answered_.empty()) {
-        auto const oldest = entries_.find(answered_.front());
-        answered_.pop_front();
+    keys_with_answer_.push_back(known.record.key);
+    while (memory_.answers_over_limit() && !keys_with_answer_.empty()) {
+        auto const oldest = entries_.find(keys_with_answer_.front());
+        keys_with_answer_.pop_front();
         if (oldest != entries_.end()) {
             drop_answer(oldest->second);
         }
@@ -329,66 +333,68 @@
     }
 }
 
-void key_table::heard(
-    node_id const& from, running_key const& held, clock_reading const& clock) {
-    auto const found = entries_.find(held.key);
+void key_table::on_heartbeat(
+    node_id const& from, running_key const& running,
+    clock_reading const& clock) {
+    auto const found = entries_.find(running.key);
     if (found != entries_.end()) {
         key_record& record = found->second.record;
-        bool const open = record.state == key_state::running ||
-                          record.state == key_state::unknown;
-        if (open && holds(record, from, held.request, held.attempt)) {
+        bool const unfinished = record.state == key_state::running ||
+                                record.state == key_state::unknown;
+        if (unfinished &&
+            holds_permission(record, from, running.request, running.attempt)) {
             // A paused entry node came back and runs it still.
             record.state = key_state::running;
             running_.insert(record.key);
-            found->second.last_heard = clock.now;
+            found->second.last_seen = clock.now;
         }
         return;
     }
-    entry* const made =
-        make_entry(held.key, held.body_digest, held.idempotent, clock.wall);
+    entry* const made = make_entry(
+        running.key, running.body_digest, running.idempotent, clock.wall);
     if (made != nullptr) {
-        made->record.entry = from;
-        made->record.request = held.request;
-        made->record.attempt = held.attempt;
-        made->record.permission = held.permission;
-        made->record.fencing = held.fencing;
-        made->last_heard = clock.now;
-        running_.insert(held.key);
+        made->record.entry_node = from;
+        made->record.request = running.request;
+        made->record.attempt = running.attempt;
+        made->record.permission = running.permission;
+        made->record.fencing = running.fencing;
+        made->last_seen = clock.now;
+        running_.insert(running.key);
     }
 }
 
 void key_table::tick(clock_reading const& clock) {
-    std::vector<idempotency_key> silent;
+    std::vector<idempotency_key> timed_out;
     for (idempotency_key const& key : running_) {
-        instant const heard = entries_.at(key).last_heard;
-        if (clock.now - heard > settings_.entry_timeout) {
-            silent.push_back(key);
+        instant const seen = entries_.at(key).last_seen;
+        if (clock.now - seen > settings_.entry_timeout) {
+            timed_out.push_back(key);
         }
     }
-    for (idempotency_key const& key : silent) {
-        become_unknown(entries_.at(key), reason::key_entry_lost);
+    for (idempotency_key const& key : timed_out) {
+        mark_unknown(entries_.at(key), reason::key_entry_lost);
     }
-    forget_some(clock.wall);
+    remove_expired(clock.wall);
 }
 
-void key_table::forget_some(wall_time now) {
-    auto place = entries_.lower_bound(cursor_);
-    for (std::size_t count = 0; count < looked_at_in_tick; ++count) {
-        if (place == entries_.end()) {
+void key_table::remove_expired(wall_time now) {
+    auto position = entries_.lower_bound(cursor_);
+    for (std::size_t count = 0; count < records_checked_per_tick; ++count) {
+        if (position == entries_.end()) {
             cursor_ = {};
             return;
         }
-        key_record const& record = place->second.record;
+        key_record const& record = position->second.record;
         bool const running = record.state == key_state::running;
         if (!running && record.forget_after < now) {
-            drop_answer(place->second);
-            place = entries_.erase(place);
+            drop_answer(position->second);
+            position = entries_.erase(position);
             memory_.drop_records(1);
         } else {
-            ++place;
+            ++position;
         }
     }
-    cursor_ = place == entries_.end() ? idempotency_key() : place->first;
+    cursor_ = position == entries_.end() ? idempotency_key() : position->first;
 }
 
 auto key_table::make_entry(
@@ -416,7 +422,7 @@
     return found == entries_.end() ? nullptr : &found->second.record;
 }
 
-std::vector<addressed_reply> key_table::take_replies() {
+std::vector<addressed_reply> key_table::drain_replies() {
     return std::exchange(replies_, {});
 }
 
--- a/src/Keys/key_table.hpp
+++ b/src/Keys/key_table.hpp
@@ -35,25 +35,25 @@
     ~key_table();
 
     /// Starts a new claim under which permissions are given.
-    void begin(log_offset fencing);
+    void begin_claim(log_offset fencing);
     /// Says that keys up to a time may have run without this table's knowledge.
-    void know_nothing_up_to(wall_time bound);
+    void set_unknown_up_to(wall_time bound);
     /// Stops giving permissions until the next claim.
     void close() noexcept { closed_ = true; }
 
     /// Answers an ask; the reply is put to the others.
-    /// @param may_decide true while this node's authority holds
-    void
-    ask(node_id const& from, key_permission_request const& ask, bool may_decide,
-        clock_reading const& clock);
+    /// @param has_authority true while this node's authority holds
+    void on_permission_request(
+        node_id const& from, key_permission_request const& message,
+        bool has_authority, clock_reading const& clock);
     /// Notes an end.
     /// @returns true when it need not be sent again
-    bool finish(
-        node_id const& from, key_completion const& end, bool may_decide,
-        clock_reading const& clock);
+    bool on_completion(
+        node_id const& from, key_completion const& completion,
+        bool has_authority, clock_reading const& clock);
     /// Notes that an entry node runs a key.
-    void heard(
-        node_id const& from, running_key const& held,
+    void on_heartbeat(
+        node_id const& from, running_key const& running,
         clock_reading const& clock);
     /// Lets silent entry nodes' keys become unknown; forgets old records.
     void tick(clock_reading const& clock);
@@ -73,60 +73,62 @@
     /// @returns the record of a key, or null
     key_record const* find(idempotency_key const& key) const;
     /// @returns replies to send, in order; empties the list
-    std::vector<addressed_reply> take_replies();
+    std::vector<addressed_reply> drain_replies();
 
 private:
     struct waiter {
-        node_id entry;
+        node_id entry_node;
         request_id request;
         std::uint32_t attempt = 0;
         instant until;
     };
     struct entry {
         key_record record;
-        instant last_heard;
+        instant last_seen;
         std::vector<waiter> waiters;
     };
     using entry_map = std::map<idempotency_key, entry>;
 
-    void ask_known(
-        entry& known, node_id const& from, key_permission_request const& ask,
-        bool may_decide, clock_reading const& clock);
-    void ask_undone(
-        entry& known, node_id const& from, key_permission_request const& ask,
-        clock_reading const& clock);
-    void ask_new(
-        node_id const& from, key_permission_request const& ask,
+    void handle_known_key(
+        entry& known, node_id const& from,
+        key_permission_request const& message, bool has_authority,
         clock_reading const& clock);
-    void join(
-        entry& known, node_id const& from, key_permission_request const& ask,
+    void handle_incomplete_key(
+        entry& known, node_id const& from,
+        key_permission_request const& message, clock_reading const& clock);
+    void handle_new_key(
+        node_id const& from, key_permission_request const& message,
         clock_reading const& clock);
-    reason time_problem(
-        key_permission_request const& ask, clock_reading const& clock) const;
-    void give(
-        entry& known, node_id const& from, key_permission_request const& ask,
-        instant now);
-    void finish_new(
-        node_id const& from, key_completion const& end,
+    void add_waiter(
+        entry& known, node_id const& from,
+        key_permission_request const& message, clock_reading const& clock);
+    reason check_key_time(
+        key_permission_request const& message,
+        clock_reading const& clock) const;
+    void grant_permission(
+        entry& known, node_id const& from,
+        key_permission_request const& message, instant now);
+    void complete_new_key(
+        node_id const& from, key_completion const& completion,
         clock_reading const& clock);
-    void finish_known(
-        entry& known, node_id const& from, key_completion const& end,
+    void complete_known_key(
+        entry& known, node_id const& from, key_completion const& completion,
         clock_reading const& clock);
-    void release(entry& known, clock_reading const& clock);
+    void reassign_permission(entry& known, clock_reading const& clock);
     void complete(entry& known, std::string const& answer);
     void merge(entry& known, key_record const& other);
-    void answer_waiters(entry& known);
+    void notify_waiters(entry& known);
     void keep_answer(entry& known, std::string const& answer);
     void drop_answer(entry& known);
-    void become_unknown(entry& known, reason why);
-    void forget_some(wall_time now);
+    void mark_unknown(entry& known, reason why);
+    void remove_expired(wall_time now);
     entry* make_entry(
         idempotency_key const& key, std::uint64_t digest, bool idempotent,
         wall_time now);
     void send(node_id const& to, key_reply const& reply);
     void reply(
-        node_id const& to, key_permission_request const& ask, key_verdict what,
-        reason why);
+        node_id const& to, key_permission_request const& message,
+        key_verdict what, reason why);
     void reply_done(
         node_id const& to, request_id const& request, std::uint32_t attempt,
         entry const& known);
@@ -145,7 +147,7 @@
     /// Where the search for records to forget goes on.
     idempotency_key cursor_;
     /// Keys with kept answers, the oldest first.
-    std::deque<idempotency_key> answered_;
+    std::deque<idempotency_key> keys_with_answer_;
     std::vector<addressed_reply> replies_;
 };
 
--- a/src/Keys/key_table_handover.cpp
+++ b/src/Keys/key_table_handover.cpp
@@ -10,19 +10,19 @@
     std::vector<key_record> const& records, wall_time bound,
     clock_reading const& clock) {
     for (key_record const& each : records) {
-        auto const [place, is_new] = entries_.try_emplace(each.key);
+        auto const [position, is_new] = entries_.try_emplace(each.key);
         if (!is_new) {
-            merge(place->second, each);
+            merge(position->second, each);
             continue;
         }
         // Taken even when the table is full: leaving one out would be silent
         // forgetting, and the key could run again.
         memory_.add_records(1);
-        entry& made = place->second;
+        entry& made = position->second;
         made.record = each;
         made.record.answer_kept = false;
         made.record.answer = std::string();
-        made.last_heard = clock.now;
+        made.last_seen = clock.now;
         if (each.state == key_state::running) {
             running_.insert(each.key);
         }
@@ -54,7 +54,7 @@
         key_record const& record = each.record;
         std::size_t const size =
             record_overhead + key.str().size() + record.answer.size() +
-            record.entry.str().size() + record.request.str().size();
+            record.entry_node.str().size() + record.request.str().size();
         if (used + size > handover_part_bytes) {
             parts.push_back(empty);
             used = record_overhead;
@@ -62,9 +62,9 @@
         parts.back().records.push_back(record);
         used += size;
     }
-    for (std::size_t place = 0; place < parts.size(); ++place) {
-        parts[place].part = static_cast<std::uint32_t>(place);
-        parts[place].parts = static_cast<std::uint32_t>(parts.size());
+    for (std::size_t index = 0; index < parts.size(); ++index) {
+        parts[index].part = static_cast<std::uint32_t>(index);
+        parts[index].parts = static_cast<std::uint32_t>(parts.size());
     }
     return parts;
 }
--- a/src/Keys/key_table_replies.cpp
+++ b/src/Keys/key_table_replies.cpp
@@ -8,44 +8,44 @@
 }
 
 void key_table::reply(
-    node_id const& to, key_permission_request const& ask, key_verdict what,
+    node_id const& to, key_permission_request const& message, key_verdict what,
     reason why) {
-    key_reply said;
-    said.request = ask.request;
-    said.attempt = ask.attempt;
-    said.shard = shard_;
-    said.verdict = what;
-    said.why = why;
-    said.fencing = fencing_;
-    said.retry_after = settings_.retry_after;
-    send(to, said);
+    key_reply reply_message;
+    reply_message.request = message.request;
+    reply_message.attempt = message.attempt;
+    reply_message.shard = shard_;
+    reply_message.verdict = what;
+    reply_message.why = why;
+    reply_message.fencing = fencing_;
+    reply_message.retry_after = settings_.retry_after;
+    send(to, reply_message);
 }
 
 void key_table::reply_done(
     node_id const& to, request_id const& request, std::uint32_t attempt,
     entry const& known) {
-    key_reply said;
-    said.request = request;
-    said.attempt = attempt;
-    said.shard = shard_;
-    said.verdict = key_verdict::answer;
-    said.why =
+    key_reply reply_message;
+    reply_message.request = request;
+    reply_message.attempt = attempt;
+    reply_message.shard = shard_;
+    reply_message.verdict = key_verdict::answer;
+    reply_message.why =
         known.record.answer_kept ? reason::none : reason::key_answer_dropped;
-    said.answer = known.record.answer;
-    said.permission = known.record.permission;
-    said.fencing = known.record.fencing;
-    send(to, said);
+    reply_message.answer = known.record.answer;
+    reply_message.permission = known.record.permission;
+    reply_message.fencing = known.record.fencing;
+    send(to, reply_message);
 }
 
 void key_table::reply_run(entry const& known) {
-    key_reply said;
-    said.request = known.record.request;
-    said.attempt = known.record.attempt;
-    said.shard = shard_;
-    said.verdict = key_verdict::run;
-    said.permission = known.record.permission;
-    said.fencing = known.record.fencing;
-    send(known.record.entry, said);
+    key_reply reply_message;
+    reply_message.request = known.record.request;
+    reply_message.attempt = known.record.attempt;
+    reply_message.shard = shard_;
+    reply_message.verdict = key_verdict::run;
+    reply_message.permission = known.record.permission;
+    reply_message.fencing = known.record.fencing;
+    send(known.record.entry_node, reply_message);
 }
 
 } // namespace camphorpoint
--- a/src/Keys/key_time.cpp
+++ b/src/Keys/key_time.cpp
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr std::size_t uuid_length = 36;
-constexpr std::size_t version_place = 14;
-constexpr std::size_t variant_place = 19;
+constexpr std::size_t version_index = 14;
+constexpr std::size_t variant_index = 19;
 constexpr std::uint64_t shard_seed = 0x6b657973;
 
-bool is_dash_place(std::size_t place) noexcept {
-    return place == 8 || place == 13 || place == 18 || place == 23;
+bool is_dash_index(std::size_t index) noexcept {
+    return index == 8 || index == 13 || index == 18 || index == 23;
 }
 
 char lower(char letter) noexcept {
@@ -39,9 +39,9 @@
     if (text.size() != uuid_length) {
         return false;
     }
-    for (std::size_t place = 0; place < text.size(); ++place) {
-        bool const good = is_dash_place(place) ? text[place] == '-'
-                                               : hex_value(text[place]) >= 0;
+    for (std::size_t index = 0; index < text.size(); ++index) {
+        bool const good = is_dash_index(index) ? text[index] == '-'
+                                               : hex_value(text[index]) >= 0;
         if (!good) {
             return false;
         }
@@ -67,18 +67,18 @@
 
 std::optional<wall_time> parse_key_time(idempotency_key const& key) {
     std::string const& text = key.str();
-    if (!is_uuid(text) || text[version_place] != '7') {
+    if (!is_uuid(text) || text[version_index] != '7') {
         return std::nullopt;
     }
-    int const variant = hex_value(text[variant_place]);
+    int const variant = hex_value(text[variant_index]);
     if (variant < 0x8 || variant > 0xb) {
         return std::nullopt;
     }
     // The first 48 bits are milliseconds since 1970.
     std::int64_t time = 0;
-    for (std::size_t place = 0; place < 13; ++place) {
-        if (!is_dash_place(place)) {
-            time = time * 16 + hex_value(text[place]);
+    for (std::size_t index = 0; index < 13; ++index) {
+        if (!is_dash_index(index)) {
+            time = time * 16 + hex_value(text[index]);
         }
     }
     return wall_time(std::chrono::milliseconds(time));
--- a/test/key_simulation.hpp
+++ b/test/key_simulation.hpp
@@ -21,10 +21,10 @@
     using message = std::variant<
         key_permission_request, key_reply, key_completion, key_completion_ack,
         key_heartbeat, key_handover>;
-    struct letter {
+    struct queued_message {
         node_id from;
         node_id to;
-        message what;
+        message content;
     };
     struct node {
         std::optional<key_owner> owner;
@@ -34,7 +34,7 @@
         bool paused = false;
         bool dead = false;
     };
-    struct granted {
+    struct grant {
         node_id entry;
         request_id request;
         idempotency_key key;
@@ -44,11 +44,11 @@
         : settings_(settings) {}
 
     node& add(std::string const& name, std::chrono::milliseconds skew = {}) {
-        node& made = nodes_[node_id(name)];
-        made.owner.emplace(settings_);
-        made.entry.emplace(entry_settings_);
-        made.skew = skew;
-        return made;
+        node& node_added = nodes_[node_id(name)];
+        node_added.owner.emplace(settings_);
+        node_added.entry.emplace(entry_settings_);
+        node_added.skew = skew;
+        return node_added;
     }
     node& at(std::string const& name) { return nodes_.at(node_id(name)); }
     clock_reading clock(node const& each) const { return clock(each.skew); }
@@ -61,7 +61,7 @@
     wall_time wall() const { return clock(std::chrono::milliseconds(0)).wall; }
 
     /// A key whose time is the present one plus an offset, in a fixed shard.
-    idempotency_key key_made(std::chrono::milliseconds offset = {}) {
+    idempotency_key make_key(std::chrono::milliseconds offset = {}) {
         idempotency_key key;
         do {
             key = generate_key(wall() + offset, random_);
@@ -86,7 +86,7 @@
         }
     }
     /// The same, with each message delivered as it is sent.
-    void live(std::chrono::milliseconds time) {
+    void advance_and_deliver(std::chrono::milliseconds time) {
         constexpr std::chrono::milliseconds step{100};
         for (; time.count() > 0; time -= step) {
             deliver();
@@ -97,7 +97,7 @@
 
     /// A claim takes effect, after the earlier authority has ended.
     void claim(std::string const& name, bool handed_over = false) {
-        node& taker = at(name);
+        node& new_owner = at(name);
         if (holder_ && !handed_over) {
             now_ = std::max(now_, nodes_.at(*holder_).authority_until);
         }
@@ -108,16 +108,16 @@
         }
         claim.handed_over = handed_over;
         holder_ = node_id(name);
-        taker.owner->on_shard_gained(shard, claim, clock(taker));
-        taker.authority_until = now_ + authority;
-        if (tell_at_once) {
-            tell_owner();
+        new_owner.owner->on_shard_gained(shard, claim, clock(new_owner));
+        new_owner.authority_until = now_ + authority;
+        if (announce_on_claim) {
+            announce_owner();
         } else {
-            learn(name);
+            learn_owner(name);
         }
     }
     /// A node reads the log, and learns who owns the shard.
-    void learn(std::string const& name) {
+    void learn_owner(std::string const& name) {
         node& each = at(name);
         each.entry->on_owner_changed(shard, *holder_);
         if (node_id(name) != *holder_) {
@@ -131,10 +131,10 @@
         }
     }
     /// All nodes but the paused ones learn who owns the shard.
-    void tell_owner() {
+    void announce_owner() {
         for (auto& [name, each] : nodes_) {
             if (!each.paused) {
-                learn(name.str());
+                learn_owner(name.str());
             }
         }
     }
@@ -151,17 +151,17 @@
         each.dead = true;
     }
 
-    /// A caller's request; the answer of the keys is found in `settled`.
-    void
-    ask(std::string const& entry, std::string const& request,
+    /// A caller's request; the answer of the keys is found in `decisions`.
+    void submit(
+        std::string const& entry, std::string const& request,
         idempotency_key const& key, bool idempotent = false,
         std::uint64_t digest = 1,
         std::chrono::milliseconds time = std::chrono::seconds(30)) {
-        keyed_request asked{
+        keyed_request keyed{
             request_id(request), key, digest, idempotent, now_ + time};
-        keys_[asked.id] = key;
+        keys_[keyed.id] = key;
         node& each = at(entry);
-        each.entry->request_permission(asked, clock(each));
+        each.entry->request_permission(keyed, clock(each));
         collect();
     }
     void
@@ -176,19 +176,20 @@
     /// Delivers all messages, and those sent in answer; those to a paused node
     /// stay, those to a dead one are lost.
     void deliver() {
-        for (std::size_t place = 0; place < letters.size();) {
-            place = deliver_one(place) ? 0 : place + 1;
+        for (std::size_t index = 0; index < message_queue.size();) {
+            index = deliver_one(index) ? 0 : index + 1;
         }
     }
-    bool deliver_one(std::size_t place) {
-        node& to = nodes_.at(letters[place].to);
+    bool deliver_one(std::size_t index) {
+        node& to = nodes_.at(message_queue[index].to);
         if (to.paused) {
             return false;
         }
-        letter const taken = letters[place];
-        letters.erase(letters.begin() + static_cast<std::ptrdiff_t>(place));
+        queued_message const received = message_queue[index];
+        message_queue.erase(
+            message_queue.begin() + static_cast<std::ptrdiff_t>(index));
         if (!to.dead) {
-            receive(to, taken);
+            receive(to, received);
             collect();
         }
         return true;
@@ -196,78 +197,87 @@
     /// Loses all messages of a kind that are on their way.
     template <class Message>
     std::size_t lose() {
-        return std::erase_if(letters, [](letter const& each) {
-            return std::holds_alternative<Message>(each.what);
+        return std::erase_if(message_queue, [](queued_message const& each) {
+            return std::holds_alternative<Message>(each.content);
         });
     }
 
-    key_decision const& settled_of(std::string const& request) const {
-        return settled.at(request_id(request));
+    key_decision const& decision_of(std::string const& request) const {
+        return decisions.at(request_id(request));
     }
-    bool has_settled(std::string const& request) const {
-        return settled.contains(request_id(request));
+    bool has_decision(std::string const& request) const {
+        return decisions.contains(request_id(request));
     }
     std::uint32_t runs_of(idempotency_key const& key) { return runs[key]; }
 
     static constexpr key_shard shard = 7;
     static constexpr std::chrono::milliseconds authority{3'000};
-    std::vector<letter> letters;
-    std::map<request_id, key_decision> settled;
+    std::vector<queued_message> message_queue;
+    std::map<request_id, key_decision> decisions;
     /// Requests that a verdict let run, in order.
-    std::vector<granted> grants;
+    std::vector<grant> grants;
     std::map<idempotency_key, std::uint32_t> runs;
     /// False when the test itself says when a grant is used.
-    bool run_at_once = true;
+    bool count_run_on_grant = true;
     /// False when the test itself says who learns of a claim.
-    bool tell_at_once = true;
+    bool announce_on_claim = true;
     std::uint32_t clock_warnings = 0;
     std::map<request_id, idempotency_key> keys_;
     std::optional<node_id> holder_;
     instant now_{std::chrono::hours(1)};
 
 private:
-    void receive(node& to, letter const& taken) {
+    void receive(node& to, queued_message const& received) {
         clock_reading const time = clock(to);
-        if (auto const* ask =
-                std::get_if<key_permission_request>(&taken.what)) {
+        if (auto const* request =
+                std::get_if<key_permission_request>(&received.content)) {
             to.owner->on_permission_request(
-                taken.from, *ask, to.authority_until, time);
-        } else if (auto const* reply = std::get_if<key_reply>(&taken.what)) {
+                received.from, *request, to.authority_until, time);
+        } else if (
+            auto const* reply = std::get_if<key_reply>(&received.content)) {
             to.entry->on_reply(*reply, time);
-        } else if (auto const* end = std::get_if<key_completion>(&taken.what)) {
-            to.owner->on_completion(taken.from, *end, to.authority_until, time);
         } else if (
-            auto const* noted = std::get_if<key_completion_ack>(&taken.what)) {
-            to.entry->on_completion_ack(*noted);
-        } else if (auto const* beat = std::get_if<key_heartbeat>(&taken.what)) {
-            to.owner->on_heartbeat(taken.from, *beat, time);
-        } else if (auto const* part = std::get_if<key_handover>(&taken.what)) {
+            auto const* completion =
+                std::get_if<key_completion>(&received.content)) {
+            to.owner->on_completion(
+                received.from, *completion, to.authority_until, time);
+        } else if (
+            auto const* ack =
+                std::get_if<key_completion_ack>(&received.content)) {
+            to.entry->on_completion_ack(*ack);
+        } else if (
+            auto const* heartbeat =
+                std::get_if<key_heartbeat>(&received.content)) {
+            to.owner->on_heartbeat(received.from, *heartbeat, time);
+        } else if (
+            auto const* part = std::get_if<key_handover>(&received.content)) {
             to.owner->on_handover(*part, time);
         }
     }
     void collect() {
         for (auto& [name, each] : nodes_) {
-            take(name, each.owner->take_actions());
-            take(name, each.entry->take_actions());
+            dispatch(name, each.owner->take_actions());
+            dispatch(name, each.entry->take_actions());
         }
     }
-    void take(node_id const& from, std::vector<key_action> const& actions) {
+    void dispatch(node_id const& from, std::vector<key_action> const& actions) {
         for (key_action const& each : actions) {
             if (auto const* send = std::get_if<key_send>(&each)) {
-                letters.push_back({from, send->to, send->message});
-            } else if (auto const* end = std::get_if<key_decision>(&each)) {
-                on_settled(from, *end);
+                message_queue.push_back({from, send->to, send->message});
+            } else if (
+                auto const* decision = std::get_if<key_decision>(&each)) {
+                on_decision(from, *decision);
             } else {
                 ++clock_warnings;
             }
         }
     }
-    void on_settled(node_id const& entry, key_decision const& end) {
-        settled[end.request] = end;
-        if (end.verdict == key_verdict::run) {
-            idempotency_key const& key = keys_.at(end.request);
-            grants.push_back({entry, end.request, key});
-            runs[key] += run_at_once ? 1 : 0;
+    void on_decision(node_id const& entry, key_decision const& decision) {
+        decisions[decision.request] = decision;
+        if (decision.verdict == key_verdict::run) {
+            idempotency_key const& key = keys_.at(decision.request);
+            grants.push_back({entry, decision.request, key});
+            runs[key] += count_run_on_grant ? 1 : 0;
         }
     }
 
--- a/test/keys_entry_test.cpp
+++ b/test/keys_entry_test.cpp
@@ -1,4 +1,4 @@
-#include "keys_world.hpp"
+#include "key_simulation.hpp"
 
 #include <doctest/doctest.h>
 
@@ -14,7 +14,7 @@
         add("b");
         add("c");
         claim("a");
-        live(milliseconds(2'000));
+        advance_and_deliver(milliseconds(2'000));
         renew();
     }
 };
@@ -25,18 +25,18 @@
 // booking ran. Callers that wait for it are told unknown within seconds.
 TEST_CASE("an entry node dies with its permission") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
-    world.ask("c", "second", key);
+    world.submit("c", "second", key);
     world.deliver();
     world.kill("b");
     for (int second = 0; second < 6; ++second) {
-        world.live(milliseconds(1'000));
+        world.advance_and_deliver(milliseconds(1'000));
         world.renew();
     }
-    CHECK(world.settled_of("second").verdict == key_verdict::unknown);
-    CHECK(world.settled_of("second").why == reason::key_entry_lost);
+    CHECK(world.decision_of("second").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("second").why == reason::key_entry_lost);
     CHECK(world.runs_of(key) == 1);
 }
 
@@ -44,32 +44,32 @@
 // get the answer after all.
 TEST_CASE("an entry node is paused with its permission") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
     world.at("b").paused = true;
     for (int second = 0; second < 6; ++second) {
-        world.live(milliseconds(1'000));
+        world.advance_and_deliver(milliseconds(1'000));
         world.renew();
     }
-    world.ask("c", "during", key);
+    world.submit("c", "during", key);
     world.deliver();
-    CHECK(world.settled_of("during").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("during").verdict == key_verdict::unknown);
     world.at("b").paused = false;
-    world.live(milliseconds(1'000));
+    world.advance_and_deliver(milliseconds(1'000));
     world.renew();
 
     SUBCASE("it runs still: repeats wait") {
-        world.ask("c", "after", key);
+        world.submit("c", "after", key);
         world.deliver();
-        CHECK_FALSE(world.has_settled("after"));
+        CHECK_FALSE(world.has_decision("after"));
     }
     SUBCASE("it ran: repeats get the answer") {
         world.end("b", "first", outcome::done, "booked");
         world.deliver();
-        world.ask("c", "after", key);
+        world.submit("c", "after", key);
         world.deliver();
-        CHECK(world.settled_of("after").answer == "booked");
+        CHECK(world.decision_of("after").answer == "booked");
     }
     CHECK(world.runs_of(key) == 1);
 }
@@ -78,27 +78,27 @@
 // the owner has noted it, so a repeat gets the answer and not unknown.
 TEST_CASE("the message of an end is lost") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
     world.end("b", "first", outcome::done, "booked");
     REQUIRE(world.lose<key_completion>() == 1);
-    world.live(milliseconds(1'200));
-    world.ask("c", "second", key);
+    world.advance_and_deliver(milliseconds(1'200));
+    world.submit("c", "second", key);
     world.deliver();
-    CHECK(world.settled_of("second").answer == "booked");
+    CHECK(world.decision_of("second").answer == "booked");
 }
 
 // The owner's permission is lost on the way. The entry node asks again under
 // the same request and gets the same permission, not "wait" for itself.
 TEST_CASE("a permission is lost and asked for again") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     REQUIRE(world.deliver_one(0));
     REQUIRE(world.lose<key_reply>() == 1);
-    world.live(milliseconds(400));
-    CHECK(world.settled_of("first").verdict == key_verdict::run);
+    world.advance_and_deliver(milliseconds(400));
+    CHECK(world.decision_of("first").verdict == key_verdict::run);
     CHECK(world.runs_of(key) == 1);
 }
 
@@ -106,9 +106,9 @@
 // permission comes late. It is handed back unused, and a repeat runs.
 TEST_CASE("a permission comes after the request was given up") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
-    auto const ask = world.letters;
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
+    auto const requests = world.message_queue;
     auto& entry = *world.at("b").entry;
 
     SUBCASE("the withdrawal comes after the ask") {
@@ -117,18 +117,19 @@
         world.deliver();
     }
     SUBCASE("the withdrawal overtakes the ask") {
-        world.letters.clear();
+        world.message_queue.clear();
         entry.withdraw(request_id("first"), world.clock(world.at("b")));
         world.advance(milliseconds(1'100));
         world.deliver();
-        world.letters.insert(world.letters.end(), ask.begin(), ask.end());
+        world.message_queue.insert(
+            world.message_queue.end(), requests.begin(), requests.end());
         world.deliver();
     }
-    CHECK_FALSE(world.has_settled("first"));
+    CHECK_FALSE(world.has_decision("first"));
     CHECK(world.runs_of(key) == 0);
-    world.ask("c", "second", key);
+    world.submit("c", "second", key);
     world.deliver();
-    CHECK(world.settled_of("second").verdict == key_verdict::run);
+    CHECK(world.decision_of("second").verdict == key_verdict::run);
     CHECK(world.runs_of(key) == 1);
 }
 
@@ -136,12 +137,12 @@
 // since this was the only permission, "not run" is the truth.
 TEST_CASE("a permission comes after the deadline") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key, false, 1, milliseconds(50));
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key, false, 1, milliseconds(50));
     world.now_ += milliseconds(60);
     world.deliver();
-    CHECK(world.settled_of("first").verdict == key_verdict::refused);
-    CHECK(world.settled_of("first").why == reason::deadline_passed);
+    CHECK(world.decision_of("first").verdict == key_verdict::refused);
+    CHECK(world.decision_of("first").why == reason::deadline_passed);
     CHECK(world.runs_of(key) == 0);
 }
 
@@ -150,27 +151,27 @@
 TEST_CASE("idempotent work does not wait for an owner") {
     three_nodes world;
     world.kill("a");
-    idempotency_key const key = world.key_made();
-    world.ask("b", "summary", key, true);
-    world.live(milliseconds(600));
-    CHECK(world.settled_of("summary").verdict == key_verdict::run);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "summary", key, true);
+    world.advance_and_deliver(milliseconds(600));
+    CHECK(world.decision_of("summary").verdict == key_verdict::run);
 }
 
 // Many callers repeat one booking that runs long: the owner remembers only so
 // many that wait, and tells the others when to come back.
 TEST_CASE("too many wait for one key") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
     for (int index = 0; index < 17; ++index) {
-        world.ask("c", "w" + std::to_string(index), key);
+        world.submit("c", "w" + std::to_string(index), key);
         world.deliver();
     }
-    CHECK_FALSE(world.has_settled("w15"));
-    CHECK(world.settled_of("w16").verdict == key_verdict::unknown);
-    CHECK(world.settled_of("w16").why == reason::already_running);
-    CHECK(world.settled_of("w16").retry_after > milliseconds(0));
+    CHECK_FALSE(world.has_decision("w15"));
+    CHECK(world.decision_of("w16").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("w16").why == reason::already_running);
+    CHECK(world.decision_of("w16").retry_after > milliseconds(0));
 }
 
 } // namespace camphorpoint::test
--- a/test/keys_property_test.cpp
+++ b/test/keys_property_test.cpp
@@ -1,4 +1,4 @@
-#include "keys_world.hpp"
+#include "key_simulation.hpp"
 
 #include <doctest/doctest.h>
 
@@ -14,14 +14,14 @@
 using std::chrono::milliseconds;
 
 /// What can happen.
-enum class happening : std::uint8_t {
+enum class step_kind : std::uint8_t {
     deliver_one,
     deliver_all,
     lose_one,
     repeat_one,
-    ask,
+    submit,
     start,
-    give_back,
+    return_permission,
     end,
     withdraw,
     new_key,
@@ -32,12 +32,12 @@
     pause_or_resume,
     crash,
     read_log,
-    believe
+    set_stale_owner
 };
 
 /// One thing that happens, with numbers that pick whom it happens to.
 struct step {
-    happening kind = happening::deliver_one;
+    step_kind kind = step_kind::deliver_one;
     std::uint8_t first = 0;
     std::uint8_t second = 0;
     std::uint16_t amount = 0;
@@ -53,94 +53,96 @@
 class scenario {
 public:
     scenario() {
-        world_.run_at_once = false;
-        world_.tell_at_once = false;
+        world_.count_run_on_grant = false;
+        world_.announce_on_claim = false;
         // The widest that clocks may be apart.
         world_.add("a", milliseconds(250));
         world_.add("b", milliseconds(-250));
         world_.add("c");
         world_.claim("a");
-        world_.tell_owner();
-        world_.live(milliseconds(2'200));
+        world_.announce_owner();
+        world_.advance_and_deliver(milliseconds(2'200));
         world_.renew();
         for (idempotency_key& key : keys_) {
-            key = world_.key_made();
+            key = world_.make_key();
         }
     }
 
-    void play(step const& each) {
+    void apply(step const& each) {
         node_id const name = names_[each.first % names_.size()];
         std::string const& node = name.str();
-        std::size_t const place =
-            world_.letters.empty() ? 0 : each.amount % world_.letters.size();
+        std::size_t const index =
+            world_.message_queue.empty()
+                ? 0
+                : each.amount % world_.message_queue.size();
         switch (each.kind) {
-        case happening::deliver_one:
-            if (!world_.letters.empty()) {
-                world_.deliver_one(place);
+        case step_kind::deliver_one:
+            if (!world_.message_queue.empty()) {
+                world_.deliver_one(index);
             }
             break;
-        case happening::lose_one:
-            if (!world_.letters.empty()) {
-                world_.letters.erase(
-                    world_.letters.begin() +
-                    static_cast<std::ptrdiff_t>(place));
+        case step_kind::lose_one:
+            if (!world_.message_queue.empty()) {
+                world_.message_queue.erase(
+                    world_.message_queue.begin() +
+                    static_cast<std::ptrdiff_t>(index));
             }
             break;
-        case happening::repeat_one:
-            if (!world_.letters.empty()) {
-                world_.letters.push_back(world_.letters[place]);
+        case step_kind::repeat_one:
+            if (!world_.message_queue.empty()) {
+                world_.message_queue.push_back(world_.message_queue[index]);
             }
             break;
-        case happening::ask:
-            ask(node, each);
+        case step_kind::submit:
+            submit(node, each);
             break;
-        case happening::time_passes:
+        case step_kind::time_passes:
             world_.advance(milliseconds(each.amount % 2'000));
             break;
-        case happening::start:
+        case step_kind::start:
             start(each);
             break;
-        case happening::give_back:
-            give_back(each);
+        case step_kind::return_permission:
+            return_permission(each);
             break;
-        case happening::end:
+        case step_kind::end:
             end(each);
             break;
-        case happening::take_over:
+        case step_kind::take_over:
             if (!world_.at(node).paused) {
                 world_.claim(node);
             }
             break;
-        case happening::hand_over:
+        case step_kind::hand_over:
             hand_over(node, each.second % 4 != 0);
             break;
-        case happening::pause_or_resume:
+        case step_kind::pause_or_resume:
             world_.at(node).paused = !world_.at(node).paused;
             break;
-        case happening::crash:
+        case step_kind::crash:
             crash(node);
             break;
-        case happening::read_log:
+        case step_kind::read_log:
             if (!world_.at(node).paused) {
-                world_.learn(node);
+                world_.learn_owner(node);
             }
             break;
-        case happening::believe:
+        case step_kind::set_stale_owner:
             // An old view: it asks one that no longer owns, or not yet.
             world_.at(node).entry->on_owner_changed(
                 key_simulation::shard, names_[each.second % names_.size()]);
             break;
-        case happening::renew:
+        case step_kind::renew:
             world_.renew();
             break;
-        case happening::withdraw:
+        case step_kind::withdraw:
             withdraw(each);
             break;
-        case happening::new_key:
+        case step_kind::new_key:
             keys_[each.second % keys_.size()] =
-                world_.key_made(milliseconds(each.amount % 3'200 - 2'000));
+                world_.make_key(milliseconds(each.amount % 3'200 - 2'000));
             break;
-        case happening::deliver_all:
+        case step_kind::deliver_all:
             world_.deliver();
             break;
         }
@@ -156,33 +158,33 @@
     }
 
 private:
-    void ask(std::string const& node, step const& each) {
-        std::string const id = "r" + std::to_string(++asked_);
+    void submit(std::string const& node, step const& each) {
+        std::string const id = "r" + std::to_string(++request_count_);
         idempotency_key const& key = keys_[each.second % keys_.size()];
-        asked_at_[request_id(id)] = node;
-        world_.ask(node, id, key, false, 1, milliseconds(15'000));
+        entry_of_request_[request_id(id)] = node;
+        world_.submit(node, id, key, false, 1, milliseconds(15'000));
     }
     void start(step const& each) {
         if (!world_.grants.empty()) {
-            auto const granted = take(each);
-            ++world_.runs[granted.key];
-            running_.push_back(granted);
+            auto const grant = pop_grant(each);
+            ++world_.runs[grant.key];
+            running_.push_back(grant);
         }
     }
-    void give_back(step const& each) {
+    void return_permission(step const& each) {
         if (!world_.grants.empty()) {
-            auto const granted = take(each);
+            auto const grant = pop_grant(each);
             world_.end(
-                granted.entry.str(), granted.request.str(), outcome::not_run);
+                grant.entry.str(), grant.request.str(), outcome::not_run);
         }
     }
     void end(step const& each) {
         if (running_.empty()) {
             return;
         }
-        auto const place = each.amount % running_.size();
-        auto const ended = running_[place];
-        running_.erase(running_.begin() + static_cast<std::ptrdiff_t>(place));
+        auto const index = each.amount % running_.size();
+        auto const ended = running_[index];
+        running_.erase(running_.begin() + static_cast<std::ptrdiff_t>(index));
         bool const done = each.second % 4 != 0;
         if (done) {
             done_.insert(ended.key);
@@ -211,38 +213,39 @@
         };
         std::erase_if(world_.grants, here);
         std::erase_if(running_, here);
-        world_.learn(node);
+        world_.learn_owner(node);
     }
     void withdraw(step const& each) {
-        request_id const id("r" + std::to_string(each.amount % (asked_ + 1)));
-        auto const found = asked_at_.find(id);
-        if (found != asked_at_.end()) {
+        request_id const id(
+            "r" + std::to_string(each.amount % (request_count_ + 1)));
+        auto const found = entry_of_request_.find(id);
+        if (found != entry_of_request_.end()) {
             auto& node = world_.at(found->second);
             node.entry->withdraw(id, world_.clock(node));
         }
     }
-    key_simulation::granted take(step const& each) {
-        auto const place = each.amount % world_.grants.size();
-        auto granted = world_.grants[place];
+    key_simulation::grant pop_grant(step const& each) {
+        auto const index = each.amount % world_.grants.size();
+        auto grant = world_.grants[index];
         world_.grants.erase(
-            world_.grants.begin() + static_cast<std::ptrdiff_t>(place));
-        return granted;
+            world_.grants.begin() + static_cast<std::ptrdiff_t>(index));
+        return grant;
     }
     void check() {
         for (auto const& [key, count] : world_.runs) {
             RC_ASSERT(count <= 1U);
         }
-        for (auto const& [id, end] : world_.settled) {
+        for (auto const& [id, decision] : world_.decisions) {
             if (!checked_.insert(id).second) {
                 continue;
             }
             idempotency_key const& key = world_.keys_.at(id);
-            if (end.verdict == key_verdict::refused) {
+            if (decision.verdict == key_verdict::refused) {
                 RC_ASSERT(world_.runs_of(key) == 0U);
             }
-            if (end.verdict == key_verdict::answer) {
+            if (decision.verdict == key_verdict::answer) {
                 RC_ASSERT(done_.contains(key));
-                RC_ASSERT(end.answer == key.str());
+                RC_ASSERT(decision.answer == key.str());
             }
         }
     }
@@ -250,9 +253,9 @@
     key_simulation world_;
     std::array<node_id, 3> names_{node_id("a"), node_id("b"), node_id("c")};
     std::array<idempotency_key, 3> keys_;
-    std::uint32_t asked_ = 0;
-    std::map<request_id, std::string> asked_at_;
-    std::vector<key_simulation::granted> running_;
+    std::uint32_t request_count_ = 0;
+    std::map<request_id, std::string> entry_of_request_;
+    std::vector<key_simulation::grant> running_;
     std::set<idempotency_key> done_;
     std::set<request_id> checked_;
 };
@@ -263,16 +266,16 @@
 
 template <>
 struct rc::Arbitrary<camphorpoint::test::step> {
-    static Gen<camphorpoint::test::happening> kinds() {
-        using enum camphorpoint::test::happening;
-        return gen::weightedElement<camphorpoint::test::happening>(
+    static Gen<camphorpoint::test::step_kind> kinds() {
+        using enum camphorpoint::test::step_kind;
+        return gen::weightedElement<camphorpoint::test::step_kind>(
             {{8, deliver_one},
              {4, deliver_all},
              {1, lose_one},
              {2, repeat_one},
-             {6, ask},
+             {6, submit},
              {4, start},
-             {1, give_back},
+             {1, return_permission},
              {2, end},
              {1, withdraw},
              {3, new_key},
@@ -283,7 +286,7 @@
              {1, pause_or_resume},
              {1, crash},
              {4, read_log},
-             {1, believe}});
+             {1, set_stale_owner}});
     }
     static Gen<camphorpoint::test::step> arbitrary() {
         using camphorpoint::test::step;
@@ -311,14 +314,14 @@
     std::uint64_t runs = 0;
     auto const result = rc::detail::checkTestable(
         [&runs] {
-            scenario played;
+            scenario simulated;
             auto const count = *rc::gen::inRange<std::size_t>(20, 200);
             auto const steps = *rc::gen::container<std::vector<step>>(
                 count, rc::gen::arbitrary<step>());
             for (step const& each : steps) {
-                played.play(each);
+                simulated.apply(each);
             }
-            runs += played.runs();
+            runs += simulated.runs();
         },
         metadata, params);
     if (!result.is<rc::detail::SuccessResult>()) {
--- a/test/keys_takeover_test.cpp
+++ b/test/keys_takeover_test.cpp
@@ -1,4 +1,4 @@
-#include "keys_world.hpp"
+#include "key_simulation.hpp"
 
 #include <doctest/doctest.h>
 
@@ -14,7 +14,7 @@
         add("b");
         add("c");
         claim("a");
-        live(milliseconds(2'000));
+        advance_and_deliver(milliseconds(2'000));
         renew();
     }
 };
@@ -26,54 +26,54 @@
 // has never heard of the key: it must say unknown, and never book again.
 TEST_CASE("an owner dies with its memory, and a booking is repeated") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("c", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("c", "first", key);
     world.deliver();
     REQUIRE(world.runs_of(key) == 1);
     world.kill("a");
 
     SUBCASE("before a successor: unknown after a short patience") {
-        world.ask("b", "second", key);
-        world.live(milliseconds(3'100));
-        CHECK(world.settled_of("second").verdict == key_verdict::unknown);
-        CHECK(world.settled_of("second").why == reason::owner_unreachable);
-        CHECK(world.settled_of("second").retry_after > milliseconds(0));
+        world.submit("b", "second", key);
+        world.advance_and_deliver(milliseconds(3'100));
+        CHECK(world.decision_of("second").verdict == key_verdict::unknown);
+        CHECK(world.decision_of("second").why == reason::owner_unreachable);
+        CHECK(world.decision_of("second").retry_after > milliseconds(0));
     }
     SUBCASE("the successor says unknown") {
         world.lose<key_completion>();
         world.claim("b");
-        world.ask("b", "second", key);
+        world.submit("b", "second", key);
         world.deliver();
-        CHECK(world.settled_of("second").verdict == key_verdict::unknown);
+        CHECK(world.decision_of("second").verdict == key_verdict::unknown);
         CHECK(
-            world.settled_of("second").why ==
+            world.decision_of("second").why ==
             reason::key_unknown_after_takeover);
     }
     SUBCASE("the entry node runs it still: the repeat waits for its end") {
         world.claim("b");
-        world.live(milliseconds(1'500));
-        world.ask("b", "second", key);
+        world.advance_and_deliver(milliseconds(1'500));
+        world.submit("b", "second", key);
         world.deliver();
-        CHECK_FALSE(world.has_settled("second"));
+        CHECK_FALSE(world.has_decision("second"));
         world.end("c", "first", outcome::done, "booked");
         world.deliver();
-        CHECK(world.settled_of("second").answer == "booked");
+        CHECK(world.decision_of("second").answer == "booked");
     }
     SUBCASE("its end went to the dead owner: it is told to the successor") {
         world.end("c", "first", outcome::done, "booked");
         world.deliver();
         world.claim("b");
-        world.live(milliseconds(1'500));
-        world.ask("b", "second", key);
+        world.advance_and_deliver(milliseconds(1'500));
+        world.submit("b", "second", key);
         world.deliver();
-        CHECK(world.settled_of("second").answer == "booked");
+        CHECK(world.decision_of("second").answer == "booked");
     }
     SUBCASE("idempotent work may run again") {
-        idempotency_key const other = world.key_made();
+        idempotency_key const other = world.make_key();
         world.claim("b");
-        world.ask("b", "idempotent", other, true);
+        world.submit("b", "idempotent", other, true);
         world.deliver();
-        CHECK(world.settled_of("idempotent").verdict == key_verdict::run);
+        CHECK(world.decision_of("idempotent").verdict == key_verdict::run);
     }
     CHECK(world.runs_of(key) == 1);
 }
@@ -86,14 +86,14 @@
     three_nodes world;
     world.kill("a");
     world.claim("b");
-    idempotency_key const at_edge = world.key_made(milliseconds(1'500));
-    idempotency_key const past_edge = world.key_made(milliseconds(1'501));
-    world.live(milliseconds(600));
-    world.ask("c", "at", at_edge);
-    world.ask("c", "past", past_edge);
+    idempotency_key const at_edge = world.make_key(milliseconds(1'500));
+    idempotency_key const past_edge = world.make_key(milliseconds(1'501));
+    world.advance_and_deliver(milliseconds(600));
+    world.submit("c", "at", at_edge);
+    world.submit("c", "past", past_edge);
     world.deliver();
-    CHECK(world.settled_of("at").verdict == key_verdict::unknown);
-    CHECK(world.settled_of("past").verdict == key_verdict::run);
+    CHECK(world.decision_of("at").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("past").verdict == key_verdict::run);
 }
 
 TEST_CASE("the first owner ever knows that nothing ran") {
@@ -106,17 +106,18 @@
     claim.first = true;
     key_owner& owner = *world.at("b").owner;
     owner.on_shard_gained(key_simulation::shard, claim, clock);
-    key_permission_request ask;
-    ask.request = request_id("one");
-    ask.key = world.key_made();
-    ask.shard = key_simulation::shard;
-    ask.sent = clock.wall;
-    owner.on_permission_request(name, ask, clock.now + milliseconds(1), clock);
+    key_permission_request request;
+    request.request = request_id("one");
+    request.key = world.make_key();
+    request.shard = key_simulation::shard;
+    request.sent = clock.wall;
+    owner.on_permission_request(
+        name, request, clock.now + milliseconds(1), clock);
     auto const actions = owner.take_actions();
     REQUIRE(actions.size() == 1);
-    auto const& said =
+    auto const& reply =
         std::get<key_reply>(std::get<key_send>(actions[0]).message);
-    CHECK(said.verdict == key_verdict::run);
+    CHECK(reply.verdict == key_verdict::run);
 }
 
 // A phone's clock is an hour behind. After a crash all of its new bookings are
@@ -124,12 +125,12 @@
 TEST_CASE("a phone an hour behind, after a crash") {
     three_nodes world;
     world.claim("b");
-    world.live(milliseconds(1'600));
-    world.ask("c", "phone", world.key_made(-std::chrono::hours(1)));
-    world.ask("c", "fetched", world.key_made());
+    world.advance_and_deliver(milliseconds(1'600));
+    world.submit("c", "phone", world.make_key(-std::chrono::hours(1)));
+    world.submit("c", "fetched", world.make_key());
     world.deliver();
-    CHECK(world.settled_of("phone").verdict == key_verdict::unknown);
-    CHECK(world.settled_of("fetched").verdict == key_verdict::run);
+    CHECK(world.decision_of("phone").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("fetched").verdict == key_verdict::run);
 }
 
 // The owner is paused past its authority, with a booking's ask unread; a
@@ -137,37 +138,37 @@
 // it must not let the booking run beside its successor.
 TEST_CASE("a paused owner wakes after its successor took over") {
     three_nodes world;
-    idempotency_key const key = world.key_made(milliseconds(900));
+    idempotency_key const key = world.make_key(milliseconds(900));
     world.at("a").paused = true;
-    world.ask("c", "first", key);
+    world.submit("c", "first", key);
 
     SUBCASE("the ask waits in the paused owner's socket") {
         world.claim("b");
         world.advance(milliseconds(100));
         world.at("a").paused = false;
         world.deliver();
-        CHECK(world.settled_of("first").verdict == key_verdict::unknown);
+        CHECK(world.decision_of("first").verdict == key_verdict::unknown);
         CHECK(world.runs_of(key) == 0);
     }
     SUBCASE("an entry node that knows no better asks it for a new key") {
         world.claim("b");
-        world.live(milliseconds(2'000));
+        world.advance_and_deliver(milliseconds(2'000));
         world.renew();
         world.at("a").paused = false;
         world.at("c").entry->on_owner_changed(
             key_simulation::shard, node_id("a"));
-        idempotency_key const fresh = world.key_made();
-        world.ask("b", "at successor", fresh);
-        world.ask("c", "at old owner", fresh);
+        idempotency_key const fresh = world.make_key();
+        world.submit("b", "at successor", fresh);
+        world.submit("c", "at old owner", fresh);
         world.deliver();
-        CHECK(world.settled_of("at successor").verdict == key_verdict::run);
-        CHECK_FALSE(world.has_settled("at old owner"));
+        CHECK(world.decision_of("at successor").verdict == key_verdict::run);
+        CHECK_FALSE(world.has_decision("at old owner"));
         CHECK(world.runs_of(fresh) == 1);
     }
     SUBCASE("it does not note an end that its successor must know") {
         world.at("a").paused = false;
         world.deliver();
-        REQUIRE(world.settled_of("first").verdict == key_verdict::run);
+        REQUIRE(world.decision_of("first").verdict == key_verdict::run);
         world.at("a").paused = true;
         world.claim("b");
         world.at("a").paused = false;
@@ -175,25 +176,26 @@
             key_simulation::shard, node_id("a"));
         world.end("c", "first", outcome::done, "booked");
         world.deliver();
-        world.tell_owner();
-        world.live(milliseconds(1'200));
-        world.ask("b", "second", key);
+        world.announce_owner();
+        world.advance_and_deliver(milliseconds(1'200));
+        world.submit("b", "second", key);
         world.deliver();
-        CHECK(world.settled_of("second").answer == "booked");
+        CHECK(world.decision_of("second").answer == "booked");
         CHECK(world.runs_of(key) == 1);
     }
     SUBCASE("a permission that left in time is the only one") {
         world.at("a").paused = false;
         REQUIRE(world.deliver_one(0));
-        REQUIRE(std::holds_alternative<key_reply>(world.letters[0].what));
-        auto const held_back = world.letters;
-        world.letters.clear();
+        REQUIRE(
+            std::holds_alternative<key_reply>(world.message_queue[0].content));
+        auto const delayed = world.message_queue;
+        world.message_queue.clear();
         world.claim("b");
-        world.ask("b", "second", key);
+        world.submit("b", "second", key);
         world.deliver();
-        CHECK(world.settled_of("second").verdict == key_verdict::unknown);
-        world.letters.insert(
-            world.letters.end(), held_back.begin(), held_back.end());
+        CHECK(world.decision_of("second").verdict == key_verdict::unknown);
+        world.message_queue.insert(
+            world.message_queue.end(), delayed.begin(), delayed.end());
         world.deliver();
         CHECK(world.runs_of(key) <= 1);
     }
@@ -203,52 +205,52 @@
 // progress becomes unknown; a repeat joins it at the successor.
 TEST_CASE("an owner hands its shard over") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("c", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("c", "first", key);
     world.deliver();
 
     SUBCASE("whole: the successor knows all, and fresh keys run at once") {
         world.hand_over("a", "b");
         world.deliver();
         world.claim("b", true);
-        world.ask("b", "second", key);
-        world.ask("b", "fresh", world.key_made());
+        world.submit("b", "second", key);
+        world.submit("b", "fresh", world.make_key());
         world.deliver();
-        CHECK_FALSE(world.has_settled("second"));
-        CHECK(world.settled_of("fresh").verdict == key_verdict::run);
+        CHECK_FALSE(world.has_decision("second"));
+        CHECK(world.decision_of("fresh").verdict == key_verdict::run);
         world.end("c", "first", outcome::done, "booked");
         world.deliver();
-        CHECK(world.settled_of("second").answer == "booked");
+        CHECK(world.decision_of("second").answer == "booked");
     }
     SUBCASE("once closed, the old owner lets nothing run") {
         world.hand_over("a", "b");
         world.at("a").authority_until = world.now_ + milliseconds(5'000);
-        idempotency_key const late = world.key_made();
-        world.ask("c", "late", late);
+        idempotency_key const late = world.make_key();
+        world.submit("c", "late", late);
         world.deliver();
-        CHECK_FALSE(world.has_settled("late"));
+        CHECK_FALSE(world.has_decision("late"));
     }
     SUBCASE("aborted: it goes on, and knows what it knew") {
         key_owner& owner = *world.at("a").owner;
         CHECK(owner.close_and_export(key_simulation::shard).size() == 1);
-        idempotency_key const other = world.key_made();
-        world.ask("c", "other", other);
+        idempotency_key const other = world.make_key();
+        world.submit("c", "other", other);
         world.deliver();
-        CHECK_FALSE(world.has_settled("other"));
+        CHECK_FALSE(world.has_decision("other"));
         owner.reopen(key_simulation::shard);
-        world.live(milliseconds(300));
-        CHECK(world.settled_of("other").verdict == key_verdict::run);
-        world.ask("b", "second", key);
+        world.advance_and_deliver(milliseconds(300));
+        CHECK(world.decision_of("other").verdict == key_verdict::run);
+        world.submit("b", "second", key);
         world.deliver();
-        CHECK_FALSE(world.has_settled("second"));
+        CHECK_FALSE(world.has_decision("second"));
     }
     SUBCASE("a part is lost: as after a crash") {
         world.hand_over("a", "b");
         CHECK(world.lose<key_handover>() == 1);
         world.claim("b", true);
-        world.ask("b", "second", key);
+        world.submit("b", "second", key);
         world.deliver();
-        CHECK(world.settled_of("second").verdict == key_verdict::unknown);
+        CHECK(world.decision_of("second").verdict == key_verdict::unknown);
     }
     SUBCASE("the table of an older claim is no use") {
         // b's copy dates from the handover; a claims again, lets another
@@ -256,16 +258,16 @@
         world.hand_over("a", "b");
         world.deliver();
         world.claim("a");
-        world.live(milliseconds(100));
-        idempotency_key const later = world.key_made();
-        world.ask("c", "later", later);
+        world.advance_and_deliver(milliseconds(100));
+        idempotency_key const later = world.make_key();
+        world.submit("c", "later", later);
         world.deliver();
         REQUIRE(world.runs_of(later) == 1);
         world.kill("a");
         world.claim("b", true);
-        world.ask("b", "repeat", later);
+        world.submit("b", "repeat", later);
         world.deliver();
-        CHECK(world.settled_of("repeat").verdict == key_verdict::unknown);
+        CHECK(world.decision_of("repeat").verdict == key_verdict::unknown);
         CHECK(world.runs_of(later) == 1);
     }
     CHECK(world.runs_of(key) == 1);
@@ -275,8 +277,8 @@
 // has the first one's gap, and must not take it for complete.
 TEST_CASE("a takeover within a takeover") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("c", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("c", "first", key);
     world.deliver();
     world.end("c", "first", outcome::done, "booked");
     world.deliver();
@@ -292,9 +294,9 @@
         world.kill("b");
         world.claim("c");
     }
-    world.ask("c", "second", key);
+    world.submit("c", "second", key);
     world.deliver();
-    CHECK(world.settled_of("second").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("second").verdict == key_verdict::unknown);
     CHECK(world.runs_of(key) == 1);
 }
 
@@ -306,14 +308,14 @@
     world.add("a");
     world.add("b", std::chrono::minutes(-1));
     world.claim("a");
-    world.live(milliseconds(2'000));
+    world.advance_and_deliver(milliseconds(2'000));
     world.renew();
-    idempotency_key const key = world.key_made();
-    world.ask("b", "booking", key);
-    world.ask("b", "summary", world.key_made(), true);
-    world.live(milliseconds(3'200));
-    CHECK(world.settled_of("booking").verdict == key_verdict::unknown);
-    CHECK(world.settled_of("summary").verdict == key_verdict::run);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "booking", key);
+    world.submit("b", "summary", world.make_key(), true);
+    world.advance_and_deliver(milliseconds(3'200));
+    CHECK(world.decision_of("booking").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("summary").verdict == key_verdict::run);
     CHECK(world.runs_of(key) == 0);
     CHECK(world.clock_warnings == 1);
 }
@@ -326,10 +328,10 @@
     world.add("a", milliseconds(250));
     world.add("b", milliseconds(-250));
     world.claim("a");
-    world.live(milliseconds(2'000));
+    world.advance_and_deliver(milliseconds(2'000));
     world.renew();
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
     world.end("b", "first", outcome::done, "booked");
     world.deliver();
@@ -347,9 +349,9 @@
     world.hand_over("a", "b");
     world.deliver();
     world.claim("b", true);
-    world.ask("b", "second", key);
+    world.submit("b", "second", key);
     world.deliver();
-    CHECK(world.settled_of("second").verdict == expected);
+    CHECK(world.decision_of("second").verdict == expected);
     CHECK(world.runs_of(key) == 1);
 }
 
--- a/test/keys_test.cpp
+++ b/test/keys_test.cpp
@@ -1,4 +1,4 @@
-#include "keys_world.hpp"
+#include "key_simulation.hpp"
 
 #include <cereal/archives/binary.hpp>
 #include <cereal/types/string.hpp>
@@ -24,9 +24,10 @@
         CHECK(time->time_since_epoch().count() == 1'645'557'742'000);
     }
     SUBCASE("both cases are one key") {
-        idempotency_key const loud("017F22E2-79B0-7CC3-98C4-DC0C0C07398F");
-        CHECK(canonical_key(loud) == key);
-        CHECK(parse_key_time(loud) == parse_key_time(key));
+        idempotency_key const upper_case(
+            "017F22E2-79B0-7CC3-98C4-DC0C0C07398F");
+        CHECK(canonical_key(upper_case) == key);
+        CHECK(parse_key_time(upper_case) == parse_key_time(key));
     }
     SUBCASE("what is no UUID of version 7 has no time") {
         for (char const* text :
@@ -64,51 +65,51 @@
     world.add("b");
     world.add("c");
     world.claim("a");
-    world.live(milliseconds(2'000));
+    world.advance_and_deliver(milliseconds(2'000));
     world.renew();
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
-    REQUIRE(world.settled_of("first").verdict == key_verdict::run);
+    REQUIRE(world.decision_of("first").verdict == key_verdict::run);
 
     SUBCASE("after its end: the kept answer comes") {
         world.end("b", "first", outcome::done, "booked");
         world.deliver();
-        world.ask("c", "second", key);
+        world.submit("c", "second", key);
         world.deliver();
-        CHECK(world.settled_of("second").verdict == key_verdict::answer);
-        CHECK(world.settled_of("second").answer == "booked");
-        CHECK(world.at("b").entry->remembered() == 0);
+        CHECK(world.decision_of("second").verdict == key_verdict::answer);
+        CHECK(world.decision_of("second").answer == "booked");
+        CHECK(world.at("b").entry->completed_count() == 0);
     }
     SUBCASE("while it runs: it waits, and gets the same answer") {
-        world.ask("c", "second", key);
-        world.live(milliseconds(2'500));
+        world.submit("c", "second", key);
+        world.advance_and_deliver(milliseconds(2'500));
         world.renew();
-        CHECK_FALSE(world.has_settled("second"));
+        CHECK_FALSE(world.has_decision("second"));
         world.end("b", "first", outcome::done, "booked");
         world.deliver();
-        CHECK(world.settled_of("second").answer == "booked");
+        CHECK(world.decision_of("second").answer == "booked");
     }
     SUBCASE("with another body: it is refused, and the first goes on") {
-        world.ask("c", "second", key, false, 2);
+        world.submit("c", "second", key, false, 2);
         world.deliver();
-        CHECK(world.settled_of("second").verdict == key_verdict::refused);
-        CHECK(world.settled_of("second").why == reason::key_reused);
+        CHECK(world.decision_of("second").verdict == key_verdict::refused);
+        CHECK(world.decision_of("second").why == reason::key_reused);
     }
     SUBCASE("the first did not run after all: the one that waits does") {
-        world.ask("c", "second", key);
+        world.submit("c", "second", key);
         world.deliver();
         world.runs[key] = 0;
         world.end("b", "first", outcome::not_run);
         world.deliver();
-        CHECK(world.settled_of("second").verdict == key_verdict::run);
+        CHECK(world.decision_of("second").verdict == key_verdict::run);
     }
     SUBCASE("the first ended unknown: so does the repeat") {
         world.end("b", "first", outcome::unknown);
         world.deliver();
-        world.ask("c", "second", key);
+        world.submit("c", "second", key);
         world.deliver();
-        CHECK(world.settled_of("second").verdict == key_verdict::unknown);
+        CHECK(world.decision_of("second").verdict == key_verdict::unknown);
     }
     CHECK(world.runs_of(key) == 1);
 }
@@ -118,27 +119,27 @@
     world.add("a");
     world.add("b");
     world.claim("a");
-    world.live(milliseconds(2'000));
+    world.advance_and_deliver(milliseconds(2'000));
     world.renew();
 
     SUBCASE("a booking's key without a time is refused at once") {
-        world.ask("b", "one", idempotency_key("booking-17"));
-        CHECK(world.settled_of("one").verdict == key_verdict::refused);
-        CHECK(world.settled_of("one").why == reason::key_invalid);
+        world.submit("b", "one", idempotency_key("booking-17"));
+        CHECK(world.decision_of("one").verdict == key_verdict::refused);
+        CHECK(world.decision_of("one").why == reason::key_invalid);
     }
     SUBCASE("a key ahead of the clock: at the limit taken, above refused") {
-        world.ask("b", "one", world.key_made(milliseconds(1'000)));
-        world.ask("b", "two", world.key_made(milliseconds(1'001)));
+        world.submit("b", "one", world.make_key(milliseconds(1'000)));
+        world.submit("b", "two", world.make_key(milliseconds(1'001)));
         world.deliver();
-        CHECK(world.settled_of("one").verdict == key_verdict::run);
-        CHECK(world.settled_of("two").verdict == key_verdict::refused);
-        CHECK(world.settled_of("two").why == reason::key_too_new);
+        CHECK(world.decision_of("one").verdict == key_verdict::run);
+        CHECK(world.decision_of("two").verdict == key_verdict::refused);
+        CHECK(world.decision_of("two").why == reason::key_too_new);
     }
     SUBCASE("a key older than the memory may have run: unknown") {
-        world.ask("b", "one", world.key_made(-std::chrono::hours(25)));
+        world.submit("b", "one", world.make_key(-std::chrono::hours(25)));
         world.deliver();
-        CHECK(world.settled_of("one").verdict == key_verdict::unknown);
-        CHECK(world.settled_of("one").why == reason::key_too_old);
+        CHECK(world.decision_of("one").verdict == key_verdict::unknown);
+        CHECK(world.decision_of("one").why == reason::key_too_old);
     }
     SUBCASE("idempotent work needs no time in its key") {
         idempotency_key key;
@@ -146,14 +147,14 @@
              ++index) {
             key = idempotency_key("summary-" + std::to_string(index));
         }
-        world.ask("b", "one", key, true);
+        world.submit("b", "one", key, true);
         world.deliver();
-        CHECK(world.settled_of("one").verdict == key_verdict::run);
+        CHECK(world.decision_of("one").verdict == key_verdict::run);
         world.end("b", "one", outcome::done, "text");
         world.deliver();
-        world.ask("b", "two", key, true);
+        world.submit("b", "two", key, true);
         world.deliver();
-        CHECK(world.settled_of("two").answer == "text");
+        CHECK(world.decision_of("two").answer == "text");
     }
 }
 
@@ -166,42 +167,42 @@
     world.add("a");
     world.add("b");
     world.claim("a");
-    world.live(milliseconds(2'000));
+    world.advance_and_deliver(milliseconds(2'000));
     std::vector<idempotency_key> keys;
     for (int index = 0; index < 3; ++index) {
-        keys.push_back(world.key_made());
+        keys.push_back(world.make_key());
         std::string const name = "r" + std::to_string(index);
-        world.ask("b", name, keys.back());
+        world.submit("b", name, keys.back());
         world.deliver();
         std::size_t const length = index == 0 ? 101 : 80;
         world.end("b", name, outcome::done, std::string(length, 'x'));
         world.deliver();
         world.renew();
     }
-    idempotency_key const fourth = world.key_made();
+    idempotency_key const fourth = world.make_key();
 
     SUBCASE("full: a new booking is refused, nothing remembered is lost") {
-        world.ask("b", "new", fourth);
+        world.submit("b", "new", fourth);
         world.deliver();
-        CHECK(world.settled_of("new").verdict == key_verdict::refused);
-        CHECK(world.settled_of("new").why == reason::key_table_full);
+        CHECK(world.decision_of("new").verdict == key_verdict::refused);
+        CHECK(world.decision_of("new").why == reason::key_table_full);
         CHECK(world.at("a").owner->records() == 3);
     }
     SUBCASE("full: idempotent work runs without being remembered") {
-        world.ask("b", "new", fourth, true);
+        world.submit("b", "new", fourth, true);
         world.deliver();
-        CHECK(world.settled_of("new").verdict == key_verdict::run);
+        CHECK(world.decision_of("new").verdict == key_verdict::run);
         CHECK(world.at("a").owner->records() == 3);
     }
     SUBCASE("long and old answers go, that it ran stays") {
         CHECK(world.at("a").owner->answer_bytes() == 80);
         for (int index = 0; index < 3; ++index) {
             std::string const name = "again" + std::to_string(index);
-            world.ask("b", name, keys[static_cast<std::size_t>(index)]);
+            world.submit("b", name, keys[static_cast<std::size_t>(index)]);
             world.deliver();
-            CHECK(world.settled_of(name).verdict == key_verdict::answer);
+            CHECK(world.decision_of(name).verdict == key_verdict::answer);
             CHECK(
-                world.settled_of(name).why ==
+                world.decision_of(name).why ==
                 (index == 2 ? reason::none : reason::key_answer_dropped));
         }
     }
@@ -218,12 +219,12 @@
     world.add("a");
     world.add("b");
     world.claim("a");
-    world.live(milliseconds(2'000));
+    world.advance_and_deliver(milliseconds(2'000));
     idempotency_key last;
     for (int index = 0; index < 40; ++index) {
         std::string const name = "r" + std::to_string(index);
-        last = world.key_made();
-        world.ask("b", name, last);
+        last = world.make_key();
+        world.submit("b", name, last);
         world.deliver();
         world.end("b", name, outcome::done, std::string(16'000, 'x'));
         world.deliver();
@@ -233,8 +234,8 @@
 
     // Four records of 16,000 bytes and their overhead fill a part.
     std::size_t parts = 0;
-    for (auto const& each : world.letters) {
-        auto const* part = std::get_if<key_handover>(&each.what);
+    for (auto const& each : world.message_queue) {
+        auto const* part = std::get_if<key_handover>(&each.content);
         REQUIRE(part != nullptr);
         std::ostringstream wire;
         cereal::BinaryOutputArchive archive(wire);
@@ -250,25 +251,25 @@
         CHECK(world.at("b").owner->answer_bytes() == 40 * 16'000);
     }
     SUBCASE("one is lost: the others are no table") {
-        world.letters.erase(world.letters.begin() + 3);
+        world.message_queue.erase(world.message_queue.begin() + 3);
         world.deliver();
         world.claim("b", true);
         CHECK(world.at("b").owner->records() == 0);
-        world.ask("a", "repeat", last);
+        world.submit("a", "repeat", last);
         world.deliver();
-        CHECK(world.settled_of("repeat").verdict == key_verdict::unknown);
+        CHECK(world.decision_of("repeat").verdict == key_verdict::unknown);
     }
     SUBCASE("one is late: the table counts once it is whole") {
-        auto const late = world.letters[3];
-        world.letters.erase(world.letters.begin() + 3);
+        auto const late = world.message_queue[3];
+        world.message_queue.erase(world.message_queue.begin() + 3);
         world.deliver();
         world.claim("b", true);
-        world.letters.push_back(late);
+        world.message_queue.push_back(late);
         world.deliver();
         CHECK(world.at("b").owner->records() == 40);
-        world.ask("a", "fresh", world.key_made());
+        world.submit("a", "fresh", world.make_key());
         world.deliver();
-        CHECK(world.settled_of("fresh").verdict == key_verdict::run);
+        CHECK(world.decision_of("fresh").verdict == key_verdict::run);
     }
 }
 
