--- a/src/Keys/clock_reading.hpp
+++ b/src/Keys/clock_reading.hpp
@@ -5,10 +5,11 @@
 namespace camphorpoint {
 
 /// Both clocks, read for one event. The calendar clock must be read first: a
-/// pause between the two readings then leaves an old calendar time beside a
-/// late monotonic time, so that a lapsed authority is noticed. Read the other
-/// way round, a paused owner could take a key that is newer than its
-/// successor's takeover, and both would let it run.
+/// pause between the two readings then leaves an early calendar time beside a
+/// late monotonic time, so that the monotonic time shows that the authority has
+/// expired. In the opposite order, an owner that pauses between the readings
+/// could accept a key that is newer than the takeover by its successor, and
+/// both owners would permit its execution.
 struct clock_reading {
     wall_time wall;
     instant now;
--- a/src/Keys/entry_key_tracker.cpp
+++ b/src/Keys/entry_key_tracker.cpp
@@ -8,10 +8,12 @@
 
 namespace {
 
-/// A request asks under one number; it bears another only as another request.
+/// The attempt number in all messages about a request; it is constant, since a
+/// retry by the caller is a new request.
 constexpr std::uint32_t only_attempt = 1;
 
-/// @returns true when the owner, or the next one, may say otherwise soon
+/// @returns true when the same owner, or its successor, may soon reply
+///        differently
 bool may_retry(reason why) noexcept {
     return why == reason::owner_unreachable || why == reason::not_ready ||
            why == reason::draining || why == reason::key_clock_disagrees;
@@ -106,7 +108,7 @@
     }
 }
 
-/// @returns true when the request is over
+/// @returns true when the request is no longer open
 bool entry_key_tracker::handle_reply(
     open_request& each, key_reply const& reply, clock_reading const& clock) {
     if (reply.verdict == key_verdict::run) {
@@ -137,11 +139,12 @@
     return true;
 }
 
-/// @returns true when the request is over
+/// @returns true when the request is no longer open
 bool entry_key_tracker::handle_permission(
     open_request& each, key_reply const& reply, clock_reading const& clock) {
     if (each.current_phase == phase::running) {
-        // Idempotent work that began without an owner's word is recorded now.
+        // The owner's record covers this idempotent request only from now on:
+        // it was started without permission.
         if (each.permission == 0) {
             each.permission = reply.permission;
             each.fencing = reply.fencing;
@@ -154,7 +157,8 @@
         start(each);
         return false;
     }
-    // The only permission is in hand and goes unused: nothing ran.
+    // This request has the only permission and does not use it: nothing was
+    // executed.
     key_completion completion;
     completion.how = outcome::not_run;
     completion.why = reason::deadline_passed;
@@ -166,9 +170,10 @@
 
 void entry_key_tracker::handle_late_permission(
     key_reply const& reply, instant now) {
-    // The request was given up here before its permission came: without a word
-    // the key would stay unknown, though nothing ran. What is remembered is how
-    // the request ended here, so saying it again is true at any time.
+    // The request was abandoned on this node before its permission arrived.
+    // Without this message the key would become unknown, although nothing was
+    // executed. The stored completion says how the request completed on this
+    // node, so it is correct to send it again at any time.
     auto const found = completed_.find(reply.request);
     if (reply.verdict != key_verdict::run || found == completed_.end()) {
         return;
@@ -271,7 +276,7 @@
     return std::exchange(actions_, {});
 }
 
-/// @returns true when the request is over
+/// @returns true when the request is no longer open
 bool entry_key_tracker::tick_open(
     open_request& each, clock_reading const& clock) {
     if (each.current_phase == phase::running) {
@@ -286,7 +291,7 @@
     return false;
 }
 
-/// @returns true when the request is over
+/// @returns true when the request is no longer open
 bool entry_key_tracker::time_out(
     open_request& each, clock_reading const& clock) {
     bool const in_time = clock.now < each.request.deadline;
@@ -299,8 +304,9 @@
     completion.why = reason::deadline_passed;
     keep_completion(
         each, completion, true, notify::until_acknowledged, clock.now);
-    // Not "not run": this request did not run here, but an earlier one with
-    // the same key may have, and the caller must not book anew on our word.
+    // The verdict is unknown, not refused: this request was not executed on
+    // this node, but an earlier request with the same key may have been, and a
+    // refusal would permit the caller to book again.
     decide(
         each, key_verdict::unknown,
         was_waiting ? reason::already_running : reason::owner_unreachable);
--- a/src/Keys/entry_key_tracker.hpp
+++ b/src/Keys/entry_key_tracker.hpp
@@ -14,7 +14,7 @@
 
 namespace camphorpoint {
 
-/// A request that bears an idempotency key.
+/// A request that carries an idempotency key.
 struct keyed_request {
     request_id id;
     idempotency_key key;
@@ -23,39 +23,53 @@
     instant deadline;
 };
 
-/// The entry node's side of idempotency keys: asks the owner of the key's shard
-/// for leave to run, asks again while no answer comes, names running keys to
-/// their owners, and tells them how each one ended.
+/// Tracks the requests with idempotency keys on an entry node. It requests
+/// permission from the owner of the key's shard before a request is started,
+/// repeats the permission request until it is answered, reports running keys to
+/// their owners, and reports how each request completed. Its counterpart on the
+/// owner is key_owner.
 class entry_key_tracker {
 public:
     explicit entry_key_tracker(entry_key_settings settings)
         : settings_(settings) {}
 
-    /// The owner of a shard is now known to be another; an empty id when none.
+    /// Updates the owner of a shard.
+    /// @param shard the shard whose owner may have changed
+    /// @param owner the present owner; an empty id when none is known
     void on_owner_changed(key_shard shard, node_id const& owner);
-    /// Asks for leave to run a request. A key_decision follows.
+    /// Requests permission to execute a request. A key_decision follows among
+    /// the actions, unless the request is withdrawn first.
+    /// @param request the request with its key
+    /// @param clock   this node's clocks, read for this event
     void request_permission(
         keyed_request const& request, clock_reading const& clock);
-    /// An owner's answer has come.
+    /// Handles an owner's reply to a permission request.
     void on_reply(key_reply const& reply, clock_reading const& clock);
-    /// An owner has noted an end.
+    /// Handles an owner's acknowledgement of a completion.
     void on_completion_ack(key_completion_ack const& ack);
-    /// A request with verdict `run` has ended.
-    /// @param how not_run only while no byte can have reached an endpoint
+    /// Reports the completion of a request that had the verdict `run`.
+    /// @param id     the request
+    /// @param how    its outcome; not_run only while no byte can have reached
+    ///        an endpoint
+    /// @param why    the reason for the outcome
+    /// @param answer the answer of the endpoint
+    /// @param clock  this node's clocks, read for this event
     void complete(
         request_id const& id, outcome how, reason why, std::string answer,
         clock_reading const& clock);
-    /// The request's caller has gone, or its time is over, before the verdict.
-    /// It will not run, whatever reply still comes.
+    /// Withdraws a request whose caller has disconnected, or whose deadline has
+    /// passed, before its verdict. The request will not be executed, whichever
+    /// reply still arrives.
     void withdraw(request_id const& id, clock_reading const& clock);
-    /// Time has passed.
+    /// Repeats unanswered messages, ends expired waits, and sends the periodic
+    /// heartbeats. Called periodically.
     void tick(clock_reading const& clock);
 
-    /// @returns what is to be done, in order; empties the list
+    /// @returns the queued actions, in order; empties the queue
     std::vector<key_action> take_actions();
-    /// @returns requests that ask, wait or run
+    /// @returns the number of requests that await a verdict or are running
     std::size_t open() const noexcept { return open_.size(); }
-    /// @returns ended requests that are still remembered
+    /// @returns the number of completed requests that are still kept
     std::size_t completed_count() const noexcept { return completed_.size(); }
 
 private:
@@ -73,10 +87,11 @@
         key_completion completion;
         instant next_send;
         instant forget_at;
-        /// True when it never ran here, and never will.
+        /// True when the request was never started on this node, and never will
+        /// be.
         bool withdrawn = false;
     };
-    /// Whether the owner has to be told of an end.
+    /// Whether a completion is reported to the owner.
     enum class notify : std::uint8_t { no, until_acknowledged };
 
     void
@@ -103,9 +118,9 @@
     std::array<node_id, key_shard_count> owners_;
     std::map<request_id, open_request> open_;
     std::map<request_id, completed_request> completed_;
-    /// Ended requests, the oldest first.
+    /// Completed requests, the oldest first.
     std::deque<request_id> completed_order_;
-    /// Ends that their owners have not noted.
+    /// Completed requests whose completion the owner has not acknowledged.
     std::set<request_id> unacknowledged_;
     instant next_heartbeat_;
     std::vector<key_action> actions_;
--- a/src/Keys/key_action.hpp
+++ b/src/Keys/key_action.hpp
@@ -11,7 +11,7 @@
 
 namespace camphorpoint {
 
-/// Send a message about keys to a peer.
+/// Instructs the node to send a message about keys to a peer.
 struct key_send {
     node_id to;
     std::variant<
@@ -20,29 +20,33 @@
         message;
 };
 
-/// What an entry node may do with a request that bears a key. It is given once
-/// for each request.
+/// The decision on a request that carries an idempotency key. Each request gets
+/// exactly one.
 struct key_decision {
     request_id request;
-    /// run: start it, and tell entry_key_tracker::ended how it ended; any other
-    /// verdict is the request's last word. `wait` does not occur.
+    /// With `run` the entry node starts the request and reports its outcome
+    /// with entry_key_tracker::complete. With any other verdict the request is
+    /// not started, and the verdict is final. `wait` does not occur.
     key_verdict verdict = key_verdict::refused;
     reason why = reason::none;
     std::string answer;
     std::chrono::milliseconds retry_after{};
 };
 
-/// Tell the operator that a peer's calendar clock is too far from this node's.
+/// Instructs the node to warn the operator that a peer's calendar clock differs
+/// too much from this node's clock.
 struct key_clock_skew {
     node_id peer;
-    /// How far the peer's clock is ahead; below zero when it is behind.
+    /// How far the peer's clock is ahead of this node's clock; negative when it
+    /// is behind.
     std::chrono::milliseconds ahead{};
 };
 
-/// All that the decisions about keys can ask for.
+/// Any action that the key owner or the entry node requests.
 using key_action = std::variant<key_send, key_decision, key_clock_skew>;
 
-/// @returns the outcome that a request ends with under a final verdict
+/// @param verdict a final verdict other than `run`
+/// @returns the outcome that a request completes with under the verdict
 constexpr outcome outcome_of(key_verdict verdict) noexcept {
     switch (verdict) {
     case key_verdict::answer:
--- a/src/Keys/key_memory.hpp
+++ b/src/Keys/key_memory.hpp
@@ -5,16 +5,17 @@
 
 namespace camphorpoint::internal {
 
-/// Counts what the key tables of one node hold, against its bounds.
+/// Counts the records and the bytes of stored answers in all key tables of one
+/// node, and compares them with the node's limits.
 class key_memory {
 public:
     key_memory(std::size_t most_records, std::size_t most_answer_bytes)
         : most_records_(most_records)
         , most_answer_bytes_(most_answer_bytes) {}
 
-    /// @returns false when no further record may be made
+    /// @returns true while another record may be added
     bool has_capacity() const noexcept { return records_ < most_records_; }
-    /// @returns true while more answers are kept than may be
+    /// @returns true while the stored answers exceed their limit in bytes
     bool answers_over_limit() const noexcept {
         return answer_bytes_ > most_answer_bytes_;
     }
--- a/src/Keys/key_messages.hpp
+++ b/src/Keys/key_messages.hpp
@@ -13,7 +13,8 @@
 
 namespace camphorpoint {
 
-/// Entry node to a shard's owner: may the work under this key run?
+/// Sent by an entry node to the owner of a shard: requests permission to
+/// execute the work under this key.
 struct key_permission_request {
     request_id request;
     std::uint32_t attempt = 0;
@@ -21,52 +22,55 @@
     std::uint64_t body_digest = 0;
     key_shard shard = 0;
     bool idempotent = false;
-    /// How long the caller still waits. A span, since clocks differ.
+    /// Time until the caller's deadline. It is a duration, not a point in time,
+    /// since the clocks of the nodes differ.
     std::chrono::milliseconds time_left{};
-    /// The entry node's calendar clock when it sent this.
+    /// The entry node's calendar time when it sent this message.
     wall_time sent;
 
     template <class Archive>
     void serialize(Archive& archive);
 };
 
-/// What an owner says to an ask.
+/// The owner's verdict on a permission request.
 enum class key_verdict : std::uint8_t {
-    /// Run it: this permission is given once.
+    /// The work may be executed. The owner gives this permission once.
     run,
-    /// It runs already; the end will be told.
+    /// The work is being executed already. The owner will report the outcome.
     wait,
-    /// It has run; here is its answer.
+    /// The work was executed. The reply has its answer.
     answer,
-    /// It may have run, and is not run again.
+    /// The work may have been executed, and is not executed again.
     unknown,
-    /// It did not run and does not run now.
+    /// The work was not executed and will not be executed now.
     refused
 };
 
-/// Owner to entry node: the answer to an ask.
+/// Sent by the owner to an entry node: the reply to a permission request.
 struct key_reply {
     request_id request;
     std::uint32_t attempt = 0;
     key_shard shard = 0;
     key_verdict verdict = key_verdict::refused;
     reason why = reason::none;
-    /// The kept answer of the run that ended.
+    /// The stored answer of the completed execution.
     std::string answer;
-    /// The permission's number, unique under its fencing number; 0 when the
-    /// owner keeps no record of the run.
+    /// Number of the permission, unique under its fencing number; 0 when the
+    /// owner keeps no record of the execution.
     std::uint64_t permission = 0;
-    /// The claim under which the permission was given.
+    /// Log offset of the claim under which the permission was given.
     log_offset fencing;
-    /// When to come back; zero when there is nothing to say.
+    /// How long the caller should wait before it retries; zero for no
+    /// recommendation.
     std::chrono::milliseconds retry_after{};
 
     template <class Archive>
     void serialize(Archive& archive);
 };
 
-/// Entry node to owner: the work under a key has ended, or was not begun.
-/// Sent again until the owner has noted it.
+/// Sent by an entry node to the owner: the work under a key has completed, or
+/// was not started. The entry node repeats this message until the owner
+/// acknowledges it.
 struct key_completion {
     request_id request;
     std::uint32_t attempt = 0;
@@ -74,7 +78,7 @@
     std::uint64_t body_digest = 0;
     key_shard shard = 0;
     bool idempotent = false;
-    /// 0 when the ask is withdrawn before its permission came.
+    /// 0 when the request was withdrawn before its permission arrived.
     std::uint64_t permission = 0;
     log_offset fencing;
     outcome how = outcome::unknown;
@@ -85,7 +89,8 @@
     void serialize(Archive& archive);
 };
 
-/// Owner to entry node: the end of this request stands in the table.
+/// Sent by the owner to an entry node: the table has recorded the completion of
+/// this request.
 struct key_completion_ack {
     request_id request;
     std::uint32_t attempt = 0;
@@ -94,7 +99,7 @@
     void serialize(Archive& archive);
 };
 
-/// One key whose work an entry node is running.
+/// One key whose work an entry node is executing.
 struct running_key {
     request_id request;
     std::uint32_t attempt = 0;
@@ -109,8 +114,10 @@
     void serialize(Archive& archive);
 };
 
-/// Entry node to owner, every second while it runs any: the keys that it runs.
-/// One that is not named for a while becomes unknown.
+/// Sent by an entry node to the owner every second while it executes work under
+/// any key of the owner: the keys that it is executing. The owner marks a key
+/// as unknown when no heartbeat has included it within
+/// key_settings::entry_timeout.
 struct key_heartbeat {
     std::vector<running_key> running;
 
@@ -118,15 +125,16 @@
     void serialize(Archive& archive);
 };
 
-/// Owner to its named successor, before it releases a shard: a part of the
-/// shard's table, of at most `handover_part_bytes`.
+/// Sent by the owner to its designated successor before it releases a shard: a
+/// part of the shard's table, of at most `handover_part_bytes`.
 struct key_handover {
     key_shard shard = 0;
-    /// The claim that is being given up.
+    /// Log offset of the claim that the sender is about to release.
     log_offset fencing;
     std::uint32_t part = 0;
     std::uint32_t parts = 1;
-    /// The sender's own bound: it knows nothing of keys up to this time.
+    /// The sender's own bound: keys with a time up to this one may have been
+    /// executed without a record in its table.
     wall_time unknown_up_to;
     std::vector<key_record> records;
 
@@ -134,7 +142,7 @@
     void serialize(Archive& archive);
 };
 
-/// The most that one part of a handover may take, in bytes.
+/// Maximum size of one part of a handover, in bytes.
 inline constexpr std::size_t handover_part_bytes = 65'536;
 
 template <class Archive>
--- a/src/Keys/key_owner.cpp
+++ b/src/Keys/key_owner.cpp
@@ -24,8 +24,9 @@
     key_table& table =
         tables_.try_emplace(shard, settings_, memory_, shard).first->second;
     table.begin_claim(claim.fencing);
-    // The earlier holder's clock may have been ahead of this one by the clock
-    // error, and it took keys ahead of its clock by the limit.
+    // The previous owner's clock may have been ahead of this node's clock by up
+    // to the clock error, and it accepted keys up to the limit ahead of its own
+    // clock.
     if (!claim.first) {
         table.set_unknown_up_to(
             clock.wall + settings_.ahead_limit + settings_.clock_error);
@@ -106,9 +107,10 @@
     if (claim == claims_.end() || staged == staged_.end()) {
         return;
     }
-    // Only the table of the claim right before this one is whole: a holder
-    // that closed its table gives nothing more under that claim. An older one
-    // lacks what a later holder let run.
+    // The staged table is complete only if it belongs to the claim directly
+    // before this one: after closing its table, an owner gives no more
+    // permissions under that claim. The table of an older claim lacks the
+    // permissions that a later owner gave.
     bool const complete =
         staged->second.parts.size() == staged->second.expected;
     bool const is_direct_predecessor =
@@ -121,7 +123,8 @@
     for (auto const& [part, records] : staged->second.parts) {
         all.insert(all.end(), records.begin(), records.end());
     }
-    // The earlier holder's own gap is handed on with its table.
+    // The bound of the previous owner is imported with its table, since the
+    // previous owner's table may itself lack records of keys up to that time.
     tables_.at(shard).import_records(all, staged->second.unknown_up_to, clock);
     staged_.erase(staged);
 }
@@ -145,8 +148,8 @@
 void key_owner::hand_over(key_shard shard, node_id const& successor) {
     std::vector<key_handover> parts = close_and_export(shard);
     if (successor.empty()) {
-        // The last node of all stops: whoever claims the shard later finds no
-        // table, and judges keys by the time of its takeover.
+        // No other node remains. The node that claims the shard later finds no
+        // table, and decides about keys by the time of its takeover.
         return;
     }
     for (key_handover& part : parts) {
@@ -168,9 +171,10 @@
 bool key_owner::clocks_agree(
     node_id const& from, key_permission_request const& message,
     clock_reading const& clock) {
-    // A node whose calendar clock is off (time synchronisation failed) breaks
-    // the bound of the takeover check; it would show as a second run after a
-    // crash. An ask that was long on its way looks the same, and comes again.
+    // A node whose calendar clock is wrong, for instance because time
+    // synchronization failed, breaks the bound of the takeover check, and work
+    // could be executed a second time after a crash. A permission request that
+    // was delayed in transit looks the same; the entry node sends it again.
     auto const ahead = message.sent - clock.wall;
     if (ahead <= settings_.clock_error && -ahead <= settings_.clock_error) {
         return true;
--- a/src/Keys/key_record.hpp
+++ b/src/Keys/key_record.hpp
@@ -10,35 +10,37 @@
 
 namespace camphorpoint {
 
-/// What an owner knows of a key.
+/// The state of a key's execution, as known to the owner.
 enum class key_state : std::uint8_t {
-    /// One entry node has the permission to run it.
+    /// One entry node has the permission to execute the work.
     running,
-    /// It ran to its end.
+    /// The work was executed to completion.
     done,
-    /// It may have run; nobody can say.
+    /// The work may have been executed; the owner cannot find out.
     unknown,
-    /// The permission came back unused: nothing ran.
+    /// The entry node returned the permission unused: nothing was executed.
     not_run
 };
 
-/// What a shard's owner remembers of one key.
+/// The record of one key at the owner of its shard.
 struct key_record {
     idempotency_key key;
     std::uint64_t body_digest = 0;
     bool idempotent = false;
     key_state state = key_state::running;
-    /// The entry node that has the permission, with its request.
+    /// The entry node that has the permission, followed by the request that the
+    /// permission is for.
     node_id entry_node;
     request_id request;
     std::uint32_t attempt = 0;
     std::uint64_t permission = 0;
     log_offset fencing;
     reason why = reason::none;
-    /// False for a long answer, and for one dropped to make room.
+    /// False when the answer was too long to store, or was dropped to free
+    /// memory.
     bool answer_kept = false;
     std::string answer;
-    /// When it is forgotten, by the calendar clock.
+    /// Calendar time after which the record may be removed.
     wall_time forget_after;
 
     template <class Archive>
--- a/src/Keys/key_table.cpp
+++ b/src/Keys/key_table.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// Records looked at in one tick: a sweep over a full node's records takes
-/// seconds, which is nothing beside the retention, and a tick stays short.
+/// Number of records that a tick checks for expiry. At this rate a pass over
+/// all records of a full node takes seconds, which is negligible beside the
+/// retention, and a tick stays short.
 constexpr std::size_t records_checked_per_tick = 8;
 
 bool holds_permission(
@@ -57,10 +58,11 @@
         reply(from, message, key_verdict::refused, reason::key_invalid);
         return;
     }
-    // A paused holder whose authority has lapsed would give a permission
-    // beside its successor's. It shows as a booking that ran twice. The
-    // authority ends before the successor's begins, and a permission that left
-    // in time is for a key that the successor refuses by its time.
+    // Without this check an owner that was paused until after its authority
+    // expired would give a permission in addition to its successor's, and a
+    // booking would be executed twice. The authority ends before the
+    // successor's begins. A permission that was sent in time is for a key that
+    // the successor refuses because of the key's time.
     bool const may_grant = has_authority && !closed_;
     auto const found = entries_.find(message.key);
     if (found != entries_.end()) {
@@ -81,7 +83,8 @@
         return;
     }
     bool const repeat = record.idempotent && message.idempotent;
-    // That it ran stays true whoever owns the shard by now.
+    // A completed execution stays a fact, even if another node owns the shard
+    // by now.
     if (record.state == key_state::done && (record.answer_kept || !repeat)) {
         reply_done(from, message.request, message.attempt, known);
     } else if (!has_authority) {
@@ -128,7 +131,8 @@
     if (made != nullptr) {
         grant_permission(*made, from, message, clock.now);
     } else if (message.idempotent) {
-        // A full table costs idempotent work its answer's memory, no more.
+        // For idempotent work, a full table only means that the answer is not
+        // stored.
         reply(from, message, key_verdict::run, reason::key_table_full);
     } else {
         reply(from, message, key_verdict::refused, reason::key_table_full);
@@ -138,20 +142,22 @@
 reason key_table::check_key_time(
     key_permission_request const& message, clock_reading const& clock) const {
     wall_time const made = *parse_key_time(message.key);
-    // Bounds what a holder can have taken: nothing above its own clock plus
-    // this limit. The takeover check below relies on it.
+    // Limits the keys that an owner can have accepted to those with a time up
+    // to its own clock plus this limit. The takeover check below relies on it.
     if (made > clock.wall + settings_.ahead_limit) {
         return reason::key_too_new;
     }
-    // Its record may be forgotten by now; records outlive this limit by the
-    // clock error, so a node with a slow clock does not run it again.
+    // The key's record may have been removed already. Records are kept beyond
+    // this limit by twice the clock error, so that a node with a slow clock
+    // does not execute the work again.
     if (made < clock.wall - settings_.retention) {
         return reason::key_too_old;
     }
-    // The dead holder may have let it run: its memory is lost. It would show
-    // as a second run of a booking that is repeated after the crash. Whatever
-    // the dead holder took bears a time up to its last clock reading plus the
-    // limit above, so it is at or below this bound.
+    // The previous owner may have crashed after it permitted the execution, and
+    // its records are lost. Without this check, a booking that is repeated
+    // after the crash would be executed a second time. Every key that the
+    // crashed owner accepted has a time up to its last clock reading plus the
+    // limit above, which is at or below this bound.
     if (made <= unknown_up_to_) {
         return reason::key_unknown_after_takeover;
     }
@@ -197,7 +203,8 @@
     node_id const& from, key_completion const& completion, bool has_authority,
     clock_reading const& clock) {
     if (!has_authority || closed_) {
-        // The successor has to know it: only its word ends the resending.
+        // The successor must receive the completion: only its acknowledgement
+        // ends the repeated sending.
         return false;
     }
     auto const found = entries_.find(completion.key);
@@ -244,7 +251,8 @@
     if (record.state == key_state::done) {
         return;
     }
-    // Only the holder of the one permission can say that it was not used.
+    // Only the entry node that has the one permission can report that the
+    // permission was not used.
     bool const holder =
         holds_permission(record, from, completion.request, completion.attempt);
     bool const unfinished = record.state == key_state::running ||
@@ -299,7 +307,8 @@
         key_permission_request message;
         message.request = each.request;
         message.attempt = each.attempt;
-        // Idempotent work may run again: its entry node asks anew.
+        // Idempotent work may be executed again: its entry node sends a new
+        // permission request.
         bool const may_retry = known.record.idempotent;
         reply(
             each.entry_node, message,
@@ -343,7 +352,8 @@
                                 record.state == key_state::unknown;
         if (unfinished &&
             holds_permission(record, from, running.request, running.attempt)) {
-            // A paused entry node came back and runs it still.
+            // An entry node that was paused has resumed, and is still executing
+            // the work.
             record.state = key_state::running;
             running_.insert(record.key);
             found->second.last_seen = clock.now;
@@ -408,8 +418,9 @@
     made.record.key = key;
     made.record.body_digest = digest;
     made.record.idempotent = idempotent;
-    // Twice the clock error: the next holder's clock may be slower than this
-    // one's, and must refuse the key as too old before this one forgets it.
+    // Twice the clock error: the next owner's clock may be slower than this
+    // one's, and must already refuse the key as too old when this owner removes
+    // the record.
     wall_time const since =
         idempotent ? now : parse_key_time(key).value_or(now);
     made.record.forget_after =
--- a/src/Keys/key_table.hpp
+++ b/src/Keys/key_table.hpp
@@ -15,18 +15,19 @@
 
 namespace camphorpoint {
 
-/// A reply and whom it goes to.
+/// A reply and the entry node that it is sent to.
 struct addressed_reply {
     node_id to;
     key_reply reply;
 };
 
-/// One shard's memory at its owner.
+/// The records of one shard's keys at the owner of the shard.
 class key_table {
 public:
-    /// @param settings bounds and times
-    /// @param memory   counts over all tables of this node; outlives the table
-    /// @param shard    the shard whose keys are kept
+    /// @param settings limits and times; must outlive the table
+    /// @param memory   counts records and answers over all tables of this node;
+    ///        must outlive the table
+    /// @param shard    the shard whose keys are recorded
     key_table(
         key_settings const& settings, internal::key_memory& memory,
         key_shard shard);
@@ -34,45 +35,56 @@
     key_table& operator=(key_table const&) = delete;
     ~key_table();
 
-    /// Starts a new claim under which permissions are given.
+    /// Starts a new claim, under which the table gives permissions.
+    /// @param fencing log offset of the claim
     void begin_claim(log_offset fencing);
-    /// Says that keys up to a time may have run without this table's knowledge.
+    /// Sets a bound: work under keys with a time up to the bound may have been
+    /// executed without a record in this table.
     void set_unknown_up_to(wall_time bound);
     /// Stops giving permissions until the next claim.
     void close() noexcept { closed_ = true; }
 
-    /// Answers an ask; the reply is put to the others.
-    /// @param has_authority true while this node's authority holds
+    /// Handles a permission request and queues the reply.
+    /// @param from          the entry node that sent the message
+    /// @param message       the permission request
+    /// @param has_authority true while this node has authority over the shard
+    /// @param clock         this node's clocks, read for this event
     void on_permission_request(
         node_id const& from, key_permission_request const& message,
         bool has_authority, clock_reading const& clock);
-    /// Notes an end.
-    /// @returns true when it need not be sent again
+    /// Records a completion.
+    /// @returns true when the entry node need not send it again
     bool on_completion(
         node_id const& from, key_completion const& completion,
         bool has_authority, clock_reading const& clock);
-    /// Notes that an entry node runs a key.
+    /// Records that an entry node is executing a key's work.
     void on_heartbeat(
         node_id const& from, running_key const& running,
         clock_reading const& clock);
-    /// Lets silent entry nodes' keys become unknown; forgets old records.
+    /// Marks keys as unknown whose entry node has sent no heartbeat within
+    /// key_settings::entry_timeout, and removes some expired records.
     void tick(clock_reading const& clock);
 
-    /// Takes over another holder's records, but for those it knows itself.
-    /// @param bound up to when the other holder itself knew nothing
+    /// Imports the records of the previous owner. A record that this table has
+    /// already is kept, except that a completion is merged into it.
+    /// @param records the previous owner's records
+    /// @param bound   the previous owner's own bound, see set_unknown_up_to; it
+    ///        replaces the bound of this table
+    /// @param clock   this node's clocks, read for this event
     void import_records(
         std::vector<key_record> const& records, wall_time bound,
         clock_reading const& clock);
-    /// @returns the whole table in parts of bounded size
+    /// @returns the full table in parts of at most `handover_part_bytes`
     std::vector<key_handover> export_parts() const;
 
-    /// @returns the claim under which permissions are given
+    /// @returns the log offset of the claim under which permissions are given
     log_offset fencing() const noexcept { return fencing_; }
-    /// @returns true when the shard was closed for a handover
+    /// @returns true while the table gives no permissions: before its first
+    ///        claim, and after close()
     bool closed() const noexcept { return closed_; }
     /// @returns the record of a key, or null
     key_record const* find(idempotency_key const& key) const;
-    /// @returns replies to send, in order; empties the list
+    /// @returns the queued replies, in order; empties the queue
     std::vector<addressed_reply> drain_replies();
 
 private:
@@ -142,11 +154,11 @@
     wall_time unknown_up_to_{};
     std::uint64_t next_permission_ = 1;
     entry_map entries_;
-    /// Keys in state running, so that a tick need not look at all.
+    /// Keys in state running, so that a tick need not search all records.
     std::set<idempotency_key> running_;
-    /// Where the search for records to forget goes on.
+    /// Key at which the search for expired records continues.
     idempotency_key cursor_;
-    /// Keys with kept answers, the oldest first.
+    /// Keys with stored answers, the oldest answer first.
     std::deque<idempotency_key> keys_with_answer_;
     std::vector<addressed_reply> replies_;
 };
--- a/src/Keys/key_table_handover.cpp
+++ b/src/Keys/key_table_handover.cpp
@@ -1,4 +1,5 @@
-// How a shard's table goes from one holder to the next.
+// Export and import of a shard's table, for the handover from one owner to the
+// next.
 #include "Keys/key_table.hpp"
 
 #include <string>
@@ -15,8 +16,9 @@
             merge(position->second, each);
             continue;
         }
-        // Taken even when the table is full: leaving one out would be silent
-        // forgetting, and the key could run again.
+        // Records are imported even when the table is full: if one were left
+        // out, its key would be forgotten without notice, and its work could be
+        // executed again.
         memory_.add_records(1);
         entry& made = position->second;
         made.record = each;
@@ -34,7 +36,8 @@
 }
 
 void key_table::merge(entry& known, key_record const& other) {
-    // A heartbeat that was long on its way may have come before the table.
+    // The table may have a record of the key already: a delayed heartbeat can
+    // arrive before the imported table.
     bool const ended = known.record.state == key_state::done;
     if (!ended && other.state == key_state::done) {
         complete(known, other.answer);
@@ -42,7 +45,7 @@
 }
 
 std::vector<key_handover> key_table::export_parts() const {
-    // What a record takes on the wire beside its strings.
+    // Serialized size of a record apart from its strings, in bytes.
     constexpr std::size_t record_overhead = 160;
     key_handover empty;
     empty.shard = shard_;
--- a/src/Keys/key_table_replies.cpp
+++ b/src/Keys/key_table_replies.cpp
@@ -1,4 +1,4 @@
-// What a shard's table says to entry nodes.
+// Replies of a shard's table to entry nodes.
 #include "Keys/key_table.hpp"
 
 namespace camphorpoint {
--- a/src/Keys/key_time.cpp
+++ b/src/Keys/key_time.cpp
@@ -26,7 +26,7 @@
                                           : letter;
 }
 
-/// @returns the digit's value, or -1
+/// @returns the value of a hexadecimal digit, or -1 for any other character
 int hex_value(char digit) noexcept {
     char const small = lower(digit);
     if (small >= '0' && small <= '9') {
