--- a/test/key_simulation.hpp
+++ b/test/key_simulation.hpp
@@ -14,8 +14,8 @@
 
 namespace camphorpoint::test {
 
-/// A few nodes that share one key shard, with messages that a test delivers,
-/// loses or holds back. Counts the runs of each key.
+/// Simulates a few nodes that share one key shard. Tests deliver, lose, repeat
+/// or delay the messages. Counts the executions of the work under each key.
 class key_simulation {
 public:
     using message = std::variant<
@@ -60,7 +60,8 @@
     }
     wall_time wall() const { return clock(std::chrono::milliseconds(0)).wall; }
 
-    /// A key whose time is the present one plus an offset, in a fixed shard.
+    /// Generates a key in the fixed shard, with the present time plus an
+    /// offset.
     idempotency_key make_key(std::chrono::milliseconds offset = {}) {
         idempotency_key key;
         do {
@@ -69,7 +70,8 @@
         return key;
     }
 
-    /// Time passes; nodes that are neither paused nor dead see ticks.
+    /// Advances time in steps. Nodes that are neither paused nor crashed
+    /// receive a tick in each step.
     void advance(std::chrono::milliseconds time) {
         constexpr std::chrono::milliseconds step{100};
         while (time.count() > 0) {
@@ -85,7 +87,7 @@
             collect();
         }
     }
-    /// The same, with each message delivered as it is sent.
+    /// Advances time, and delivers the queued messages before each step.
     void advance_and_deliver(std::chrono::milliseconds time) {
         constexpr std::chrono::milliseconds step{100};
         for (; time.count() > 0; time -= step) {
@@ -95,7 +97,8 @@
         deliver();
     }
 
-    /// A claim takes effect, after the earlier authority has ended.
+    /// Makes a node's claim effective. Unless the shard was handed over, time
+    /// first advances to the end of the previous owner's authority.
     void claim(std::string const& name, bool handed_over = false) {
         node& new_owner = at(name);
         if (holder_ && !handed_over) {
@@ -116,7 +119,7 @@
             learn_owner(name);
         }
     }
-    /// A node reads the log, and learns who owns the shard.
+    /// A node reads the log, and learns which node owns the shard.
     void learn_owner(std::string const& name) {
         node& each = at(name);
         each.entry->on_owner_changed(shard, *holder_);
@@ -124,13 +127,13 @@
             each.owner->on_shard_lost(shard);
         }
     }
-    /// The holder's reads of the log go on.
+    /// Extends the owner's authority, as its reads of the log do.
     void renew() {
         if (holder_ && !nodes_.at(*holder_).paused) {
             nodes_.at(*holder_).authority_until = now_ + authority;
         }
     }
-    /// All nodes but the paused ones learn who owns the shard.
+    /// All nodes that are not paused learn which node owns the shard.
     void announce_owner() {
         for (auto& [name, each] : nodes_) {
             if (!each.paused) {
@@ -138,7 +141,7 @@
             }
         }
     }
-    /// A planned handover up to the release; the successor's claim follows.
+    /// A planned handover up to the release. The successor's claim must follow.
     void hand_over(std::string const& from, std::string const& to) {
         at(from).owner->hand_over(shard, node_id(to));
         at(from).authority_until = {};
@@ -151,7 +154,8 @@
         each.dead = true;
     }
 
-    /// A caller's request; the answer of the keys is found in `decisions`.
+    /// A caller submits a request at an entry node. The decision on it is
+    /// stored in `decisions`.
     void submit(
         std::string const& entry, std::string const& request,
         idempotency_key const& key, bool idempotent = false,
@@ -173,8 +177,9 @@
         collect();
     }
 
-    /// Delivers all messages, and those sent in answer; those to a paused node
-    /// stay, those to a dead one are lost.
+    /// Delivers all queued messages, and those that are sent in response.
+    /// Messages to a paused node stay queued; messages to a crashed node are
+    /// lost.
     void deliver() {
         for (std::size_t index = 0; index < message_queue.size();) {
             index = deliver_one(index) ? 0 : index + 1;
@@ -194,7 +199,8 @@
         }
         return true;
     }
-    /// Loses all messages of a kind that are on their way.
+    /// Removes all queued messages of a type.
+    /// @returns the number of removed messages
     template <class Message>
     std::size_t lose() {
         return std::erase_if(message_queue, [](queued_message const& each) {
@@ -214,12 +220,13 @@
     static constexpr std::chrono::milliseconds authority{3'000};
     std::vector<queued_message> message_queue;
     std::map<request_id, key_decision> decisions;
-    /// Requests that a verdict let run, in order.
+    /// Requests that were permitted to run, in order.
     std::vector<grant> grants;
     std::map<idempotency_key, std::uint32_t> runs;
-    /// False when the test itself says when a grant is used.
+    /// False when the test itself counts the executions, since it decides when
+    /// a permission is used.
     bool count_run_on_grant = true;
-    /// False when the test itself says who learns of a claim.
+    /// False when the test itself decides which nodes learn of a claim.
     bool announce_on_claim = true;
     std::uint32_t clock_warnings = 0;
     std::map<request_id, idempotency_key> keys_;
--- a/test/keys_entry_test.cpp
+++ b/test/keys_entry_test.cpp
@@ -21,9 +21,10 @@
 
 } // namespace
 
-// The entry node dies with a permission in hand: nobody can say whether the
-// booking ran. Callers that wait for it are told unknown within seconds.
-TEST_CASE("an entry node dies with its permission") {
+// An entry node crashes after it received a permission, so it is unknown
+// whether the booking was executed. Requests that wait for it must get the
+// verdict unknown within seconds.
+TEST_CASE("an entry node crashes after it received a permission") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("b", "first", key);
@@ -40,9 +41,10 @@
     CHECK(world.runs_of(key) == 1);
 }
 
-// The entry node is only paused: it comes back, ends its booking, and repeats
-// get the answer after all.
-TEST_CASE("an entry node is paused with its permission") {
+// An entry node pauses while it executes a booking, and its key becomes
+// unknown. After it resumes and reports the completion, repeats must get the
+// answer.
+TEST_CASE("an entry node pauses after it received a permission") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("b", "first", key);
@@ -59,12 +61,12 @@
     world.advance_and_deliver(milliseconds(1'000));
     world.renew();
 
-    SUBCASE("it runs still: repeats wait") {
+    SUBCASE("still running: repeats wait") {
         world.submit("c", "after", key);
         world.deliver();
         CHECK_FALSE(world.has_decision("after"));
     }
-    SUBCASE("it ran: repeats get the answer") {
+    SUBCASE("completed: repeats get the answer") {
         world.end("b", "first", outcome::done, "booked");
         world.deliver();
         world.submit("c", "after", key);
@@ -74,9 +76,10 @@
     CHECK(world.runs_of(key) == 1);
 }
 
-// The message that a booking has ended is lost. The entry node sends it until
-// the owner has noted it, so a repeat gets the answer and not unknown.
-TEST_CASE("the message of an end is lost") {
+// The message that reports the completion of a booking is lost. The entry node
+// repeats it until the owner acknowledges it; without that, a repeat would get
+// the verdict unknown instead of the answer.
+TEST_CASE("the completion message is lost") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("b", "first", key);
@@ -89,9 +92,10 @@
     CHECK(world.decision_of("second").answer == "booked");
 }
 
-// The owner's permission is lost on the way. The entry node asks again under
-// the same request and gets the same permission, not "wait" for itself.
-TEST_CASE("a permission is lost and asked for again") {
+// The reply with the permission is lost. The entry node repeats its request and
+// must get the same permission, not `wait`, which would make it wait for its
+// own execution.
+TEST_CASE("a permission is lost and requested again") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("b", "first", key);
@@ -102,21 +106,22 @@
     CHECK(world.runs_of(key) == 1);
 }
 
-// A caller goes away, or is given up, while its ask is on its way; the
-// permission comes late. It is handed back unused, and a repeat runs.
-TEST_CASE("a permission comes after the request was given up") {
+// A caller disconnects, or its wait is cancelled, while the permission request
+// is in transit, and the permission arrives late. The entry node must return it
+// unused, so that a repeat is executed.
+TEST_CASE("a permission arrives after the request was withdrawn") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("b", "first", key);
     auto const requests = world.message_queue;
     auto& entry = *world.at("b").entry;
 
-    SUBCASE("the withdrawal comes after the ask") {
+    SUBCASE("the withdrawal arrives after the permission request") {
         entry.withdraw(request_id("first"), world.clock(world.at("b")));
         world.advance(milliseconds(1'100));
         world.deliver();
     }
-    SUBCASE("the withdrawal overtakes the ask") {
+    SUBCASE("the withdrawal overtakes the permission request") {
         world.message_queue.clear();
         entry.withdraw(request_id("first"), world.clock(world.at("b")));
         world.advance(milliseconds(1'100));
@@ -133,9 +138,10 @@
     CHECK(world.runs_of(key) == 1);
 }
 
-// Its caller's time is over when the permission comes: it is not started, and
-// since this was the only permission, "not run" is the truth.
-TEST_CASE("a permission comes after the deadline") {
+// The permission arrives after the request's deadline. The work must not be
+// started; since this was the only permission, the verdict is refused (not
+// run).
+TEST_CASE("a permission arrives after the deadline") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("b", "first", key, false, 1, milliseconds(50));
@@ -146,8 +152,9 @@
     CHECK(world.runs_of(key) == 0);
 }
 
-// The owner of a summary's key cannot be reached. Running it twice does no
-// harm, so it does not wait for the owner's return.
+// The owner of the key of an idempotent summary is unreachable. The request
+// must run without waiting for the owner, since a second execution does no
+// harm.
 TEST_CASE("idempotent work does not wait for an owner") {
     three_nodes world;
     world.kill("a");
@@ -157,9 +164,9 @@
     CHECK(world.decision_of("summary").verdict == key_verdict::run);
 }
 
-// Many callers repeat one booking that runs long: the owner remembers only so
-// many that wait, and tells the others when to come back.
-TEST_CASE("too many wait for one key") {
+// Many callers repeat a booking that takes long. The owner keeps a bounded
+// number of waiting requests; the others must be rejected with a retry delay.
+TEST_CASE("too many requests wait for one key") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("b", "first", key);
--- a/test/keys_property_test.cpp
+++ b/test/keys_property_test.cpp
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-/// What can happen.
+/// Kinds of steps in a random scenario.
 enum class step_kind : std::uint8_t {
     deliver_one,
     deliver_all,
@@ -35,7 +35,8 @@
     set_stale_owner
 };
 
-/// One thing that happens, with numbers that pick whom it happens to.
+/// One step, with numbers that select the nodes, keys and messages it applies
+/// to.
 struct step {
     step_kind kind = step_kind::deliver_one;
     std::uint8_t first = 0;
@@ -48,14 +49,15 @@
                << int(each.second) << "," << each.amount << "}";
 }
 
-/// Plays random steps, and counts the runs of each booking: that is the whole
-/// oracle.
+/// Applies random steps. After each step it checks that no booking was executed
+/// twice, that none was refused after an execution, and that only answers of
+/// completed executions were returned.
 class scenario {
 public:
     scenario() {
         world_.count_run_on_grant = false;
         world_.announce_on_claim = false;
-        // The widest that clocks may be apart.
+        // The maximum permitted difference between the clocks.
         world_.add("a", milliseconds(250));
         world_.add("b", milliseconds(-250));
         world_.add("c");
@@ -128,7 +130,8 @@
             }
             break;
         case step_kind::set_stale_owner:
-            // An old view: it asks one that no longer owns, or not yet.
+            // The entry node has a stale view of the owner: it sends requests
+            // to a node that no longer owns the shard, or does not own it yet.
             world_.at(node).entry->on_owner_changed(
                 key_simulation::shard, names_[each.second % names_.size()]);
             break;
@@ -300,11 +303,13 @@
 
 namespace camphorpoint::test {
 
-// Callers repeat bookings through several nodes while owners pause, crash, hand
-// over and are succeeded, messages are lost, late, twice and out of order, and
-// clocks are as far apart as they may be. No booking runs twice, none that ran
-// is called not run, and no answer is handed out that did not come.
-TEST_CASE("no booking runs twice, whatever comes together") {
+// Guards against repeated execution in arbitrary sequences of faults. Callers
+// repeat bookings through several entry nodes while owners pause, crash, hand
+// over and are succeeded, messages are lost, delayed, duplicated and reordered,
+// and clocks differ by the maximum permitted. No booking may be executed twice,
+// none that was executed may be reported as not run, and no answer may be
+// returned that was not received.
+TEST_CASE("no booking runs twice under any sequence of faults") {
     rc::detail::TestMetadata metadata;
     metadata.id = "keys";
     rc::detail::TestParams params;
@@ -328,7 +333,7 @@
         rc::detail::printResultMessage(result, std::cerr);
     }
     CHECK(result.is<rc::detail::SuccessResult>());
-    // The property is worth something only while bookings do run.
+    // The property is only meaningful if bookings are executed.
     CHECK(runs > 1'500);
 }
 
--- a/test/keys_takeover_test.cpp
+++ b/test/keys_takeover_test.cpp
@@ -21,10 +21,11 @@
 
 } // namespace
 
-// A booking's answer is lost on the way; its key's owner crashes with its
-// memory. The caller repeats through another node, whose successor of the owner
-// has never heard of the key: it must say unknown, and never book again.
-TEST_CASE("an owner dies with its memory, and a booking is repeated") {
+// The answer to a booking is lost in transit, and the owner of its key crashes
+// and loses its records. The caller repeats the booking through another entry
+// node, and the new owner has no record of the key. The verdict must be
+// unknown; the booking must not be executed again.
+TEST_CASE("an owner crashes without a handover, and a booking is repeated") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("c", "first", key);
@@ -32,14 +33,14 @@
     REQUIRE(world.runs_of(key) == 1);
     world.kill("a");
 
-    SUBCASE("before a successor: unknown after a short patience") {
+    SUBCASE("before a successor claims: unknown after the wait budget") {
         world.submit("b", "second", key);
         world.advance_and_deliver(milliseconds(3'100));
         CHECK(world.decision_of("second").verdict == key_verdict::unknown);
         CHECK(world.decision_of("second").why == reason::owner_unreachable);
         CHECK(world.decision_of("second").retry_after > milliseconds(0));
     }
-    SUBCASE("the successor says unknown") {
+    SUBCASE("after the claim: the successor replies unknown") {
         world.lose<key_completion>();
         world.claim("b");
         world.submit("b", "second", key);
@@ -49,7 +50,7 @@
             world.decision_of("second").why ==
             reason::key_unknown_after_takeover);
     }
-    SUBCASE("the entry node runs it still: the repeat waits for its end") {
+    SUBCASE("the entry node still runs it: the repeat waits for completion") {
         world.claim("b");
         world.advance_and_deliver(milliseconds(1'500));
         world.submit("b", "second", key);
@@ -59,7 +60,7 @@
         world.deliver();
         CHECK(world.decision_of("second").answer == "booked");
     }
-    SUBCASE("its end went to the dead owner: it is told to the successor") {
+    SUBCASE("the completion was sent to the crashed owner: it is sent again") {
         world.end("c", "first", outcome::done, "booked");
         world.deliver();
         world.claim("b");
@@ -78,11 +79,11 @@
     CHECK(world.runs_of(key) == 1);
 }
 
-// Right after a crash, callers send bookings whose keys were made about the
-// time of the takeover. The dead owner can have taken any key up to its clock
-// plus the limit, and its clock may have been ahead: those are unknown, the
-// next millisecond's are new work.
-TEST_CASE("the edge of the takeover check") {
+// Right after a crash, callers send bookings with keys created about the time
+// of the takeover. The crashed owner can have accepted any key up to its clock
+// plus the limit, and its clock may have been ahead. Keys up to that bound must
+// be unknown; keys from one millisecond later must run.
+TEST_CASE("the bound of the takeover check") {
     three_nodes world;
     world.kill("a");
     world.claim("b");
@@ -96,7 +97,7 @@
     CHECK(world.decision_of("past").verdict == key_verdict::run);
 }
 
-TEST_CASE("the first owner ever knows that nothing ran") {
+TEST_CASE("the first owner of a shard has no takeover bound") {
     key_simulation world;
     node_id const name("b");
     world.add("b");
@@ -120,9 +121,10 @@
     CHECK(reply.verdict == key_verdict::run);
 }
 
-// A phone's clock is an hour behind. After a crash all of its new bookings are
-// answered unknown, though none ran; a key fetched from a node runs.
-TEST_CASE("a phone an hour behind, after a crash") {
+// A phone's clock is one hour behind. After a crash all its new bookings get
+// the verdict unknown, although none was executed. A booking with a key fetched
+// from a node must run.
+TEST_CASE("a phone whose clock is an hour behind, after a crash") {
     three_nodes world;
     world.claim("b");
     world.advance_and_deliver(milliseconds(1'600));
@@ -133,16 +135,17 @@
     CHECK(world.decision_of("fetched").verdict == key_verdict::run);
 }
 
-// The owner is paused past its authority, with a booking's ask unread; a
-// successor takes over. When the owner wakes and believes that it still owns,
-// it must not let the booking run beside its successor.
-TEST_CASE("a paused owner wakes after its successor took over") {
+// The owner pauses until after its authority expires, with an unread permission
+// request for a booking, and a successor takes over. When the owner resumes
+// with a stale view that it still owns the shard, it must not permit the
+// execution in addition to its successor.
+TEST_CASE("a paused owner resumes after its successor took over") {
     three_nodes world;
     idempotency_key const key = world.make_key(milliseconds(900));
     world.at("a").paused = true;
     world.submit("c", "first", key);
 
-    SUBCASE("the ask waits in the paused owner's socket") {
+    SUBCASE("the request is queued in the socket of the paused owner") {
         world.claim("b");
         world.advance(milliseconds(100));
         world.at("a").paused = false;
@@ -150,7 +153,7 @@
         CHECK(world.decision_of("first").verdict == key_verdict::unknown);
         CHECK(world.runs_of(key) == 0);
     }
-    SUBCASE("an entry node that knows no better asks it for a new key") {
+    SUBCASE("an entry node with a stale view sends it a new key") {
         world.claim("b");
         world.advance_and_deliver(milliseconds(2'000));
         world.renew();
@@ -165,7 +168,7 @@
         CHECK_FALSE(world.has_decision("at old owner"));
         CHECK(world.runs_of(fresh) == 1);
     }
-    SUBCASE("it does not note an end that its successor must know") {
+    SUBCASE("it does not acknowledge a completion in place of its successor") {
         world.at("a").paused = false;
         world.deliver();
         REQUIRE(world.decision_of("first").verdict == key_verdict::run);
@@ -183,7 +186,7 @@
         CHECK(world.decision_of("second").answer == "booked");
         CHECK(world.runs_of(key) == 1);
     }
-    SUBCASE("a permission that left in time is the only one") {
+    SUBCASE("a permission sent before the expiry stays the only one") {
         world.at("a").paused = false;
         REQUIRE(world.deliver_one(0));
         REQUIRE(
@@ -201,15 +204,17 @@
     }
 }
 
-// A planned stop: the owner hands its table over, so that no booking in
-// progress becomes unknown; a repeat joins it at the successor.
+// Planned shutdown: the owner hands its table over, so that no booking in
+// progress becomes unknown. At the successor a repeat must wait for the running
+// booking.
 TEST_CASE("an owner hands its shard over") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("c", "first", key);
     world.deliver();
 
-    SUBCASE("whole: the successor knows all, and fresh keys run at once") {
+    SUBCASE(
+        "complete: the successor has all records, new keys run immediately") {
         world.hand_over("a", "b");
         world.deliver();
         world.claim("b", true);
@@ -222,7 +227,7 @@
         world.deliver();
         CHECK(world.decision_of("second").answer == "booked");
     }
-    SUBCASE("once closed, the old owner lets nothing run") {
+    SUBCASE("once closed, the old owner gives no permissions") {
         world.hand_over("a", "b");
         world.at("a").authority_until = world.now_ + milliseconds(5'000);
         idempotency_key const late = world.make_key();
@@ -230,7 +235,7 @@
         world.deliver();
         CHECK_FALSE(world.has_decision("late"));
     }
-    SUBCASE("aborted: it goes on, and knows what it knew") {
+    SUBCASE("aborted: the owner continues with its records") {
         key_owner& owner = *world.at("a").owner;
         CHECK(owner.close_and_export(key_simulation::shard).size() == 1);
         idempotency_key const other = world.make_key();
@@ -244,7 +249,7 @@
         world.deliver();
         CHECK_FALSE(world.has_decision("second"));
     }
-    SUBCASE("a part is lost: as after a crash") {
+    SUBCASE("a part is lost: keys are unknown, as after a crash") {
         world.hand_over("a", "b");
         CHECK(world.lose<key_handover>() == 1);
         world.claim("b", true);
@@ -252,9 +257,9 @@
         world.deliver();
         CHECK(world.decision_of("second").verdict == key_verdict::unknown);
     }
-    SUBCASE("the table of an older claim is no use") {
-        // b's copy dates from the handover; a claims again, lets another
-        // booking run and dies.
+    SUBCASE("the table of an older claim is not imported") {
+        // The copy at node b is from the handover. Node a then claims the shard
+        // again, permits another booking and crashes.
         world.hand_over("a", "b");
         world.deliver();
         world.claim("a");
@@ -273,9 +278,10 @@
     CHECK(world.runs_of(key) == 1);
 }
 
-// Two crashes, or a crash and then a planned stop: the second successor's table
-// has the first one's gap, and must not take it for complete.
-TEST_CASE("a takeover within a takeover") {
+// Two crashes, or a crash followed by a planned shutdown. The table of the
+// second successor lacks the records that the first successor lacked, and must
+// not be treated as complete.
+TEST_CASE("a second takeover after an incomplete first one") {
     three_nodes world;
     idempotency_key const key = world.make_key();
     world.submit("c", "first", key);
@@ -285,12 +291,12 @@
     world.kill("a");
     world.claim("b");
 
-    SUBCASE("the second is planned: the gap is handed on") {
+    SUBCASE("the second one is planned: the bound is handed over") {
         world.hand_over("b", "c");
         world.deliver();
         world.claim("c", true);
     }
-    SUBCASE("the second is a crash too: its own time counts") {
+    SUBCASE("the second one follows a crash: its own time is the bound") {
         world.kill("b");
         world.claim("c");
     }
@@ -300,10 +306,11 @@
     CHECK(world.runs_of(key) == 1);
 }
 
-// A node's time synchronisation fails and its calendar clock is a minute off.
-// The takeover check would compare times of different clocks. Bookings through
-// it are not run, and the operator sees the warning.
-TEST_CASE("a node's calendar clock is wrong") {
+// Time synchronization fails on a node, and its calendar clock is one minute
+// off, so that the takeover check would compare times of different clocks.
+// Bookings through this node must not be executed, and the operator must get a
+// warning.
+TEST_CASE("the calendar clock of a node is wrong") {
     key_simulation world;
     world.add("a");
     world.add("b", std::chrono::minutes(-1));
@@ -320,10 +327,10 @@
     CHECK(world.clock_warnings == 1);
 }
 
-// A record is forgotten by an owner with a fast clock, and the table goes to a
-// node with a slow one: for it the key must be too old already, or it would
-// run as if it were new.
-TEST_CASE("retention ends on two clocks that are apart") {
+// An owner with a fast clock removes a record, and its table is handed over to
+// a node with a slow clock. The new owner must already reject the key as too
+// old; otherwise the work would be executed as if the key were new.
+TEST_CASE("the retention expires on nodes with different clocks") {
     key_simulation world;
     world.add("a", milliseconds(250));
     world.add("b", milliseconds(-250));
@@ -337,10 +344,10 @@
     world.deliver();
 
     key_verdict expected = key_verdict::answer;
-    SUBCASE("too old for the fast clock, not for the slow one: known") {
+    SUBCASE("too old for the fast clock but not for the slow one: answered") {
         world.now_ += std::chrono::hours(24);
     }
-    SUBCASE("once forgotten, it is too old everywhere") {
+    SUBCASE("once removed, the key is too old on every node") {
         world.now_ += std::chrono::hours(24) + milliseconds(751);
         expected = key_verdict::unknown;
     }
--- a/test/keys_test.cpp
+++ b/test/keys_test.cpp
@@ -15,21 +15,21 @@
 
 } // namespace
 
-TEST_CASE("a key tells its time and its shard") {
+TEST_CASE("the time and the shard of a key") {
     idempotency_key const key("017f22e2-79b0-7cc3-98c4-dc0c0c07398f");
 
-    SUBCASE("the example of RFC 9562 bears its time") {
+    SUBCASE("the example key of RFC 9562 yields its time") {
         auto const time = parse_key_time(key);
         REQUIRE(time.has_value());
         CHECK(time->time_since_epoch().count() == 1'645'557'742'000);
     }
-    SUBCASE("both cases are one key") {
+    SUBCASE("upper and lower case are the same key") {
         idempotency_key const upper_case(
             "017F22E2-79B0-7CC3-98C4-DC0C0C07398F");
         CHECK(canonical_key(upper_case) == key);
         CHECK(parse_key_time(upper_case) == parse_key_time(key));
     }
-    SUBCASE("what is no UUID of version 7 has no time") {
+    SUBCASE("a key that is not a UUIDv7 has no time") {
         for (char const* text :
              {"", "booking-17", "017f22e2-79b0-4cc3-98c4-dc0c0c07398f",
               "017f22e2-79b0-7cc3-c8c4-dc0c0c07398f",
@@ -38,7 +38,7 @@
             CHECK_FALSE(parse_key_time(idempotency_key(text)));
         }
     }
-    SUBCASE("a minted key bears the node's time, and no two are the same") {
+    SUBCASE("a generated key has the given time and is unique") {
         std::mt19937_64 random(1);
         wall_time const time(milliseconds(1'800'000'000'123));
         idempotency_key const first = generate_key(time, random);
@@ -46,7 +46,7 @@
         CHECK(first != generate_key(time, random));
         CHECK(canonical_key(first) == first);
     }
-    SUBCASE("shards are used evenly") {
+    SUBCASE("keys are distributed evenly over the shards") {
         std::mt19937_64 random(1);
         std::map<key_shard, int> counts;
         for (int index = 0; index < 25'600; ++index) {
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("a caller repeats a booking through another node") {
+TEST_CASE("a caller repeats a booking through another entry node") {
     key_simulation world;
     world.add("a");
     world.add("b");
@@ -72,7 +72,7 @@
     world.deliver();
     REQUIRE(world.decision_of("first").verdict == key_verdict::run);
 
-    SUBCASE("after its end: the kept answer comes") {
+    SUBCASE("after completion: the stored answer is returned") {
         world.end("b", "first", outcome::done, "booked");
         world.deliver();
         world.submit("c", "second", key);
@@ -81,7 +81,7 @@
         CHECK(world.decision_of("second").answer == "booked");
         CHECK(world.at("b").entry->completed_count() == 0);
     }
-    SUBCASE("while it runs: it waits, and gets the same answer") {
+    SUBCASE("while it runs: the repeat waits and gets the same answer") {
         world.submit("c", "second", key);
         world.advance_and_deliver(milliseconds(2'500));
         world.renew();
@@ -90,13 +90,13 @@
         world.deliver();
         CHECK(world.decision_of("second").answer == "booked");
     }
-    SUBCASE("with another body: it is refused, and the first goes on") {
+    SUBCASE("with another body: the repeat is refused, the first one runs on") {
         world.submit("c", "second", key, false, 2);
         world.deliver();
         CHECK(world.decision_of("second").verdict == key_verdict::refused);
         CHECK(world.decision_of("second").why == reason::key_reused);
     }
-    SUBCASE("the first did not run after all: the one that waits does") {
+    SUBCASE("the first one was not executed: the waiting repeat runs") {
         world.submit("c", "second", key);
         world.deliver();
         world.runs[key] = 0;
@@ -104,7 +104,7 @@
         world.deliver();
         CHECK(world.decision_of("second").verdict == key_verdict::run);
     }
-    SUBCASE("the first ended unknown: so does the repeat") {
+    SUBCASE("the first one has an unknown outcome: so has the repeat") {
         world.end("b", "first", outcome::unknown);
         world.deliver();
         world.submit("c", "second", key);
@@ -114,7 +114,7 @@
     CHECK(world.runs_of(key) == 1);
 }
 
-TEST_CASE("keys that are not taken") {
+TEST_CASE("key time is validated unless the work is idempotent") {
     key_simulation world;
     world.add("a");
     world.add("b");
@@ -122,12 +122,13 @@
     world.advance_and_deliver(milliseconds(2'000));
     world.renew();
 
-    SUBCASE("a booking's key without a time is refused at once") {
+    SUBCASE("a booking with a key that has no time is refused immediately") {
         world.submit("b", "one", idempotency_key("booking-17"));
         CHECK(world.decision_of("one").verdict == key_verdict::refused);
         CHECK(world.decision_of("one").why == reason::key_invalid);
     }
-    SUBCASE("a key ahead of the clock: at the limit taken, above refused") {
+    SUBCASE(
+        "a key ahead of the clock: accepted up to the limit, then refused") {
         world.submit("b", "one", world.make_key(milliseconds(1'000)));
         world.submit("b", "two", world.make_key(milliseconds(1'001)));
         world.deliver();
@@ -135,13 +136,13 @@
         CHECK(world.decision_of("two").verdict == key_verdict::refused);
         CHECK(world.decision_of("two").why == reason::key_too_new);
     }
-    SUBCASE("a key older than the memory may have run: unknown") {
+    SUBCASE("a key older than the retention may have been executed: unknown") {
         world.submit("b", "one", world.make_key(-std::chrono::hours(25)));
         world.deliver();
         CHECK(world.decision_of("one").verdict == key_verdict::unknown);
         CHECK(world.decision_of("one").why == reason::key_too_old);
     }
-    SUBCASE("idempotent work needs no time in its key") {
+    SUBCASE("idempotent work does not need a time in its key") {
         idempotency_key key;
         for (int index = 0; key_shard_of(key) != key_simulation::shard;
              ++index) {
@@ -158,7 +159,7 @@
     }
 }
 
-TEST_CASE("a table's memory is bounded") {
+TEST_CASE("the memory of a key table is bounded") {
     key_settings settings;
     settings.most_records = 3;
     settings.longest_answer = 100;
@@ -181,20 +182,20 @@
     }
     idempotency_key const fourth = world.make_key();
 
-    SUBCASE("full: a new booking is refused, nothing remembered is lost") {
+    SUBCASE("full: a new booking is refused and no record is lost") {
         world.submit("b", "new", fourth);
         world.deliver();
         CHECK(world.decision_of("new").verdict == key_verdict::refused);
         CHECK(world.decision_of("new").why == reason::key_table_full);
         CHECK(world.at("a").owner->records() == 3);
     }
-    SUBCASE("full: idempotent work runs without being remembered") {
+    SUBCASE("full: idempotent work runs without a record") {
         world.submit("b", "new", fourth, true);
         world.deliver();
         CHECK(world.decision_of("new").verdict == key_verdict::run);
         CHECK(world.at("a").owner->records() == 3);
     }
-    SUBCASE("long and old answers go, that it ran stays") {
+    SUBCASE("long and old answers are dropped, their records stay") {
         CHECK(world.at("a").owner->answer_bytes() == 80);
         for (int index = 0; index < 3; ++index) {
             std::string const name = "again" + std::to_string(index);
@@ -206,7 +207,7 @@
                 (index == 2 ? reason::none : reason::key_answer_dropped));
         }
     }
-    SUBCASE("past the retention, records make room") {
+    SUBCASE("expired records are removed") {
         world.now_ += std::chrono::hours(24) + std::chrono::seconds(2);
         world.advance(milliseconds(300));
         CHECK(world.at("a").owner->records() == 0);
@@ -214,7 +215,7 @@
     }
 }
 
-TEST_CASE("a handover goes in parts of bounded size") {
+TEST_CASE("a handover is sent in parts of bounded size") {
     key_simulation world;
     world.add("a");
     world.add("b");
@@ -244,13 +245,13 @@
         ++parts;
     }
     CHECK(parts == 10);
-    SUBCASE("all arrive: the successor has the whole table") {
+    SUBCASE("all parts arrive: the successor has the complete table") {
         world.deliver();
         world.claim("b", true);
         CHECK(world.at("b").owner->records() == 40);
         CHECK(world.at("b").owner->answer_bytes() == 40 * 16'000);
     }
-    SUBCASE("one is lost: the others are no table") {
+    SUBCASE("one part is lost: the others are not imported") {
         world.message_queue.erase(world.message_queue.begin() + 3);
         world.deliver();
         world.claim("b", true);
@@ -259,7 +260,7 @@
         world.deliver();
         CHECK(world.decision_of("repeat").verdict == key_verdict::unknown);
     }
-    SUBCASE("one is late: the table counts once it is whole") {
+    SUBCASE("one part is late: the table is imported once complete") {
         auto const late = world.message_queue[3];
         world.message_queue.erase(world.message_queue.begin() + 3);
         world.deliver();
