--- a/src/Keys/entry_key_tracker.hpp
+++ b/src/Keys/entry_key_tracker.hpp
@@ -14,7 +14,7 @@
 
 namespace camphorpoint {
 
-/// A request that bears an idempotency key.
+/// A request that carries an idempotency key.
 struct keyed_request {
     request_id id;
     idempotency_key key;
@@ -23,89 +23,105 @@
     instant deadline;
 };
 
-/// The entry node's side of idempotency keys: asks the owner of the key's shard
-/// for leave to run, asks again while no answer comes, names running keys to
-/// their owners, and tells them how each one ended.
+/// Tracks the requests with idempotency keys on an entry node. It requests
+/// permission from the owner of the key's shard before a request is started,
+/// repeats the permission request until it is answered, reports running keys to
+/// their owners, and reports how each request completed. Its counterpart on the
+/// owner is key_owner.
 class entry_key_tracker {
 public:
     explicit entry_key_tracker(entry_key_settings settings)
         : settings_(settings) {}
 
-    /// The owner of a shard is now known to be another; an empty id when none.
+    /// Updates the owner of a shard.
+    /// @param shard the shard whose owner may have changed
+    /// @param owner the present owner; an empty id when none is known
     void on_owner_changed(key_shard shard, node_id const& owner);
-    /// Asks for leave to run a request. A key_decision follows.
+    /// Requests permission to execute a request. A key_decision follows among
+    /// the actions, unless the request is withdrawn first.
+    /// @param request the request with its key
+    /// @param clock   this node's clocks, read for this event
     void request_permission(
         keyed_request const& request, clock_reading const& clock);
-    /// An owner's answer has come.
+    /// Handles an owner's reply to a permission request.
     void on_reply(key_reply const& reply, clock_reading const& clock);
-    /// An owner has noted an end.
-    void on_completion_ack(key_completion_ack const& noted);
-    /// A request with verdict `run` has ended.
-    /// @param how not_run only while no byte can have reached an endpoint
+    /// Handles an owner's acknowledgement of a completion.
+    void on_completion_ack(key_completion_ack const& ack);
+    /// Reports the completion of a request that had the verdict `run`.
+    /// @param id     the request
+    /// @param how    its outcome; not_run only while no byte can have reached
+    ///        an endpoint
+    /// @param why    the reason for the outcome
+    /// @param answer the answer of the endpoint
+    /// @param clock  this node's clocks, read for this event
     void complete(
         request_id const& id, outcome how, reason why, std::string answer,
         clock_reading const& clock);
-    /// The request's caller has gone, or its time is over, before the verdict.
-    /// It will not run, whatever reply still comes.
+    /// Withdraws a request whose caller has disconnected, or whose deadline has
+    /// passed, before its verdict. The request will not be executed, whichever
+    /// reply still arrives.
     void withdraw(request_id const& id, clock_reading const& clock);
-    /// Time has passed.
+    /// Repeats unanswered messages, ends expired waits, and sends the periodic
+    /// heartbeats. Called periodically.
     void tick(clock_reading const& clock);
 
-    /// @returns what is to be done, in order; empties the list
+    /// @returns the queued actions, in order; empties the queue
     std::vector<key_action> take_actions();
-    /// @returns requests that ask, wait or run
+    /// @returns the number of requests that await a verdict or are running
     std::size_t open() const noexcept { return open_.size(); }
-    /// @returns ended requests that are still remembered
-    std::size_t remembered() const noexcept { return ended_.size(); }
+    /// @returns the number of completed requests that are still kept
+    std::size_t completed_count() const noexcept { return completed_.size(); }
 
 private:
-    enum class phase : std::uint8_t { asking, waiting, running };
+    enum class phase : std::uint8_t { requesting, waiting, running };
     struct open_request {
         keyed_request request;
         key_shard shard = 0;
-        phase now_in = phase::asking;
-        instant patience_ends;
-        instant next_ask;
+        phase current_phase = phase::requesting;
+        instant wait_until;
+        instant next_request_at;
         std::uint64_t permission = 0;
         log_offset fencing;
     };
-    struct ended_request {
-        key_completion end;
+    struct completed_request {
+        key_completion completion;
         instant next_send;
         instant forget_at;
-        /// True when it never ran here, and never will.
+        /// True when the request was never started on this node, and never will
+        /// be.
         bool withdrawn = false;
     };
-    /// Whether the owner has to be told of an end.
-    enum class tell : std::uint8_t { no, until_noted };
+    /// Whether a completion is reported to the owner.
+    enum class notify : std::uint8_t { no, until_acknowledged };
 
-    void send_ask(open_request& each, clock_reading const& clock);
-    void send_end(ended_request& each, instant now);
-    void settle(
+    void
+    send_permission_request(open_request& each, clock_reading const& clock);
+    void send_completion(completed_request& each, instant now);
+    void decide(
         open_request const& each, key_verdict verdict, reason why,
         std::string answer = {});
     void start(open_request& each);
-    bool give_up(open_request& each, clock_reading const& clock);
-    bool take_reply(
+    bool time_out(open_request& each, clock_reading const& clock);
+    bool handle_reply(
         open_request& each, key_reply const& reply, clock_reading const& clock);
-    bool take_permission(
+    bool handle_permission(
         open_request& each, key_reply const& reply, clock_reading const& clock);
-    void take_late_permission(key_reply const& reply, instant now);
-    void remember(
-        open_request const& each, key_completion end, bool withdrawn,
-        tell owner, instant now);
+    void handle_late_permission(key_reply const& reply, instant now);
+    void keep_completion(
+        open_request const& each, key_completion completion, bool withdrawn,
+        notify owner, instant now);
     bool tick_open(open_request& each, clock_reading const& clock);
-    void tick_ended(instant now);
+    void tick_completed(instant now);
     void send_heartbeats();
 
     entry_key_settings settings_;
     std::array<node_id, key_shard_count> owners_;
     std::map<request_id, open_request> open_;
-    std::map<request_id, ended_request> ended_;
-    /// Ended requests, the oldest first.
-    std::deque<request_id> ended_order_;
-    /// Ends that their owners have not noted.
-    std::set<request_id> unnoted_;
+    std::map<request_id, completed_request> completed_;
+    /// Completed requests, the oldest first.
+    std::deque<request_id> completed_order_;
+    /// Completed requests whose completion the owner has not acknowledged.
+    std::set<request_id> unacknowledged_;
     instant next_heartbeat_;
     std::vector<key_action> actions_;
 };
--- a/src/Keys/key_table_handover.cpp
+++ b/src/Keys/key_table_handover.cpp
@@ -1,4 +1,5 @@
-// How a shard's table goes from one holder to the next.
+// Export and import of a shard's table, for the handover from one owner to the
+// next.
 #include "Keys/key_table.hpp"
 
 #include <string>
@@ -10,19 +11,20 @@
     std::vector<key_record> const& records, wall_time bound,
     clock_reading const& clock) {
     for (key_record const& each : records) {
-        auto const [place, is_new] = entries_.try_emplace(each.key);
+        auto const [position, is_new] = entries_.try_emplace(each.key);
         if (!is_new) {
-            merge(place->second, each);
+            merge(position->second, each);
             continue;
         }
-        // Taken even when the table is full: leaving one out would be silent
-        // forgetting, and the key could run again.
+        // Records are imported even when the table is full: if one were left
+        // out, its key would be forgotten without notice, and its work could be
+        // executed again.
         memory_.add_records(1);
-        entry& made = place->second;
+        entry& made = position->second;
         made.record = each;
         made.record.answer_kept = false;
         made.record.answer = std::string();
-        made.last_heard = clock.now;
+        made.last_seen = clock.now;
         if (each.state == key_state::running) {
             running_.insert(each.key);
         }
@@ -34,7 +36,8 @@
 }
 
 void key_table::merge(entry& known, key_record const& other) {
-    // A heartbeat that was long on its way may have come before the table.
+    // The table may have a record of the key already: a delayed heartbeat can
+    // arrive before the imported table.
     bool const ended = known.record.state == key_state::done;
     if (!ended && other.state == key_state::done) {
         complete(known, other.answer);
@@ -42,7 +45,7 @@
 }
 
 std::vector<key_handover> key_table::export_parts() const {
-    // What a record takes on the wire beside its strings.
+    // Serialized size of a record apart from its strings, in bytes.
     constexpr std::size_t record_overhead = 160;
     key_handover empty;
     empty.shard = shard_;
@@ -54,7 +57,7 @@
         key_record const& record = each.record;
         std::size_t const size =
             record_overhead + key.str().size() + record.answer.size() +
-            record.entry.str().size() + record.request.str().size();
+            record.entry_node.str().size() + record.request.str().size();
         if (used + size > handover_part_bytes) {
             parts.push_back(empty);
             used = record_overhead;
@@ -62,9 +65,9 @@
         parts.back().records.push_back(record);
         used += size;
     }
-    for (std::size_t place = 0; place < parts.size(); ++place) {
-        parts[place].part = static_cast<std::uint32_t>(place);
-        parts[place].parts = static_cast<std::uint32_t>(parts.size());
+    for (std::size_t index = 0; index < parts.size(); ++index) {
+        parts[index].part = static_cast<std::uint32_t>(index);
+        parts[index].parts = static_cast<std::uint32_t>(parts.size());
     }
     return parts;
 }
--- a/test/keys_entry_test.cpp
+++ b/test/keys_entry_test.cpp
@@ -1,4 +1,4 @@
-#include "keys_world.hpp"
+#include "key_simulation.hpp"
 
 #include <doctest/doctest.h>
 
@@ -14,163 +14,171 @@
         add("b");
         add("c");
         claim("a");
-        live(milliseconds(2'000));
+        advance_and_deliver(milliseconds(2'000));
         renew();
     }
 };
 
 } // namespace
 
-// The entry node dies with a permission in hand: nobody can say whether the
-// booking ran. Callers that wait for it are told unknown within seconds.
-TEST_CASE("an entry node dies with its permission") {
+// An entry node crashes after it received a permission, so it is unknown
+// whether the booking was executed. Requests that wait for it must get the
+// verdict unknown within seconds.
+TEST_CASE("an entry node crashes after it received a permission") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
-    world.ask("c", "second", key);
+    world.submit("c", "second", key);
     world.deliver();
     world.kill("b");
     for (int second = 0; second < 6; ++second) {
-        world.live(milliseconds(1'000));
+        world.advance_and_deliver(milliseconds(1'000));
         world.renew();
     }
-    CHECK(world.settled_of("second").verdict == key_verdict::unknown);
-    CHECK(world.settled_of("second").why == reason::key_entry_lost);
+    CHECK(world.decision_of("second").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("second").why == reason::key_entry_lost);
     CHECK(world.runs_of(key) == 1);
 }
 
-// The entry node is only paused: it comes back, ends its booking, and repeats
-// get the answer after all.
-TEST_CASE("an entry node is paused with its permission") {
+// An entry node pauses while it executes a booking, and its key becomes
+// unknown. After it resumes and reports the completion, repeats must get the
+// answer.
+TEST_CASE("an entry node pauses after it received a permission") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
     world.at("b").paused = true;
     for (int second = 0; second < 6; ++second) {
-        world.live(milliseconds(1'000));
+        world.advance_and_deliver(milliseconds(1'000));
         world.renew();
     }
-    world.ask("c", "during", key);
+    world.submit("c", "during", key);
     world.deliver();
-    CHECK(world.settled_of("during").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("during").verdict == key_verdict::unknown);
     world.at("b").paused = false;
-    world.live(milliseconds(1'000));
+    world.advance_and_deliver(milliseconds(1'000));
     world.renew();
 
-    SUBCASE("it runs still: repeats wait") {
-        world.ask("c", "after", key);
+    SUBCASE("still running: repeats wait") {
+        world.submit("c", "after", key);
         world.deliver();
-        CHECK_FALSE(world.has_settled("after"));
+        CHECK_FALSE(world.has_decision("after"));
     }
-    SUBCASE("it ran: repeats get the answer") {
+    SUBCASE("completed: repeats get the answer") {
         world.end("b", "first", outcome::done, "booked");
         world.deliver();
-        world.ask("c", "after", key);
+        world.submit("c", "after", key);
         world.deliver();
-        CHECK(world.settled_of("after").answer == "booked");
+        CHECK(world.decision_of("after").answer == "booked");
     }
     CHECK(world.runs_of(key) == 1);
 }
 
-// The message that a booking has ended is lost. The entry node sends it until
-// the owner has noted it, so a repeat gets the answer and not unknown.
-TEST_CASE("the message of an end is lost") {
+// The message that reports the completion of a booking is lost. The entry node
+// repeats it until the owner acknowledges it; without that, a repeat would get
+// the verdict unknown instead of the answer.
+TEST_CASE("the completion message is lost") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
     world.end("b", "first", outcome::done, "booked");
     REQUIRE(world.lose<key_completion>() == 1);
-    world.live(milliseconds(1'200));
-    world.ask("c", "second", key);
+    world.advance_and_deliver(milliseconds(1'200));
+    world.submit("c", "second", key);
     world.deliver();
-    CHECK(world.settled_of("second").answer == "booked");
+    CHECK(world.decision_of("second").answer == "booked");
 }
 
-// The owner's permission is lost on the way. The entry node asks again under
-// the same request and gets the same permission, not "wait" for itself.
-TEST_CASE("a permission is lost and asked for again") {
+// The reply with the permission is lost. The entry node repeats its request and
+// must get the same permission, not `wait`, which would make it wait for its
+// own execution.
+TEST_CASE("a permission is lost and requested again") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     REQUIRE(world.deliver_one(0));
     REQUIRE(world.lose<key_reply>() == 1);
-    world.live(milliseconds(400));
-    CHECK(world.settled_of("first").verdict == key_verdict::run);
+    world.advance_and_deliver(milliseconds(400));
+    CHECK(world.decision_of("first").verdict == key_verdict::run);
     CHECK(world.runs_of(key) == 1);
 }
 
-// A caller goes away, or is given up, while its ask is on its way; the
-// permission comes late. It is handed back unused, and a repeat runs.
-TEST_CASE("a permission comes after the request was given up") {
+// A caller disconnects, or its wait is cancelled, while the permission request
+// is in transit, and the permission arrives late. The entry node must return it
+// unused, so that a repeat is executed.
+TEST_CASE("a permission arrives after the request was withdrawn") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
-    auto const ask = world.letters;
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
+    auto const requests = world.message_queue;
     auto& entry = *world.at("b").entry;
 
-    SUBCASE("the withdrawal comes after the ask") {
+    SUBCASE("the withdrawal arrives after the permission request") {
         entry.withdraw(request_id("first"), world.clock(world.at("b")));
         world.advance(milliseconds(1'100));
         world.deliver();
     }
-    SUBCASE("the withdrawal overtakes the ask") {
-        world.letters.clear();
+    SUBCASE("the withdrawal overtakes the permission request") {
+        world.message_queue.clear();
         entry.withdraw(request_id("first"), world.clock(world.at("b")));
         world.advance(milliseconds(1'100));
         world.deliver();
-        world.letters.insert(world.letters.end(), ask.begin(), ask.end());
+        world.message_queue.insert(
+            world.message_queue.end(), requests.begin(), requests.end());
         world.deliver();
     }
-    CHECK_FALSE(world.has_settled("first"));
+    CHECK_FALSE(world.has_decision("first"));
     CHECK(world.runs_of(key) == 0);
-    world.ask("c", "second", key);
+    world.submit("c", "second", key);
     world.deliver();
-    CHECK(world.settled_of("second").verdict == key_verdict::run);
+    CHECK(world.decision_of("second").verdict == key_verdict::run);
     CHECK(world.runs_of(key) == 1);
 }
 
-// Its caller's time is over when the permission comes: it is not started, and
-// since this was the only permission, "not run" is the truth.
-TEST_CASE("a permission comes after the deadline") {
+// The permission arrives after the request's deadline. The work must not be
+// started; since this was the only permission, the verdict is refused (not
+// run).
+TEST_CASE("a permission arrives after the deadline") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key, false, 1, milliseconds(50));
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key, false, 1, milliseconds(50));
     world.now_ += milliseconds(60);
     world.deliver();
-    CHECK(world.settled_of("first").verdict == key_verdict::refused);
-    CHECK(world.settled_of("first").why == reason::deadline_passed);
+    CHECK(world.decision_of("first").verdict == key_verdict::refused);
+    CHECK(world.decision_of("first").why == reason::deadline_passed);
     CHECK(world.runs_of(key) == 0);
 }
 
-// The owner of a summary's key cannot be reached. Running it twice does no
-// harm, so it does not wait for the owner's return.
+// The owner of the key of an idempotent summary is unreachable. The request
+// must run without waiting for the owner, since a second execution does no
+// harm.
 TEST_CASE("idempotent work does not wait for an owner") {
     three_nodes world;
     world.kill("a");
-    idempotency_key const key = world.key_made();
-    world.ask("b", "summary", key, true);
-    world.live(milliseconds(600));
-    CHECK(world.settled_of("summary").verdict == key_verdict::run);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "summary", key, true);
+    world.advance_and_deliver(milliseconds(600));
+    CHECK(world.decision_of("summary").verdict == key_verdict::run);
 }
 
-// Many callers repeat one booking that runs long: the owner remembers only so
-// many that wait, and tells the others when to come back.
-TEST_CASE("too many wait for one key") {
+// Many callers repeat a booking that takes long. The owner keeps a bounded
+// number of waiting requests; the others must be rejected with a retry delay.
+TEST_CASE("too many requests wait for one key") {
     three_nodes world;
-    idempotency_key const key = world.key_made();
-    world.ask("b", "first", key);
+    idempotency_key const key = world.make_key();
+    world.submit("b", "first", key);
     world.deliver();
     for (int index = 0; index < 17; ++index) {
-        world.ask("c", "w" + std::to_string(index), key);
+        world.submit("c", "w" + std::to_string(index), key);
         world.deliver();
     }
-    CHECK_FALSE(world.has_settled("w15"));
-    CHECK(world.settled_of("w16").verdict == key_verdict::unknown);
-    CHECK(world.settled_of("w16").why == reason::already_running);
-    CHECK(world.settled_of("w16").retry_after > milliseconds(0));
+    CHECK_FALSE(world.has_decision("w15"));
+    CHECK(world.decision_of("w16").verdict == key_verdict::unknown);
+    CHECK(world.decision_of("w16").why == reason::already_running);
+    CHECK(world.decision_of("w16").retry_after > milliseconds(0));
 }
 
 } // namespace camphorpoint::test
