--- a/src/Serving/config_router.cpp
+++ b/src/Serving/config_router.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-publish_ended ended_as(publish_report const& report) {
+publish_ended to_publish_ended(publish_report const& report) {
     publish_ended result;
     result.number = report.number;
     result.accepted = report.how == publish_end::accepted;
@@ -30,13 +30,13 @@
 void config_router::carry_out(config_actions const& actions) {
     for (config_action const& each : actions) {
         if (auto const* const read = std::get_if<config_read>(&each)) {
-            outbox_.act(read_log{log_stream::configuration, read->from});
+            outbox_.emit(read_log{log_stream::configuration, read->from});
         } else if (auto const* const send = std::get_if<config_send>(&each)) {
             std::visit(
                 [&](auto const& one) { outbox_.send(send->to, one); },
                 send->message);
-        } else if (auto const* const said = std::get_if<log_event>(&each)) {
-            outbox_.act(*said);
+        } else if (auto const* const event = std::get_if<log_event>(&each)) {
+            outbox_.emit(*event);
         }
     }
 }
@@ -48,7 +48,7 @@
                 {append_source::change, append->append},
                 log_stream::configuration, append->data);
         } else {
-            outbox_.act(ended_as(std::get<publish_report>(each)));
+            outbox_.emit(to_publish_ended(std::get<publish_report>(each)));
         }
     }
 }
@@ -80,29 +80,30 @@
         services_.publisher.on_progress(services_.follower.current(), now));
 }
 
-void config_router::needs(log_offset wanted, node_id const& peer, instant now) {
-    if (wanted > services_.follower.current().next()) {
-        carry_out(services_.follower.needs(wanted, peer, now));
+void config_router::require_offset(
+    log_offset offset, node_id const& peer, instant now) {
+    if (offset > services_.follower.current().next()) {
+        carry_out(services_.follower.needs(offset, peer, now));
     }
 }
 
-void config_router::on_publish(publish_request const& asked, instant now) {
-    decoded_record const record = decode(asked.record);
+void config_router::on_publish(publish_request const& request, instant now) {
+    decoded_record const record = decode(request.record);
     publish_ended refused;
-    refused.number = asked.number;
+    refused.number = request.number;
     if (record.has_error()) {
         refused.problems = {record.error().what};
-        outbox_.act(refused);
+        outbox_.emit(refused);
         return;
     }
     auto const* const edit = std::get_if<change>(&record.value());
     if (edit == nullptr) {
         refused.problems = {"only a change can be published"};
-        outbox_.act(refused);
+        outbox_.emit(refused);
         return;
     }
     carry_out(services_.publisher.publish(
-        asked.number, *edit, services_.follower.current(), now));
+        request.number, *edit, services_.follower.current(), now));
 }
 
 void config_router::on_tick(instant now, wall_time wall) {
@@ -116,7 +117,7 @@
                 {append_source::checkpoint, append->append},
                 log_stream::configuration, append->data);
         } else {
-            outbox_.act(std::get<log_event>(each));
+            outbox_.emit(std::get<log_event>(each));
         }
     }
 }
--- a/src/Serving/config_router.hpp
+++ b/src/Serving/config_router.hpp
@@ -23,8 +23,8 @@
     void
     on_peer(node_id const& from, config_message const& message, instant now);
     /// A peer's request names a configuration that this node may lack.
-    void needs(log_offset wanted, node_id const& peer, instant now);
-    void on_publish(publish_request const& asked, instant now);
+    void require_offset(log_offset offset, node_id const& peer, instant now);
+    void on_publish(publish_request const& request, instant now);
     void on_tick(instant now, wall_time wall);
     /// The live nodes changed.
     void refresh_peers();
--- a/src/Serving/grant_router.cpp
+++ b/src/Serving/grant_router.cpp
@@ -14,17 +14,18 @@
 }
 
 void grant_router::on_message(
-    node_id const& from, grant_request const& ask, instant now) {
-    resource_id const resource = replica_resource(ask.replica);
-    scheduler* const owned = find(ask.replica);
-    if (owned != nullptr && services_.owning.grant_authority(resource, now)) {
-        owned->on_grant_request(from, ask, now);
+    node_id const& from, grant_request const& request, instant now) {
+    resource_id const resource = replica_resource(request.replica);
+    scheduler* const owned = find(request.replica);
+    if (owned != nullptr &&
+        services_.ownership.grant_authority(resource, now)) {
+        owned->on_grant_request(from, request, now);
         return;
     }
     grant_refused refused;
-    refused.request = ask.request;
-    refused.attempt = ask.attempt;
-    refused.replica = ask.replica;
+    refused.request = request.request;
+    refused.attempt = request.attempt;
+    refused.replica = request.replica;
     refused.why = reason::owner_unreachable;
     outbox_.send(from, refused);
 }
@@ -44,9 +45,9 @@
 }
 
 void grant_router::on_message(
-    node_id const& from, grant_heartbeat const& beat, instant now) {
+    node_id const& from, grant_heartbeat const& heartbeat, instant now) {
     for (auto const& [replica, owned] : services_.replicas) {
-        owned->on_heartbeat(from, beat.grants, now);
+        owned->on_heartbeat(from, heartbeat.grants, now);
     }
 }
 
@@ -71,12 +72,12 @@
 }
 
 void grant_router::on_command_ended(command_ended const& end, instant now) {
-    auto const found = orders_.find(end.command);
-    if (found == orders_.end()) {
+    auto const found = commands_.find(end.command);
+    if (found == commands_.end()) {
         return;
     }
     engine_order const original = found->second;
-    orders_.erase(found);
+    commands_.erase(found);
     if (scheduler* const owned = find(original.replica)) {
         owned->on_command_result(original, end.how, now);
     }
@@ -84,16 +85,16 @@
 
 void grant_router::gained(ownership_gained const& claim, instant now) {
     endpoint_id const replica(claim.resource.name);
-    scheduler_settings here = settings_.scheduling;
-    here.replica = replica;
-    here.seed = hash_text(replica.str(), settings_.seed);
+    scheduler_settings replica_settings = settings_.scheduling;
+    replica_settings.replica = replica;
+    replica_settings.seed = hash_text(replica.str(), settings_.seed);
     if (auto const* const known = services_.members.find(replica)) {
-        here.adapter_slots = std::max(1U, known->adapter_slots);
-        here.batch_limit = std::max(1U, known->batch_limit);
+        replica_settings.adapter_slots = std::max(1U, known->adapter_slots);
+        replica_settings.batch_limit = std::max(1U, known->batch_limit);
     }
     auto& owned = services_.replicas[replica];
-    owned = std::make_unique<scheduler>(here);
-    renew(replica, *owned, now);
+    owned = std::make_unique<scheduler>(replica_settings);
+    renew_authority(replica, *owned, now);
     if (auto const table = decode_owner_table(claim.table)) {
         owned->import_table(*table, now);
     }
@@ -128,7 +129,7 @@
     if (scheduler* const owned = find(id)) {
         owner_table const known = owned->export_table(now);
         owned->on_authority_lost(now);
-        renew(id, *owned, now);
+        renew_authority(id, *owned, now);
         owned->import_table(known, now);
     }
 }
@@ -149,52 +150,53 @@
     }
     versions_at_ = current.next();
     for (auto const& [name, state] : current.all()) {
-        profile const* const standing = current.find(name);
-        if (standing == nullptr) {
+        profile const* const active = current.find(name);
+        if (active == nullptr) {
             continue;
         }
         auto const [known, is_new] =
-            versions_.try_emplace(name, standing->adapter);
-        if (is_new || known->second == standing->adapter) {
+            versions_.try_emplace(name, active->adapter);
+        if (is_new || known->second == active->adapter) {
             continue;
         }
         for (auto const& [replica, owned] : services_.replicas) {
-            owned->on_version_change(known->second, standing->adapter, now);
+            owned->on_version_change(known->second, active->adapter, now);
         }
-        known->second = standing->adapter;
+        known->second = active->adapter;
     }
 }
 
 // Prolongs what the scheduler may order for. An engine that checks fencing
 // numbers arbitrates itself, so that loads go on through a log outage.
-void grant_router::renew(
+void grant_router::renew_authority(
     endpoint_id const& replica, scheduler& which, instant now) {
     resource_id const resource = replica_resource(replica);
     auto const* const known = services_.members.find(replica);
     bool const checks = known != nullptr && known->checks_fencing;
-    auto const leave = services_.owning.load_authority(resource, checks, now);
-    if (leave) {
-        which.on_authority(leave->fencing, leave->not_after, now);
+    auto const authority =
+        services_.ownership.load_authority(resource, checks, now);
+    if (authority) {
+        which.on_authority(authority->fencing, authority->not_after, now);
     }
 }
 
 void grant_router::on_tick(instant now) {
     for (auto const& [replica, owned] : services_.replicas) {
-        renew(replica, *owned, now);
+        renew_authority(replica, *owned, now);
         owned->on_tick(now);
     }
 }
 
-bool grant_router::order_open(endpoint_id const& replica) const {
+bool grant_router::has_open_command(endpoint_id const& replica) const {
     auto const of_replica = [&](auto const& each) {
         return each.second.replica == replica;
     };
-    return std::ranges::any_of(orders_, of_replica);
+    return std::ranges::any_of(commands_, of_replica);
 }
 
 void grant_router::finish_handovers(instant now) {
     for (auto each = handing_over_.begin(); each != handing_over_.end();) {
-        if (order_open(*each)) {
+        if (has_open_command(*each)) {
             ++each;
             continue;
         }
@@ -203,7 +205,7 @@
         if (owned != nullptr) {
             table = encode_owner_table(owned->export_table(now));
         }
-        services_.owning.handover_ready(
+        services_.ownership.handover_ready(
             replica_resource(*each), std::move(table), now);
         each = handing_over_.erase(each);
     }
@@ -224,33 +226,33 @@
 void grant_router::carry_out(
     endpoint_id const& replica, scheduler_action const& action, instant now) {
     if (auto const* const yes = std::get_if<reply_grant>(&action)) {
-        grant(replica, *yes, now);
+        send_grant(replica, *yes, now);
     } else if (auto const* const no = std::get_if<reply_refusal>(&action)) {
         outbox_.send(no->to, no->message);
-    } else if (auto const* const wanted = std::get_if<engine_order>(&action)) {
-        order(replica, *wanted, now);
+    } else if (auto const* const command = std::get_if<engine_order>(&action)) {
+        send_command(replica, *command, now);
     } else if (
         auto const* const want = std::get_if<send_load_request>(&action)) {
-        loads_.tell_store(want->message, now);
+        loads_.send_to_store_owner(want->message, now);
     } else if (
         auto const* const gone = std::get_if<send_load_cancelled>(&action)) {
-        loads_.tell_store(gone->message, now);
+        loads_.send_to_store_owner(gone->message, now);
     } else if (auto const* const end = std::get_if<send_load_result>(&action)) {
-        loads_.tell_store(end->message, now);
+        loads_.send_to_store_owner(end->message, now);
     } else if (auto const* const wait = std::get_if<observed_wait>(&action)) {
-        outbox_.act(
+        outbox_.emit(
             observe_time{observe_time::kind::load_stall, wait->load_stall});
-    } else if (auto const* const said = std::get_if<log_event>(&action)) {
-        outbox_.act(*said);
+    } else if (auto const* const event = std::get_if<log_event>(&action)) {
+        outbox_.emit(*event);
     }
 }
 
 // Guards against a paused owner whose successor has begun: it would fill the
 // batch a second time. Its leave is looked up now, on the clock of this event.
-void grant_router::grant(
+void grant_router::send_grant(
     endpoint_id const& replica, reply_grant const& reply, instant now) {
     resource_id const resource = replica_resource(replica);
-    if (services_.owning.grant_authority(resource, now)) {
+    if (services_.ownership.grant_authority(resource, now)) {
         outbox_.send(reply.to, reply.message);
         return;
     }
@@ -272,26 +274,26 @@
 // Guards against orders of an owner whose authority has lapsed: an eviction
 // of its would take an adapter from under a request that the successor granted.
 // Without leave nothing is sent, and the scheduler learns just that.
-void grant_router::order(
-    endpoint_id const& replica, engine_order const& wanted, instant now) {
+void grant_router::send_command(
+    endpoint_id const& replica, engine_order const& command, instant now) {
     resource_id const resource = replica_resource(replica);
     auto const* const known = services_.members.find(replica);
     bool const checks = known != nullptr && known->checks_fencing;
-    auto const leave =
-        wanted.kind == engine_order_kind::evict
-            ? services_.owning.evict_authority(resource, now)
-            : services_.owning.load_authority(resource, checks, now);
-    if (!leave || leave->fencing != wanted.fencing) {
+    auto const authority =
+        command.kind == engine_order_kind::evict
+            ? services_.ownership.evict_authority(resource, now)
+            : services_.ownership.load_authority(resource, checks, now);
+    if (!authority || authority->fencing != command.fencing) {
         if (scheduler* const owned = find(replica)) {
-            owned->on_command_result(wanted, order_result::not_sent, now);
+            owned->on_command_result(command, order_result::not_sent, now);
         }
         return;
     }
-    engine_order sent = wanted;
-    sent.number = ++last_order_;
-    sent.not_after = std::min(wanted.not_after, leave->not_after);
-    orders_[sent.number] = wanted;
-    outbox_.act(sent);
+    engine_order sent = command;
+    sent.number = ++last_command_;
+    sent.not_after = std::min(command.not_after, authority->not_after);
+    commands_[sent.number] = command;
+    outbox_.emit(sent);
 }
 
 } // namespace camphorpoint
--- a/src/Serving/grant_router.hpp
+++ b/src/Serving/grant_router.hpp
@@ -28,13 +28,14 @@
         , outbox_(outbox)
         , loads_(loads) {}
 
-    void on_message(node_id const& from, grant_request const& ask, instant now);
+    void
+    on_message(node_id const& from, grant_request const& request, instant now);
     void on_message(
         node_id const& from, grant_cancelled const& message, instant now);
     void
     on_message(node_id const& from, grant_released const& message, instant now);
-    void
-    on_message(node_id const& from, grant_heartbeat const& beat, instant now);
+    void on_message(
+        node_id const& from, grant_heartbeat const& heartbeat, instant now);
     void
     on_message(node_id const& from, load_allowed const& message, instant now);
     void
@@ -61,24 +62,25 @@
     using scheduler = replica_scheduler<>;
 
     scheduler* find(endpoint_id const& replica);
-    void renew(endpoint_id const& replica, scheduler& which, instant now);
+    void
+    renew_authority(endpoint_id const& replica, scheduler& which, instant now);
     void carry_out(
         endpoint_id const& replica, scheduler_action const& action,
         instant now);
-    void
-    grant(endpoint_id const& replica, reply_grant const& reply, instant now);
-    void
-    order(endpoint_id const& replica, engine_order const& wanted, instant now);
+    void send_grant(
+        endpoint_id const& replica, reply_grant const& reply, instant now);
+    void send_command(
+        endpoint_id const& replica, engine_order const& command, instant now);
     void finish_handovers(instant now);
-    bool order_open(endpoint_id const& replica) const;
+    bool has_open_command(endpoint_id const& replica) const;
 
     serving_settings const& settings_;
     node_services& services_;
     node_outbox& outbox_;
     load_router& loads_;
     /// Open orders as their schedulers know them, by the node's own numbers.
-    std::map<std::uint64_t, engine_order> orders_;
-    std::uint64_t last_order_ = 0;
+    std::map<std::uint64_t, engine_order> commands_;
+    std::uint64_t last_command_ = 0;
     std::set<endpoint_id> handing_over_;
     std::map<profile_name, adapter_ref> versions_;
     log_offset versions_at_;
--- a/src/Serving/heartbeat_sender.hpp
+++ b/src/Serving/heartbeat_sender.hpp
@@ -27,12 +27,12 @@
     /// @param all what runs or waits on any replica
     void send(std::vector<grant_in_use> const& all, instant now) {
         next_ = now + settings_.heartbeat_period;
-        std::map<node_id, grant_heartbeat> beats;
+        std::map<node_id, grant_heartbeat> heartbeats;
         for (grant_in_use const& each : all) {
             node_id const owner =
                 services_.reachable_owner(replica_resource(each.replica));
             if (!owner.empty()) {
-                beats[owner].grants.push_back(each);
+                heartbeats[owner].grants.push_back(each);
                 last_used_[owner] = now;
             }
         }
@@ -40,7 +40,7 @@
             return now - each.second > settings_.idle_owner_heartbeat_period;
         });
         for (auto const& [owner, used] : last_used_) {
-            outbox_.send(owner, std::move(beats[owner]));
+            outbox_.send(owner, std::move(heartbeats[owner]));
         }
     }
 
--- a/src/Serving/key_router.cpp
+++ b/src/Serving/key_router.cpp
@@ -19,15 +19,15 @@
 } // namespace
 
 instant key_router::authority_until(key_shard shard, instant now) const {
-    auto const leave =
-        services_.owning.authority_for(key_shard_resource(shard), now);
-    return leave ? leave->not_after : instant{};
+    auto const authority =
+        services_.ownership.authority_for(key_shard_resource(shard), now);
+    return authority ? authority->not_after : instant{};
 }
 
 void key_router::on_message(
     node_id const& from, key_permission_request const& ask,
     clock_reading const& clock) {
-    services_.shards.on_permission_request(
+    services_.key_shards.on_permission_request(
         from, ask, authority_until(ask.shard, clock.now), clock);
 }
 
@@ -40,7 +40,7 @@
 void key_router::on_message(
     node_id const& from, key_completion const& end,
     clock_reading const& clock) {
-    services_.shards.on_completion(
+    services_.key_shards.on_completion(
         from, end, authority_until(end.shard, clock.now), clock);
 }
 
@@ -51,15 +51,15 @@
 }
 
 void key_router::on_message(
-    node_id const& from, key_heartbeat const& beat,
+    node_id const& from, key_heartbeat const& heartbeat,
     clock_reading const& clock) {
-    services_.shards.on_heartbeat(from, beat, clock);
+    services_.key_shards.on_heartbeat(from, heartbeat, clock);
 }
 
 void key_router::on_message(
     node_id const& /*from*/, key_handover const& part,
     clock_reading const& clock) {
-    services_.shards.on_handover(part, clock);
+    services_.key_shards.on_handover(part, clock);
 }
 
 void key_router::gained(
@@ -69,20 +69,22 @@
     taken.previous = claim.previous;
     taken.handed_over = claim.planned;
     taken.first = claim.first;
-    services_.shards.on_shard_gained(shard_of(claim.resource), taken, clock);
+    services_.key_shards.on_shard_gained(
+        shard_of(claim.resource), taken, clock);
 }
 
 void key_router::lost(resource_id const& shard) {
-    services_.shards.on_shard_lost(shard_of(shard));
+    services_.key_shards.on_shard_lost(shard_of(shard));
 }
 
 void key_router::hand_over(resource_id const& shard, node_id const& successor) {
-    services_.shards.hand_over(shard_of(shard), successor);
+    services_.key_shards.hand_over(shard_of(shard), successor);
 }
 
 void key_router::refresh_owners() {
     for (std::uint32_t shard = 0; shard < key_shard_count; ++shard) {
-        auto const known = services_.owning.owner_of(key_shard_resource(shard));
+        auto const known =
+            services_.ownership.owner_of(key_shard_resource(shard));
         services_.keys.on_owner_changed(
             static_cast<key_shard>(shard),
             known ? known->owner.node : node_id());
@@ -90,12 +92,12 @@
 }
 
 void key_router::on_tick(clock_reading const& clock) {
-    services_.shards.tick(clock);
+    services_.key_shards.tick(clock);
     services_.keys.tick(clock);
 }
 
 std::vector<key_decision> key_router::pump() {
-    std::vector<key_action> actions = services_.shards.take_actions();
+    std::vector<key_action> actions = services_.key_shards.take_actions();
     std::vector<key_action> const entry = services_.keys.take_actions();
     actions.insert(actions.end(), entry.begin(), entry.end());
     std::vector<key_decision> settled;
@@ -108,7 +110,7 @@
             settled.push_back(*done);
         } else {
             auto const& apart = std::get<key_clock_skew>(each);
-            outbox_.act(log_event{
+            outbox_.emit(log_event{
                 event_code::key_clocks_differ, log_level::warning,
                 fmt::format(
                     "peer={} ahead_ms={}", apart.peer.str(),
--- a/src/Serving/key_router.hpp
+++ b/src/Serving/key_router.hpp
@@ -29,7 +29,7 @@
         node_id const& from, key_completion_ack const& noted,
         clock_reading const& clock);
     void on_message(
-        node_id const& from, key_heartbeat const& beat,
+        node_id const& from, key_heartbeat const& heartbeat,
         clock_reading const& clock);
     void on_message(
         node_id const& from, key_handover const& part,
--- a/src/Serving/live_request.hpp
+++ b/src/Serving/live_request.hpp
@@ -17,28 +17,28 @@
 /// Where a request stands at its entry node.
 enum class request_phase : std::uint8_t {
     /// The owner of its key's shard was asked for leave.
-    key_asked,
+    awaiting_key,
     /// Nothing is under way: the next endpoint is being chosen. No event finds
     /// a request here.
     routing,
     /// A replica's owner was asked for a grant; nothing is on its way.
-    asking,
+    awaiting_grant,
     /// An attempt was started: from here on bytes may have left.
     sent,
     /// The answer comes.
     streaming,
     /// The stream was cut and is about to be resumed.
-    resume_wait,
+    awaiting_resume,
     /// The endpoint ended; before it goes elsewhere the word of the nodes that
     /// count such ends is waited for.
-    repeat_wait,
+    awaiting_quarantine,
     /// The caller has its final answer; the attempt's end is waited for, since
     /// until then the engine may still use the adapter.
     closing
 };
 
 /// Leave of a replica's owner to run there, as long as it is not given back.
-struct held_grant {
+struct active_grant {
     endpoint_id replica;
     std::uint32_t attempt = 0;
     std::uint64_t grant = 0;
@@ -46,9 +46,9 @@
 
 /// One request at its entry node.
 struct live_request {
-    caller_request asked;
+    caller_request submitted;
     /// The profile as it stood at the offset below; later changes don't count.
-    profile what;
+    profile target_profile;
     /// The configuration that the request was admitted under.
     log_offset configuration;
     instant admitted;
@@ -56,13 +56,13 @@
     request_phase phase = request_phase::routing;
     /// Counts asks and attempts, so that a late reply or end is told apart.
     std::uint32_t attempt = 0;
-    std::uint32_t asks = 0;
+    std::uint32_t grant_requests = 0;
     /// Where it is asked for or runs.
     endpoint_id endpoint;
     std::string address;
-    instant asked_at;
+    instant grant_requested_at;
     /// Absent for a plain service, and for what runs without a grant.
-    std::optional<held_grant> grant;
+    std::optional<active_grant> grant;
     /// True once an ended attempt may have run.
     bool may_have_run = false;
     /// Tokens that reached the caller, and that came from the engine.
@@ -85,13 +85,13 @@
     /// it may resume the stream through any node.
     bool resumable_by_caller = false;
     /// When the phase must be looked at again.
-    instant wake_at;
+    instant timer_at;
 
     /// @returns true when a byte of it may have reached an endpoint
-    bool may_run() const noexcept {
+    bool may_have_reached_endpoint() const noexcept {
         return may_have_run || phase == request_phase::sent ||
                phase == request_phase::streaming ||
-               phase == request_phase::resume_wait;
+               phase == request_phase::awaiting_resume;
     }
     /// @returns true while an attempt is under way
     bool attempt_open() const noexcept {
--- a/src/Serving/load_router.hpp
+++ b/src/Serving/load_router.hpp
@@ -24,12 +24,12 @@
         , outbox_(outbox) {}
 
     /// A replica here wants a load, no longer wants it, or has ended one.
-    void tell_store(load_message const& message, instant now);
+    void send_to_store_owner(load_message const& message, instant now);
     /// A replica's owner told this node, which owns the store or did so.
     void
     on_message(node_id const& from, load_message const& message, instant now);
     /// This node no longer owns the store.
-    void lost(instant now) { services_.store.on_authority_lost(now); }
+    void lost(instant now) { services_.cluster_budget.on_authority_lost(now); }
     void on_tick(instant now);
     /// How many nodes share the store changed.
     void set_nodes(std::size_t nodes);
@@ -40,8 +40,8 @@
     resource_id const& store() const noexcept { return store_; }
 
 private:
-    void give(
-        store_budget& to, node_id const& from, load_message const& message,
+    void deliver(
+        store_budget& budget, node_id const& from, load_message const& message,
         instant now);
     bool pump(store_budget& from);
 
--- a/src/Serving/node_core.cpp
+++ b/src/Serving/node_core.cpp
@@ -14,9 +14,9 @@
     , keys_(services_, outbox_)
     , ownership_(services_, outbox_, grants_, keys_, loads_)
     , config_(services_, outbox_)
-    , contents_(settings_, services_, outbox_)
-    , surroundings_(settings_, services_, outbox_, contents_)
-    , requests_(settings_.requests, surroundings_)
+    , quarantine_(settings_, services_, outbox_)
+    , environment_(settings_, services_, outbox_, quarantine_)
+    , requests_(settings_.requests, environment_)
     , heartbeats_(settings_.requests, services_, outbox_) {}
 
 void node_core::handle(
@@ -24,9 +24,9 @@
     std::vector<node_action>& out) {
     outbox_.begin(out);
     clock_ = {wall, now};
-    surroundings_.set_clock(clock_);
+    environment_.set_clock(clock_);
     std::visit([this](auto const& each) { on(each); }, event);
-    settle();
+    run_pending_work();
     outbox_.finish();
 }
 
@@ -61,7 +61,7 @@
 
 void node_core::on(log_read_failed const& event) {
     if (event.stream == log_stream::control) {
-        services_.owning.on_read_failed(clock_.now);
+        services_.ownership.on_read_failed(clock_.now);
     } else {
         config_.on_read_failed(clock_.now);
     }
@@ -73,7 +73,7 @@
         return;
     }
     if (origin->source == append_source::control) {
-        services_.owning.on_append_ended(
+        services_.ownership.on_append_ended(
             origin->number, event.how, event.offset, clock_.now);
         return;
     }
@@ -94,15 +94,16 @@
 
 void node_core::on(peer_received const& event) {
     services_.members.on_peer_message(event.from, clock_.now);
-    on_peer(event.from, event.message);
+    dispatch_peer_message(event.from, event.message);
 }
 
 // Asks that may be lost go elsewhere; what runs needs no owner.
 void node_core::on(peer_unreachable const& event) {
-    for (endpoint_id const& replica : requests_.waited_for()) {
-        auto const known = services_.owning.owner_of(replica_resource(replica));
+    for (endpoint_id const& replica : requests_.awaited_replicas()) {
+        auto const known =
+            services_.ownership.owner_of(replica_resource(replica));
         if (known && known->owner.node == event.peer) {
-            requests_.on_owner_lost(replica, clock_.now);
+            requests_.on_owner_unreachable(replica, clock_.now);
         }
     }
 }
@@ -113,13 +114,13 @@
 
 void node_core::on(tick const& /*event*/) {
     services_.members.on_tick(clock_.now);
-    services_.owning.on_tick(clock_.now);
+    services_.ownership.on_tick(clock_.now);
     config_.on_tick(clock_.now, clock_.wall);
     loads_.on_tick(clock_.now);
     grants_.on_tick(clock_.now);
     keys_.on_tick(clock_);
-    contents_.on_tick(clock_.now);
-    for (auto& [name, service] : services_.plain) {
+    quarantine_.on_tick(clock_.now);
+    for (auto& [name, service] : services_.plain_services) {
         service.on_tick(clock_.now);
     }
     requests_.on_tick(clock_.now);
@@ -129,13 +130,13 @@
 }
 
 void node_core::on(drain_started const& /*event*/) {
-    if (surroundings_.draining()) {
+    if (environment_.draining()) {
         return;
     }
-    surroundings_.start_draining();
-    outbox_.act(log_event{event_code::node_draining, log_level::info, ""});
+    environment_.start_draining();
+    outbox_.emit(log_event{event_code::node_draining, log_level::info, ""});
     services_.members.start_leaving(clock_.now);
-    services_.owning.start_drain(clock_.now);
+    services_.ownership.start_drain(clock_.now);
 }
 
 void node_core::on(probe_received const& event) {
@@ -143,7 +144,7 @@
 }
 
 reason node_core::not_ready(instant now) const {
-    if (surroundings_.draining()) {
+    if (environment_.draining()) {
         return reason::draining;
     }
     return services_.follower.may_serve(now);
--- a/src/Serving/node_core.hpp
+++ b/src/Serving/node_core.hpp
@@ -70,16 +70,17 @@
     void on(drain_started const& event);
     void on(probe_received const& event);
 
-    void on_peer(node_id const& from, peer_message const& message);
-    void settle();
+    void
+    dispatch_peer_message(node_id const& from, peer_message const& message);
+    void run_pending_work();
     void pump_members();
     void pump_requests();
-    bool pump_plain();
+    bool pump_plain_services();
     void refresh_members();
-    void leave_lost_owners();
+    void reroute_from_unreachable_owners();
     void refresh_placement();
-    void refresh_plain();
-    void tell_readiness();
+    void refresh_plain_services();
+    void log_readiness();
     void finish_drain();
 
     serving_settings settings_;
@@ -90,12 +91,12 @@
     key_router keys_;
     ownership_router ownership_;
     config_router config_;
-    quarantine_router contents_;
-    request_services surroundings_;
+    quarantine_router quarantine_;
+    request_services environment_;
     request_tracker<request_services> requests_;
     heartbeat_sender heartbeats_;
     clock_reading clock_;
-    std::uint64_t members_seen_ = 0;
+    std::uint64_t seen_membership_changes_ = 0;
     bool ready_ = false;
     bool drained_ = false;
 };
--- a/src/Serving/node_core_dispatch.cpp
+++ b/src/Serving/node_core_dispatch.cpp
@@ -14,8 +14,9 @@
 
 } // namespace
 
-void node_core::on_peer(node_id const& from, peer_message const& message) {
-    auto const carry = [&]<class Message>(Message const& each) {
+void node_core::dispatch_peer_message(
+    node_id const& from, peer_message const& message) {
+    auto const dispatch = [&]<class Message>(Message const& each) {
         if constexpr (std::is_same_v<Message, grant_issued>) {
             requests_.on_grant(from, each, clock_.now);
         } else if constexpr (std::is_same_v<Message, grant_refused>) {
@@ -23,7 +24,7 @@
         } else if constexpr (is_one_of<
                                  Message, handover_offer, handover_accepted,
                                  holder_stopped>) {
-            services_.owning.on_message(from, each, clock_.now);
+            services_.ownership.on_message(from, each, clock_.now);
         } else if constexpr (is_one_of<
                                  Message, config_ask, config_records,
                                  config_state>) {
@@ -42,59 +43,61 @@
                                  Message, replica_crash_message,
                                  request_success_message, quarantine_message,
                                  quarantine_sync_request>) {
-            contents_.on_message(from, each, clock_.now);
+            quarantine_.on_message(from, each, clock_.now);
         } else {
             grants_.on_message(from, each, clock_.now);
         }
     };
-    if (auto const* const ask = std::get_if<grant_request>(&message)) {
-        config_.needs(ask->configuration, from, clock_.now);
+    if (auto const* const request = std::get_if<grant_request>(&message)) {
+        config_.require_offset(request->configuration, from, clock_.now);
     }
     if (auto const* const yes = std::get_if<grant_issued>(&message)) {
         if (auto const* const request = requests_.find(yes->request)) {
-            services_.choice.on_feedback(
-                yes->replica, request->what.adapter, yes->feedback, clock_.now);
+            services_.endpoint_selector.on_feedback(
+                yes->replica, request->target_profile.adapter, yes->feedback,
+                clock_.now);
         }
     }
     if (auto const* const no = std::get_if<grant_refused>(&message)) {
         if (auto const* const request = requests_.find(no->request)) {
-            services_.choice.on_feedback(
-                no->replica, request->what.adapter, no->feedback, clock_.now);
+            services_.endpoint_selector.on_feedback(
+                no->replica, request->target_profile.adapter, no->feedback,
+                clock_.now);
         }
     }
-    std::visit(carry, message);
+    std::visit(dispatch, message);
 }
 
 // Services answer one another until nothing more is to be said. A key's table
 // is pumped before ownership's offer of it, so that it arrives first.
-void node_core::settle() {
-    bool more = true;
-    while (more) {
+void node_core::run_pending_work() {
+    bool has_more = true;
+    while (has_more) {
         pump_members();
-        more = ownership_.pump(clock_);
-        more = grants_.pump(clock_.now) || more;
-        more = loads_.pump(clock_.now) || more;
-        more = pump_plain() || more;
+        has_more = ownership_.pump(clock_);
+        has_more = grants_.pump(clock_.now) || has_more;
+        has_more = loads_.pump(clock_.now) || has_more;
+        has_more = pump_plain_services() || has_more;
         std::vector<key_decision> const settled = keys_.pump();
         for (key_decision const& each : settled) {
-            requests_.on_key_settled(each, clock_.now);
+            requests_.on_key_decision(each, clock_.now);
         }
-        more = more || !settled.empty();
-        while (auto const message = outbox_.take_local()) {
-            on_peer(outbox_.self(), *message);
-            more = true;
+        has_more = has_more || !settled.empty();
+        while (auto const message = outbox_.pop_local()) {
+            dispatch_peer_message(outbox_.self(), *message);
+            has_more = true;
         }
     }
-    tell_readiness();
+    log_readiness();
     finish_drain();
 }
 
 void node_core::pump_members() {
     for (membership_action const& each : services_.members.take_actions()) {
-        std::visit([this](auto const& one) { outbox_.act(one); }, each);
+        std::visit([this](auto const& one) { outbox_.emit(one); }, each);
     }
-    if (services_.members.change_count() != members_seen_) {
-        members_seen_ = services_.members.change_count();
+    if (services_.members.change_count() != seen_membership_changes_) {
+        seen_membership_changes_ = services_.members.change_count();
         refresh_members();
     }
 }
@@ -102,19 +105,19 @@
 void node_core::refresh_members() {
     ownership_.refresh_candidates(clock_.now);
     config_.refresh_peers();
-    contents_.refresh_members();
+    quarantine_.refresh_members();
     grants_.refresh_endpoints(clock_.now);
     refresh_placement();
-    refresh_plain();
-    leave_lost_owners();
+    refresh_plain_services();
+    reroute_from_unreachable_owners();
 }
 
 // Guards against a wait for an owner that is dead: its queue died with it, so
 // that the request would stand still until its deadline.
-void node_core::leave_lost_owners() {
-    for (endpoint_id const& replica : requests_.waited_for()) {
+void node_core::reroute_from_unreachable_owners() {
+    for (endpoint_id const& replica : requests_.awaited_replicas()) {
         if (services_.reachable_owner(replica_resource(replica)).empty()) {
-            requests_.on_owner_lost(replica, clock_.now);
+            requests_.on_owner_unreachable(replica, clock_.now);
         }
     }
 }
@@ -128,13 +131,14 @@
                  each.adapter_slots, true});
         }
     }
-    services_.choice.set_endpoints(engines);
-    services_.choice.set_nodes(services_.members.live_nodes().size());
+    services_.endpoint_selector.set_endpoints(engines);
+    services_.endpoint_selector.set_nodes(
+        services_.members.live_nodes().size());
 }
 
-void node_core::refresh_plain() {
+void node_core::refresh_plain_services() {
     std::map<model_id, std::vector<service_endpoint>> listed;
-    for (auto const& [name, service] : services_.plain) {
+    for (auto const& [name, service] : services_.plain_services) {
         listed[name];
     }
     for (endpoint_instance const& each : services_.members.live_endpoints()) {
@@ -144,16 +148,16 @@
         }
     }
     for (auto const& [name, replicas] : listed) {
-        auto const made = services_.plain.try_emplace(
+        auto const made = services_.plain_services.try_emplace(
             name, settings_.services, settings_.health, settings_.self.domain,
             settings_.seed);
         made.first->second.set_endpoints(replicas, clock_.now);
     }
 }
 
-bool node_core::pump_plain() {
+bool node_core::pump_plain_services() {
     bool any = false;
-    for (auto& [name, service] : services_.plain) {
+    for (auto& [name, service] : services_.plain_services) {
         for (service_action const& each : service.take_actions()) {
             any = true;
             auto const* const go = std::get_if<service_dispatch>(&each);
@@ -162,7 +166,7 @@
                     std::get<service_refusal>(each), clock_.now);
                 continue;
             }
-            std::string const address = surroundings_.address_of(go->endpoint);
+            std::string const address = environment_.address_of(go->endpoint);
             if (!requests_.on_dispatch(*go, address, clock_.now)) {
                 service.on_finished(
                     go->id, service_outcome::cancelled, clock_.now);
@@ -172,21 +176,21 @@
     return any;
 }
 
-void node_core::tell_readiness() {
+void node_core::log_readiness() {
     bool const now_ready = not_ready(clock_.now) == reason::none;
     if (now_ready && !ready_) {
-        outbox_.act(log_event{event_code::node_ready, log_level::info, ""});
+        outbox_.emit(log_event{event_code::node_ready, log_level::info, ""});
     }
     ready_ = now_ready;
 }
 
 void node_core::finish_drain() {
-    bool const over = surroundings_.draining() && !drained_ &&
-                      requests_.size() == 0 && services_.keys.open() == 0 &&
-                      services_.owning.drained();
-    if (over) {
+    bool const finished = environment_.draining() && !drained_ &&
+                          requests_.size() == 0 && services_.keys.open() == 0 &&
+                          services_.ownership.drained();
+    if (finished) {
         drained_ = true;
-        outbox_.act(drain_finished{});
+        outbox_.emit(drain_finished{});
     }
 }
 
--- a/src/Serving/node_core_status.cpp
+++ b/src/Serving/node_core_status.cpp
@@ -22,7 +22,7 @@
 
 node_status node_core::status(instant now) const {
     node_status result;
-    result.draining = surroundings_.draining();
+    result.draining = environment_.draining();
     if (reason const why = not_ready(now); why != reason::none) {
         result.not_ready.push_back(why);
     }
@@ -35,10 +35,10 @@
     result.waiting_requests = requests_.waiting();
     result.running_requests = requests_.size() - result.waiting_requests;
     for (resource_id const& each :
-         services_.owning.table().owned_by(settings_.self.id)) {
-        auto const known = services_.owning.owner_of(each);
+         services_.ownership.table().owned_by(settings_.self.id)) {
+        auto const known = services_.ownership.owner_of(each);
         bool const holds =
-            services_.owning.authority_for(each, now).has_value();
+            services_.ownership.authority_for(each, now).has_value();
         result.owned.push_back(
             {camphorpoint::to_string(each),
              known ? known->fencing : log_offset{}, holds});
--- a/src/Serving/node_outbox.hpp
+++ b/src/Serving/node_outbox.hpp
@@ -38,7 +38,7 @@
     void begin(std::vector<node_action>& out) { out_ = &out; }
     void finish() { out_ = nullptr; }
 
-    void act(node_action action) {
+    void emit(node_action action) {
         assert(
             out_ != nullptr && "actions arise only while an event is handled");
         out_->push_back(std::move(action));
@@ -48,10 +48,10 @@
             local_.push_back(std::move(message));
             return;
         }
-        act(send_peer{to, std::move(message)});
+        emit(send_peer{to, std::move(message)});
     }
     /// @returns the next message to this node itself, if there is one
-    std::optional<peer_message> take_local() {
+    std::optional<peer_message> pop_local() {
         if (local_.empty()) {
             return std::nullopt;
         }
@@ -62,7 +62,7 @@
     /// Numbers an append for the whole node and asks for it.
     void append(append_origin origin, log_stream stream, std::string data) {
         appends_[++last_append_] = origin;
-        act(append_log{last_append_, stream, std::move(data)});
+        emit(append_log{last_append_, stream, std::move(data)});
     }
     /// @returns whose append has ended; nothing when it ended before
     std::optional<append_origin> append_ended(std::uint64_t number) {
--- a/src/Serving/node_services.cpp
+++ b/src/Serving/node_services.cpp
@@ -7,18 +7,19 @@
 namespace {
 
 // Seeds of the services' own generators, so that none draws from another's.
-enum class stream : std::uint64_t { members = 1, owning, follower };
+enum class random_stream : std::uint64_t { members = 1, ownership, follower };
 
-std::mt19937_64 generator(serving_settings const& settings, stream which) {
+std::mt19937_64
+make_generator(serving_settings const& settings, random_stream which) {
     return std::mt19937_64(combine_hashes(
         hash_text(settings.self.id.str(), settings.seed),
         static_cast<std::uint64_t>(which)));
 }
 
-placement_settings placing_here(serving_settings const& settings) {
-    placement_settings here = settings.placing;
-    here.domain = settings.self.domain;
-    return here;
+placement_settings local_placement_settings(serving_settings const& settings) {
+    placement_settings result = settings.placement;
+    result.domain = settings.self.domain;
+    return result;
 }
 
 } // namespace
@@ -26,22 +27,22 @@
 node_services::node_services(serving_settings const& settings)
     : members(
           settings.members, settings.self, settings.start_time_ms,
-          generator(settings, stream::members))
-    , owning(
+          make_generator(settings, random_stream::members))
+    , ownership(
           settings.ownership,
           node_run{settings.self.id, settings.start_time_ms},
-          generator(settings, stream::owning))
+          make_generator(settings, random_stream::ownership))
     , follower(
           settings.self.id, settings.configuration,
-          generator(settings, stream::follower)())
+          make_generator(settings, random_stream::follower)())
     , publisher(settings.publishing)
     , checkpoints(settings.self.id, settings.checkpoints)
-    , shards(settings.key_owner)
+    , key_shards(settings.key_owner)
     , keys(settings.keys)
-    , choice(placing_here(settings))
+    , endpoint_selector(local_placement_settings(settings))
     , retries(settings.retries)
-    , store(settings.loading)
-    , own_share(fallback_limits(1, settings.loading)) {}
+    , cluster_budget(settings.loading)
+    , local_budget(fallback_limits(1, settings.loading)) {}
 
 bool node_services::reachable(node_id const& node) const {
     auto const state = members.state_of(node);
@@ -49,7 +50,7 @@
 }
 
 node_id node_services::reachable_owner(resource_id const& resource) const {
-    auto const known = owning.owner_of(resource);
+    auto const known = ownership.owner_of(resource);
     if (!known || !reachable(known->owner.node)) {
         return {};
     }
--- a/src/Serving/node_services.hpp
+++ b/src/Serving/node_services.hpp
@@ -30,23 +30,23 @@
     explicit node_services(serving_settings const& settings);
 
     membership members;
-    ownership_manager owning;
+    ownership_manager ownership;
     config_follower follower;
     change_publisher publisher;
     checkpoint_writer checkpoints;
-    key_owner shards;
+    key_owner key_shards;
     entry_key_tracker keys;
-    placement<> choice;
+    placement<> endpoint_selector;
     retry_budget retries;
     /// Contents that end the endpoints which run them.
     request_quarantine quarantine;
     /// The weight store's budget, while this node owns it.
-    store_budget store;
+    store_budget cluster_budget;
     /// This node's share of it, while its owner is out of reach.
-    store_budget own_share;
+    store_budget local_budget;
     /// The replicas that this node owns.
     std::map<endpoint_id, std::unique_ptr<replica_scheduler<>>> replicas;
-    std::map<model_id, plain_service> plain;
+    std::map<model_id, plain_service> plain_services;
 
     /// @returns true when a message to the node may arrive
     bool reachable(node_id const& node) const;
--- a/src/Serving/ownership_router.cpp
+++ b/src/Serving/ownership_router.cpp
@@ -6,7 +6,7 @@
 namespace camphorpoint {
 
 void ownership_router::on_batch(log_batch const& batch, instant now) {
-    services_.owning.on_batch(batch, now);
+    services_.ownership.on_batch(batch, now);
     if (!batch.records.empty()) {
         keys_.refresh_owners();
     }
@@ -27,7 +27,7 @@
     for (std::uint32_t shard = 0; shard < key_shard_count; ++shard) {
         resources.push_back(key_shard_resource(shard));
     }
-    services_.owning.set_candidates(live, resources, now);
+    services_.ownership.set_candidates(live, resources, now);
     loads_.set_nodes(live.size());
 }
 
@@ -69,11 +69,11 @@
     case resource_kind::key_shard:
         // The table's parts go out before the offer, on the same connection.
         keys_.hand_over(wanted.resource, wanted.successor);
-        services_.owning.handover_ready(wanted.resource, {}, now);
+        services_.ownership.handover_ready(wanted.resource, {}, now);
         return;
     case resource_kind::store:
         loads_.lost(now);
-        services_.owning.handover_ready(wanted.resource, {}, now);
+        services_.ownership.handover_ready(wanted.resource, {}, now);
         return;
     }
 }
@@ -81,7 +81,7 @@
 void ownership_router::carry_out(
     ownership_action const& action, clock_reading const& clock) {
     if (auto const* const read = std::get_if<control_read>(&action)) {
-        outbox_.act(read_log{log_stream::control, read->from});
+        outbox_.emit(read_log{log_stream::control, read->from});
     } else if (
         auto const* const append = std::get_if<control_append>(&action)) {
         outbox_.append(
@@ -106,13 +106,13 @@
             grants_.resume(stay->resource, clock.now);
         }
     } else {
-        outbox_.act(std::get<log_event>(action));
+        outbox_.emit(std::get<log_event>(action));
     }
 }
 
 bool ownership_router::pump(clock_reading const& clock) {
     std::vector<ownership_action> const actions =
-        services_.owning.take_actions();
+        services_.ownership.take_actions();
     for (ownership_action const& each : actions) {
         carry_out(each, clock);
     }
--- a/src/Serving/peer_codec.cpp
+++ b/src/Serving/peer_codec.cpp
@@ -53,7 +53,7 @@
 }
 
 std::optional<peer_message> decode_peer_message(std::string_view bytes) {
-    if (bytes.size() > largest_peer_message) {
+    if (bytes.size() > max_peer_message_bytes) {
         return std::nullopt;
     }
     try {
--- a/src/Serving/peer_codec.hpp
+++ b/src/Serving/peer_codec.hpp
@@ -11,7 +11,7 @@
 
 /// A message longer than this is refused by both sides: it bounds what a
 /// broken or hostile peer can make a node allocate.
-inline constexpr std::size_t largest_peer_message = std::size_t{4} << 20U;
+inline constexpr std::size_t max_peer_message_bytes = std::size_t{4} << 20U;
 
 /// Encodes a message in cereal's portable binary form, which reads the same
 /// on machines of either byte order.
--- a/src/Serving/quarantine_router.cpp
+++ b/src/Serving/quarantine_router.cpp
@@ -16,40 +16,40 @@
 
 /// Nodes that count the ends under a content: one may be gone without the
 /// others' knowing, and another may have begun a moment ago.
-constexpr std::size_t counters = 3;
+constexpr std::size_t crash_counter_count = 3;
 /// Nodes that a piece of news is handed on to. At ln(nodes) + c all hear it but
 /// for a part of exp(-exp(-c)) of the cases; the rounds reach the rest.
-constexpr std::size_t spread_to = 12;
+constexpr std::size_t gossip_fanout = 12;
 /// Nodes that a node which has begun asks for what they know.
-constexpr std::size_t asked_at_start = 3;
+constexpr std::size_t sync_requests_at_start = 3;
 /// How often words are told to another node, and how many.
-constexpr duration round_period = std::chrono::seconds(1);
-constexpr std::size_t words_a_round = 16;
+constexpr duration anti_entropy_period = std::chrono::seconds(1);
+constexpr std::size_t updates_per_round = 16;
 /// An endpoint that has ended takes longer than this to run anything again, so
 /// that ends closer together are one, seen by several nodes.
-constexpr duration least_restart = std::chrono::milliseconds(100);
+constexpr duration min_restart_time = std::chrono::milliseconds(100);
 /// Ends and contents that are remembered at the most, and for how long.
-constexpr std::size_t most_remembered = 16'384;
-constexpr duration remembered_for = std::chrono::minutes(10);
+constexpr std::size_t max_tracked = 16'384;
+constexpr duration retention_period = std::chrono::minutes(10);
 
-std::uint64_t number_of(request_fingerprint content) {
-    return static_cast<std::uint64_t>(content);
+std::uint64_t to_number(request_fingerprint fingerprint) {
+    return static_cast<std::uint64_t>(fingerprint);
 }
 
-quarantine_entry wire_of(quarantine_update const& word) {
+quarantine_entry to_entry(quarantine_update const& update) {
     return {
-        number_of(word.fingerprint), word.revision,
+        to_number(update.fingerprint), update.revision,
         static_cast<std::uint64_t>(
-            std::chrono::ceil<std::chrono::milliseconds>(word.remaining)
+            std::chrono::ceil<std::chrono::milliseconds>(update.remaining)
                 .count())};
 }
 
-quarantine_update word_of(quarantine_entry const& told) {
+quarantine_update to_update(quarantine_entry const& entry) {
     // A peer's figure may be any: it must not overflow when it is added.
     constexpr std::uint64_t longest_ms = 86'400'000;
     return {
-        request_fingerprint{told.fingerprint}, told.revision,
-        std::chrono::milliseconds(std::min(told.remaining_ms, longest_ms))};
+        request_fingerprint{entry.fingerprint}, entry.revision,
+        std::chrono::milliseconds(std::min(entry.remaining_ms, longest_ms))};
 }
 
 } // namespace
@@ -60,18 +60,18 @@
     : services_(services)
     , outbox_(outbox)
     , random_(hash_text(settings.self.id.str(), settings.seed))
-    , asks_left_(asked_at_start) {}
+    , sync_requests_left_(sync_requests_at_start) {}
 
 // Rendezvous hashing: a node that comes or goes moves only what it counts.
 std::vector<node_id>
-quarantine_router::counters_of(request_fingerprint content) const {
+quarantine_router::crash_counter_nodes(request_fingerprint fingerprint) const {
     std::vector<std::pair<std::uint64_t, node_id>> ranked;
     for (live_node const& each : services_.members.live_nodes()) {
         std::uint64_t const weight =
-            combine_hashes(number_of(content), hash_text(each.id.str()));
+            combine_hashes(to_number(fingerprint), hash_text(each.id.str()));
         ranked.emplace_back(weight, each.id);
     }
-    std::size_t const count = std::min(counters, ranked.size());
+    std::size_t const count = std::min(crash_counter_count, ranked.size());
     std::ranges::partial_sort(
         ranked, ranked.begin() + static_cast<std::ptrdiff_t>(count),
         std::ranges::greater());
@@ -82,7 +82,7 @@
     return result;
 }
 
-std::vector<node_id> quarantine_router::some_others(std::size_t most) {
+std::vector<node_id> quarantine_router::sample_other_nodes(std::size_t most) {
     std::vector<node_id> others;
     for (live_node const& each : services_.members.live_nodes()) {
         if (each.id != outbox_.self()) {
@@ -96,111 +96,120 @@
     return chosen;
 }
 
-std::uint64_t quarantine_router::start_of(std::uint64_t endpoint, instant now) {
-    if (ends_.size() >= most_remembered && !ends_.contains(endpoint)) {
-        ends_.erase(std::ranges::min_element(
-            ends_, {}, [](auto const& each) { return each.second.newest; }));
+std::uint64_t
+quarantine_router::crash_id_of(std::uint64_t endpoint, instant now) {
+    if (crashes_.size() >= max_tracked && !crashes_.contains(endpoint)) {
+        crashes_.erase(
+            std::ranges::min_element(crashes_, {}, [](auto const& each) {
+                return each.second.last_seen;
+            }));
     }
-    endpoint_ends& seen = ends_[endpoint];
-    if (seen.starts == 0 || now >= seen.newest + least_restart) {
-        ++seen.starts;
+    endpoint_crashes& seen = crashes_[endpoint];
+    if (seen.crashes == 0 || now >= seen.last_seen + min_restart_time) {
+        ++seen.crashes;
     }
-    seen.newest = now;
-    return combine_hashes(endpoint, seen.starts);
+    seen.last_seen = now;
+    return combine_hashes(endpoint, seen.crashes);
 }
 
-void quarantine_router::count_end(
-    replica_crash_message const& end, instant now) {
-    std::uint64_t const start = start_of(end.endpoint, now);
-    request_fingerprint const content{end.fingerprint};
-    auto const word = services_.quarantine.record_crash(content, start, now);
-    if (!word) {
+void quarantine_router::count_crash(
+    replica_crash_message const& crash, instant now) {
+    std::uint64_t const start = crash_id_of(crash.endpoint, now);
+    request_fingerprint const fingerprint{crash.fingerprint};
+    auto const update =
+        services_.quarantine.record_crash(fingerprint, start, now);
+    if (!update) {
         return;
     }
-    outbox_.act(log_event{
+    outbox_.emit(log_event{
         event_code::content_held, log_level::warning,
         fmt::format(
-            "content={} turn={} by={}", to_string(content), word->revision,
-            outbox_.self().str())});
-    spread(*word);
+            "content={} turn={} by={}", to_string(fingerprint),
+            update->revision, outbox_.self().str())});
+    gossip(*update);
 }
 
-bool quarantine_router::on_broken(
-    request_fingerprint content, endpoint_id const& at, instant now) {
-    if (told_.size() < most_remembered || told_.contains(content)) {
-        told_[content] = now;
+bool quarantine_router::on_crash(
+    request_fingerprint fingerprint, endpoint_id const& at, instant now) {
+    if (reported_.size() < max_tracked || reported_.contains(fingerprint)) {
+        reported_[fingerprint] = now;
     }
-    replica_crash_message const end{number_of(content), hash_text(at.str())};
-    count_end(end, now);
-    bool others = false;
-    for (node_id const& each : counters_of(content)) {
+    replica_crash_message const crash{
+        to_number(fingerprint), hash_text(at.str())};
+    count_crash(crash, now);
+    bool has_other_counters = false;
+    for (node_id const& each : crash_counter_nodes(fingerprint)) {
         if (each != outbox_.self()) {
-            others = true;
-            outbox_.send(each, end);
+            has_other_counters = true;
+            outbox_.send(each, crash);
         }
     }
-    return others;
+    return has_other_counters;
 }
 
-void quarantine_router::on_served(request_fingerprint content, instant now) {
-    clear(content, now);
+void quarantine_router::on_success(
+    request_fingerprint fingerprint, instant now) {
+    record_success(fingerprint, now);
     // Few contents have had an end, so that a run which ends well costs no
     // message.
-    if (told_.erase(content) == 0) {
+    if (reported_.erase(fingerprint) == 0) {
         return;
     }
-    for (node_id const& each : counters_of(content)) {
+    for (node_id const& each : crash_counter_nodes(fingerprint)) {
         if (each != outbox_.self()) {
-            outbox_.send(each, request_success_message{number_of(content)});
+            outbox_.send(each, request_success_message{to_number(fingerprint)});
         }
     }
 }
 
-void quarantine_router::clear(request_fingerprint content, instant /*now*/) {
-    auto const word = services_.quarantine.record_success(content);
-    if (!word) {
+void quarantine_router::record_success(
+    request_fingerprint fingerprint, instant /*now*/) {
+    auto const update = services_.quarantine.record_success(fingerprint);
+    if (!update) {
         return;
     }
-    outbox_.act(log_event{
+    outbox_.emit(log_event{
         event_code::content_cleared, log_level::info,
         fmt::format(
-            "content={} turn={} by={}", to_string(content), word->revision,
-            outbox_.self().str())});
-    spread(*word);
+            "content={} turn={} by={}", to_string(fingerprint),
+            update->revision, outbox_.self().str())});
+    gossip(*update);
 }
 
-void quarantine_router::spread(quarantine_update const& word) {
-    for (node_id const& each : some_others(spread_to)) {
-        outbox_.send(each, quarantine_message{{wire_of(word)}});
+void quarantine_router::gossip(quarantine_update const& update) {
+    for (node_id const& each : sample_other_nodes(gossip_fanout)) {
+        outbox_.send(each, quarantine_message{{to_entry(update)}});
     }
 }
 
 void quarantine_router::on_message(
-    node_id const& /*from*/, replica_crash_message const& told, instant now) {
-    count_end(told, now);
+    node_id const& /*from*/, replica_crash_message const& message,
+    instant now) {
+    count_crash(message, now);
 }
 
 void quarantine_router::on_message(
-    node_id const& /*from*/, request_success_message const& told, instant now) {
-    clear(request_fingerprint{told.fingerprint}, now);
+    node_id const& /*from*/, request_success_message const& message,
+    instant now) {
+    record_success(request_fingerprint{message.fingerprint}, now);
 }
 
 void quarantine_router::on_message(
-    node_id const& from, quarantine_message const& told, instant now) {
-    for (quarantine_entry const& each : told.entries) {
-        quarantine_update const word = word_of(each);
-        if (!services_.quarantine.apply(word, now)) {
+    node_id const& from, quarantine_message const& message, instant now) {
+    for (quarantine_entry const& each : message.entries) {
+        quarantine_update const update = to_update(each);
+        if (!services_.quarantine.apply(update, now)) {
             continue;
         }
-        event_code const what = word.quarantined()
+        event_code const what = update.quarantined()
                                     ? event_code::content_held
                                     : event_code::content_cleared;
-        outbox_.act(log_event{
+        outbox_.emit(log_event{
             what, log_level::warning,
             fmt::format(
-                "content={} turn={} by={}", to_string(word.fingerprint),
-                word.revision, from.str())});
-        spread(word);
+                "content={} turn={} by={}", to_string(update.fingerprint),
+                update.revision, from.str())});
+        gossip(update);
     }
 }
 
@@ -210,7 +219,7 @@
     quarantine_message all;
     for (quarantine_update const& each :
          services_.quarantine.all_updates(now)) {
-        all.entries.push_back(wire_of(each));
+        all.entries.push_back(to_entry(each));
     }
     if (!all.entries.empty()) {
         outbox_.send(from, std::move(all));
@@ -219,33 +228,33 @@
 
 // Guards against a node that begins anew and runs what all others hold.
 void quarantine_router::refresh_members() {
-    if (asks_left_ == 0) {
+    if (sync_requests_left_ == 0) {
         return;
     }
-    for (node_id const& each : some_others(asks_left_)) {
+    for (node_id const& each : sample_other_nodes(sync_requests_left_)) {
         outbox_.send(each, quarantine_sync_request{});
-        --asks_left_;
+        --sync_requests_left_;
     }
 }
 
 void quarantine_router::on_tick(instant now) {
-    if (now < next_round_) {
+    if (now < next_round_at_) {
         return;
     }
-    next_round_ = now + round_period;
+    next_round_at_ = now + anti_entropy_period;
     services_.quarantine.remove_expired(now);
-    std::erase_if(told_, [now](auto const& each) {
-        return now >= each.second + remembered_for;
+    std::erase_if(reported_, [now](auto const& each) {
+        return now >= each.second + retention_period;
     });
     quarantine_message message;
     for (quarantine_update const& each :
-         services_.quarantine.next_batch(words_a_round, now)) {
-        message.entries.push_back(wire_of(each));
+         services_.quarantine.next_batch(updates_per_round, now)) {
+        message.entries.push_back(to_entry(each));
     }
     if (message.entries.empty()) {
         return;
     }
-    for (node_id const& each : some_others(1)) {
+    for (node_id const& each : sample_other_nodes(1)) {
         outbox_.send(each, message);
     }
 }
--- a/src/Serving/quarantine_router.hpp
+++ b/src/Serving/quarantine_router.hpp
@@ -32,17 +32,18 @@
 
     /// An endpoint ended while it ran the content.
     /// @returns true when other nodes count it and may say that it is held
-    bool
-    on_broken(request_fingerprint content, endpoint_id const& at, instant now);
+    bool on_crash(
+        request_fingerprint fingerprint, endpoint_id const& at, instant now);
     /// A run of the content ended well.
-    void on_served(request_fingerprint content, instant now);
+    void on_success(request_fingerprint fingerprint, instant now);
     /// A peer's word.
     void on_message(
-        node_id const& from, replica_crash_message const& told, instant now);
+        node_id const& from, replica_crash_message const& message, instant now);
     void on_message(
-        node_id const& from, request_success_message const& told, instant now);
+        node_id const& from, request_success_message const& message,
+        instant now);
     void on_message(
-        node_id const& from, quarantine_message const& told, instant now);
+        node_id const& from, quarantine_message const& message, instant now);
     void on_message(
         node_id const& from, quarantine_sync_request const& asked, instant now);
     /// Who is there may have changed: a node that has begun asks.
@@ -51,26 +52,27 @@
 
 private:
     /// Ends of one endpoint, by which its starts are told apart.
-    struct endpoint_ends {
-        std::uint64_t starts = 0;
-        instant newest;
+    struct endpoint_crashes {
+        std::uint64_t crashes = 0;
+        instant last_seen;
     };
 
-    void count_end(replica_crash_message const& end, instant now);
-    void clear(request_fingerprint content, instant now);
-    void spread(quarantine_update const& word);
-    std::uint64_t start_of(std::uint64_t endpoint, instant now);
-    std::vector<node_id> counters_of(request_fingerprint content) const;
-    std::vector<node_id> some_others(std::size_t most);
+    void count_crash(replica_crash_message const& crash, instant now);
+    void record_success(request_fingerprint fingerprint, instant now);
+    void gossip(quarantine_update const& update);
+    std::uint64_t crash_id_of(std::uint64_t endpoint, instant now);
+    std::vector<node_id>
+    crash_counter_nodes(request_fingerprint fingerprint) const;
+    std::vector<node_id> sample_other_nodes(std::size_t most);
 
     node_services& services_;
     node_outbox& outbox_;
     std::mt19937_64 random_;
-    std::unordered_map<std::uint64_t, endpoint_ends> ends_;
+    std::unordered_map<std::uint64_t, endpoint_crashes> crashes_;
     /// Contents whose ends this node has told, and when it did last.
-    std::unordered_map<request_fingerprint, instant> told_;
-    std::size_t asks_left_;
-    instant next_round_{};
+    std::unordered_map<request_fingerprint, instant> reported_;
+    std::size_t sync_requests_left_;
+    instant next_round_at_{};
 };
 
 } // namespace camphorpoint
--- a/src/Serving/request_environment.hpp
+++ b/src/Serving/request_environment.hpp
@@ -23,7 +23,7 @@
 struct admission {
     /// none admits it.
     reason why = reason::none;
-    profile what;
+    profile target_profile;
     /// The configuration that the profile was read from.
     log_offset configuration;
     /// When a refused caller should come back.
--- a/src/Serving/request_services.cpp
+++ b/src/Serving/request_services.cpp
@@ -31,16 +31,17 @@
 
 // A stream that is resumed has no body by which its content is known; it goes
 // on where it ran before, and nowhere else.
-std::optional<request_fingerprint> content_of(live_request const& request) {
-    if (request.asked.body_digest == 0) {
+std::optional<request_fingerprint> fingerprint_of(live_request const& request) {
+    if (request.submitted.body_digest == 0) {
         return std::nullopt;
     }
     return request_fingerprint{combine_hashes(
-        hash_text(request.asked.profile.str()), request.asked.body_digest)};
+        hash_text(request.submitted.profile.str()),
+        request.submitted.body_digest)};
 }
 
 // The endpoint answered, whatever it said.
-bool answered(attempt_result how) {
+bool endpoint_answered(attempt_result how) {
     return how == attempt_result::completed ||
            how == attempt_result::refused_busy ||
            how == attempt_result::refused_not_loaded;
@@ -63,7 +64,7 @@
         return {reason::unknown_profile, {}, {}, {}};
     }
     if (found->kind == endpoint_kind::engine) {
-        services_.choice.on_demand(found->adapter, now);
+        services_.endpoint_selector.on_demand(found->adapter, now);
     }
     return {reason::none, *found, current.next(), {}};
 }
@@ -72,9 +73,9 @@
 // adapter go to the same engines, break off there with it, and would be taken
 // for it. Each suspected content goes to an engine of its own.
 std::optional<endpoint_id>
-request_services::choose_apart(live_request const& request) const {
-    auto const content = content_of(request);
-    if (!content || !services_.quarantine.suspected(*content)) {
+request_services::choose_for_suspected(live_request const& request) const {
+    auto const fingerprint = fingerprint_of(request);
+    if (!fingerprint || !services_.quarantine.suspected(*fingerprint)) {
         return std::nullopt;
     }
     std::vector<endpoint_id> open;
@@ -82,20 +83,21 @@
         bool const tried =
             std::ranges::find(request.tried, each.id) != request.tried.end();
         if (each.kind == endpoint_kind::engine &&
-            each.model == request.what.model && !tried) {
+            each.model == request.target_profile.model && !tried) {
             open.push_back(each.id);
         }
     }
-    auto const first = rendezvous_top(to_string(*content), open, 1);
+    auto const first = rendezvous_top(to_string(*fingerprint), open, 1);
     return first.empty() ? std::nullopt : std::optional(first.front());
 }
 
 route request_services::choose(live_request const& request, instant now) {
-    auto chosen = choose_apart(request);
+    auto chosen = choose_for_suspected(request);
     if (!chosen) {
-        chosen = services_.choice.choose(
-            request.what.adapter, request.what.model, request.what.how_urgent,
-            request.asked.prefix_hash, request.tried, now);
+        chosen = services_.endpoint_selector.choose(
+            request.target_profile.adapter, request.target_profile.model,
+            request.target_profile.how_urgent, request.submitted.prefix_hash,
+            request.tried, now);
     }
     if (!chosen) {
         return {{}, {}, true, reason::no_endpoint, {}};
@@ -105,30 +107,31 @@
         return {{}, {}, true, reason::no_endpoint, {}};
     }
     if (request.attempt == 1) {
-        services_.retries.on_request(*chosen, request.asked.caller_group, now);
+        services_.retries.on_request(
+            *chosen, request.submitted.caller_group, now);
     }
-    bool const alone = may_go_without_grant(*instance, now);
-    if (alone) {
-        ++without_grant_[*chosen];
+    bool const ungranted = may_run_without_grant(*instance, now);
+    if (ungranted) {
+        ++ungranted_attempts_[*chosen];
     }
-    return {*chosen, instance->address, !alone, reason::none, {}};
+    return {*chosen, instance->address, !ungranted, reason::none, {}};
 }
 
 // While the log is out of reach and a replica's owner is dead nobody can take
 // over, and nobody evicts: a request may use what is resident there. The
 // engine refuses what is not, and each node keeps to its share of the batch.
-bool request_services::may_go_without_grant(
+bool request_services::may_run_without_grant(
     endpoint_instance const& endpoint, instant now) const {
     resource_id const resource = replica_resource(endpoint.id);
-    if (!services_.owning.fallback_allowed(resource, now)) {
+    if (!services_.ownership.fallback_allowed(resource, now)) {
         return false;
     }
     std::size_t const nodes =
         std::max<std::size_t>(1, services_.members.live_nodes().size());
-    std::size_t const share =
+    std::size_t const quota =
         std::max<std::size_t>(1, endpoint.batch_limit / nodes);
-    auto const used = without_grant_.find(endpoint.id);
-    return used == without_grant_.end() || used->second < share;
+    auto const used = ungranted_attempts_.find(endpoint.id);
+    return used == ungranted_attempts_.end() || used->second < quota;
 }
 
 std::string request_services::address_of(endpoint_id const& endpoint) const {
@@ -139,7 +142,7 @@
 bool request_services::try_consume_retry(
     live_request const& request, instant now) {
     return services_.retries.try_retry(
-        request.endpoint, request.asked.caller_group, now);
+        request.endpoint, request.submitted.caller_group, now);
 }
 
 bool request_services::send_to_owner(
@@ -154,13 +157,13 @@
 
 void request_services::request_key(
     live_request const& request, instant /*now*/) {
-    keyed_request asked;
-    asked.id = request.asked.id;
-    asked.key = canonical_key(*request.asked.key);
-    asked.body_digest = request.asked.body_digest;
-    asked.idempotent = request.what.idempotent;
-    asked.deadline = request.deadline;
-    services_.keys.request_permission(asked, clock_);
+    keyed_request new_request;
+    new_request.id = request.submitted.id;
+    new_request.key = canonical_key(*request.submitted.key);
+    new_request.body_digest = request.submitted.body_digest;
+    new_request.idempotent = request.target_profile.idempotent;
+    new_request.deadline = request.deadline;
+    services_.keys.request_permission(new_request, clock_);
 }
 
 void request_services::cancel_key_request(
@@ -176,76 +179,80 @@
 
 std::optional<duration> request_services::quarantined_for(
     live_request const& request, instant now) const {
-    auto const content = content_of(request);
-    return content ? services_.quarantine.quarantined_for(*content, now)
-                   : std::nullopt;
+    auto const fingerprint = fingerprint_of(request);
+    return fingerprint ? services_.quarantine.quarantined_for(*fingerprint, now)
+                       : std::nullopt;
 }
 
 // A caller that has left breaks its own run off; an endpoint that answers what
 // is no good, or nothing in time, goes on.
-bool request_services::note_content(
+bool request_services::report_to_quarantine(
     live_request const& request, attempt_ended const& end, instant now) {
-    auto const content = content_of(request);
-    if (!content || request.phase == request_phase::closing) {
+    auto const fingerprint = fingerprint_of(request);
+    if (!fingerprint || request.phase == request_phase::closing) {
         return false;
     }
     if (end.how == attempt_result::completed) {
-        contents_.on_served(*content, now);
+        quarantine_.on_success(*fingerprint, now);
     }
     return end.how == attempt_result::truncated &&
-           contents_.on_broken(*content, request.endpoint, now);
+           quarantine_.on_crash(*fingerprint, request.endpoint, now);
 }
 
 bool request_services::record_attempt_end(
     live_request const& request, attempt_ended const& end, instant now) {
-    bool const counted_elsewhere = note_content(request, end, now);
+    bool const reported_to_peers = report_to_quarantine(request, end, now);
     if (end.how != attempt_result::cancelled) {
         services_.members.on_endpoint_call(
-            request.endpoint, answered(end.how), now);
+            request.endpoint, endpoint_answered(end.how), now);
     }
-    if (request.what.kind == endpoint_kind::service) {
-        auto const service = services_.plain.find(request.what.model);
-        if (service != services_.plain.end()) {
+    if (request.target_profile.kind == endpoint_kind::service) {
+        auto const service =
+            services_.plain_services.find(request.target_profile.model);
+        if (service != services_.plain_services.end()) {
             service->second.on_finished(
-                request.asked.id, service_end_of(end.how), now);
+                request.submitted.id, service_end_of(end.how), now);
         }
-        return counted_elsewhere;
+        return reported_to_peers;
     }
     if (end.how == attempt_result::completed) {
-        services_.choice.on_served(now - request.admitted);
+        services_.endpoint_selector.on_served(now - request.admitted);
     }
-    auto const alone = without_grant_.find(request.endpoint);
+    auto const ungranted = ungranted_attempts_.find(request.endpoint);
     bool const counted = !request.grant && !request.resumed;
-    if (counted && alone != without_grant_.end() && alone->second > 0) {
-        --alone->second;
+    if (counted && ungranted != ungranted_attempts_.end() &&
+        ungranted->second > 0) {
+        --ungranted->second;
     }
-    return counted_elsewhere;
+    return reported_to_peers;
 }
 
 void request_services::submit_service(
     live_request const& request, instant now) {
-    auto const service = services_.plain.find(request.what.model);
-    service_request asked;
-    asked.id = request.asked.id;
-    asked.how_urgent = request.what.how_urgent;
-    asked.deadline = request.deadline;
-    asked.avoid_endpoint =
+    auto const service =
+        services_.plain_services.find(request.target_profile.model);
+    service_request new_request;
+    new_request.id = request.submitted.id;
+    new_request.how_urgent = request.target_profile.how_urgent;
+    new_request.deadline = request.deadline;
+    new_request.avoid_endpoint =
         request.tried.empty() ? endpoint_id() : request.tried.back();
-    if (service != services_.plain.end()) {
-        service->second.submit(asked, now);
+    if (service != services_.plain_services.end()) {
+        service->second.submit(new_request, now);
         return;
     }
     // An empty router refuses it as it refuses when all replicas are gone.
-    auto const made = services_.plain.try_emplace(
-        request.what.model, settings_.services, settings_.health,
+    auto const made = services_.plain_services.try_emplace(
+        request.target_profile.model, settings_.services, settings_.health,
         settings_.self.domain, settings_.seed);
-    made.first->second.submit(asked, now);
+    made.first->second.submit(new_request, now);
 }
 
 void request_services::cancel_service_request(live_request const& request) {
-    auto const service = services_.plain.find(request.what.model);
-    if (service != services_.plain.end()) {
-        service->second.withdraw(request.asked.id);
+    auto const service =
+        services_.plain_services.find(request.target_profile.model);
+    if (service != services_.plain_services.end()) {
+        service->second.withdraw(request.submitted.id);
     }
 }
 
--- a/src/Serving/request_services.hpp
+++ b/src/Serving/request_services.hpp
@@ -19,11 +19,11 @@
 public:
     request_services(
         serving_settings const& settings, node_services& services,
-        node_outbox& outbox, quarantine_router& contents)
+        node_outbox& outbox, quarantine_router& quarantine)
         : settings_(settings)
         , services_(services)
         , outbox_(outbox)
-        , contents_(contents) {}
+        , quarantine_(quarantine) {}
 
     /// The node stops: nothing more is admitted.
     void start_draining() noexcept { draining_ = true; }
@@ -48,23 +48,24 @@
     quarantined_for(live_request const& request, instant now) const;
     void submit_service(live_request const& request, instant now);
     void cancel_service_request(live_request const& request);
-    void act(node_action const& action) { outbox_.act(action); }
+    void act(node_action const& action) { outbox_.emit(action); }
 
 private:
     bool
-    may_go_without_grant(endpoint_instance const& endpoint, instant now) const;
-    std::optional<endpoint_id> choose_apart(live_request const& request) const;
-    bool note_content(
+    may_run_without_grant(endpoint_instance const& endpoint, instant now) const;
+    std::optional<endpoint_id>
+    choose_for_suspected(live_request const& request) const;
+    bool report_to_quarantine(
         live_request const& request, attempt_ended const& end, instant now);
 
     serving_settings const& settings_;
     node_services& services_;
     node_outbox& outbox_;
-    quarantine_router& contents_;
+    quarantine_router& quarantine_;
     clock_reading clock_;
     bool draining_ = false;
     /// Requests that run on a replica without a grant of its owner.
-    std::map<endpoint_id, std::uint32_t> without_grant_;
+    std::map<endpoint_id, std::uint32_t> ungranted_attempts_;
 };
 
 static_assert(request_environment<request_services>);
--- a/src/Serving/request_timers.hpp
+++ b/src/Serving/request_timers.hpp
@@ -22,7 +22,7 @@
         timers_.erase({when, id});
     }
     /// @returns the first request whose time has come; it is taken out
-    std::optional<request_id> take_due(instant now) {
+    std::optional<request_id> pop_due(instant now) {
         if (timers_.empty() || timers_.begin()->when > now) {
             return std::nullopt;
         }
--- a/src/Serving/request_tracker.hpp
+++ b/src/Serving/request_tracker.hpp
@@ -19,7 +19,7 @@
 /// The life of each request at its entry node, from the caller's post to the
 /// outcome, as one state machine:
 ///
-///   admitted -> [key_asked] -> asking -> sent -> streaming -> ended
+///   admitted -> [awaiting_key] -> asking -> sent -> streaming -> ended
 ///                                 ^        |         |
 ///                                 +--------+---------+  (repeat, resume)
 ///
@@ -42,16 +42,16 @@
         , environment_(environment) {}
 
     /// A caller asks for work.
-    void on_request(caller_request const& asked, instant now);
+    void on_request(caller_request const& submitted, instant now);
     /// A caller asks for the rest of a stream that was cut.
-    void on_resume(caller_resume const& asked, instant now);
+    void on_resume(caller_resume const& submitted, instant now);
     /// The caller closed its connection.
     void on_caller_disconnected(request_id const& id, instant now);
     /// The decision about the request's key has come.
-    void on_key_settled(key_decision const& settled, instant now);
+    void on_key_decision(key_decision const& decision, instant now);
     /// An owner's word.
     /// @param from the node that sent it
-    void on_grant(node_id const& from, grant_issued const& given, instant now);
+    void on_grant(node_id const& from, grant_issued const& issued, instant now);
     void
     on_refusal(node_id const& from, grant_refused const& refused, instant now);
     /// The limits of a plain service let a request go.
@@ -63,7 +63,7 @@
     void on_service_refusal(service_refusal const& refusal, instant now);
     /// What was sent to the replica's owner may not have arrived, or the owner
     /// is gone: its unsent requests go elsewhere, running ones go on.
-    void on_owner_lost(endpoint_id const& replica, instant now);
+    void on_owner_unreachable(endpoint_id const& replica, instant now);
     /// An answer has begun or goes on.
     void on_progress(attempt_progress const& progress, instant now);
     /// An attempt has ended.
@@ -74,7 +74,7 @@
     /// @returns all that runs or waits on replicas, for the heartbeats
     std::vector<grant_in_use> grants_in_use() const;
     /// @returns the replicas at whose owners requests wait, each once
-    std::set<endpoint_id> waited_for() const;
+    std::set<endpoint_id> awaited_replicas() const;
     /// @returns requests that wait for a key or a grant
     std::size_t waiting() const;
     /// @returns requests at this node, the closing ones included
@@ -85,47 +85,48 @@
 private:
     // request_tracker_routing.hpp: to a grant, and to the start.
     void refuse(
-        caller_request const& asked, reason why,
+        caller_request const& submitted, reason why,
         std::chrono::milliseconds retry_after);
-    reason check(caller_request const& asked) const;
-    void seek(live_request& request, instant now);
-    bool ask(live_request& request, instant now);
+    reason validate(caller_request const& submitted) const;
+    void route_request(live_request& request, instant now);
+    bool request_grant(live_request& request, instant now);
     void start(live_request& request, instant send_before);
-    void give_up_seeking(
+    void finish_unroutable(
         live_request& request, reason why,
         std::chrono::milliseconds retry_after, instant now);
-    void give_up_held(live_request& request, duration held, instant now);
-    void withdraw_ask(live_request& request, instant now);
-    void give_back_grant(live_request& request, instant now);
-    live_request* waiting_for(
+    void
+    finish_quarantined(live_request& request, duration remaining, instant now);
+    void cancel_grant_request(live_request& request, instant now);
+    void return_grant(live_request& request, instant now);
+    live_request* find_awaiting_grant(
         request_id const& id, std::uint32_t attempt,
         endpoint_id const& replica);
     // request_tracker_attempts.hpp: from the start to the end.
-    void
-    completed(live_request& request, attempt_ended const& end, instant now);
-    void
-    never_ran(live_request& request, attempt_ended const& end, instant now);
-    void broken(
+    void handle_completion(
+        live_request& request, attempt_ended const& end, instant now);
+    void handle_not_run(
+        live_request& request, attempt_ended const& end, instant now);
+    void handle_failure(
         live_request& request, attempt_ended const& end, bool reported_to_peers,
         instant now);
-    bool resume_later(live_request& request, instant now);
+    bool schedule_resume(live_request& request, instant now);
     void resume(live_request& request);
-    void repeat_or_end(
+    void retry_or_finish(
         live_request& request, attempt_ended const& end, bool reported_to_peers,
         instant now);
-    bool
-    may_repeat(live_request const& request, attempt_ended const& end) const;
+    bool may_retry(live_request const& request, attempt_ended const& end) const;
     void release(live_request& request, bool adapter_was_loaded, instant now);
     // request_tracker_ending.hpp: the final answer and what it leaves.
-    void wake(live_request& request, instant now);
+    void on_timer(live_request& request, instant now);
     void stop_attempt(live_request& request, instant now);
     void finish(
         live_request& request, outcome how, reason why,
         std::chrono::milliseconds retry_after, instant now,
         std::string const& answer = {}, std::string const& kept = {});
-    void forget(live_request& request);
+    void erase_request(live_request& request);
 
-    void enter(live_request& request, request_phase phase, instant wake_at);
+    void
+    set_phase(live_request& request, request_phase phase, instant timer_at);
     void count(count_reason::kind what, reason why);
     live_request* find_live(request_id const& id);
 
--- a/src/Serving/request_tracker_attempts.hpp
+++ b/src/Serving/request_tracker_attempts.hpp
@@ -41,7 +41,7 @@
 
 /// @returns true when the endpoint says that the request itself is wrong, so
 /// that no other endpoint would take it
-constexpr bool callers_fault(int status) noexcept {
+constexpr bool is_caller_error(int status) noexcept {
     constexpr int request_timeout = 408;
     constexpr int too_many_requests = 429;
     return status >= 400 && status < 500 && status != request_timeout &&
@@ -52,13 +52,13 @@
 
 template <request_environment Environment>
 void request_tracker<Environment>::on_resume(
-    caller_resume const& asked, instant now) {
+    caller_resume const& submitted, instant now) {
     caller_request plain;
-    plain.id = asked.id;
-    plain.deadline = asked.deadline;
-    std::string const address = environment_.address_of(asked.endpoint);
-    reason why = check(plain);
-    if (why == reason::none && asked.from_token == 0) {
+    plain.id = submitted.id;
+    plain.deadline = submitted.deadline;
+    std::string const address = environment_.address_of(submitted.endpoint);
+    reason why = validate(plain);
+    if (why == reason::none && submitted.from_token == 0) {
         why = reason::bad_request;
     }
     if (why == reason::none && address.empty()) {
@@ -68,22 +68,22 @@
         // The stream that is asked for has run, so "not run" would mislead.
         count(count_reason::kind::refusal, why);
         environment_.act(
-            finish_request{asked.id, outcome::unknown, why, {}, {}});
+            finish_request{submitted.id, outcome::unknown, why, {}, {}});
         return;
     }
-    live_request& request = live_[asked.id];
-    request.asked = plain;
-    request.what.adapter = asked.adapter;
-    request.what.idempotent = false;
+    live_request& request = live_[submitted.id];
+    request.submitted = plain;
+    request.target_profile.adapter = submitted.adapter;
+    request.target_profile.idempotent = false;
     request.admitted = now;
-    request.deadline =
-        now + asked.deadline.value_or(request.what.default_deadline);
+    request.deadline = now + submitted.deadline.value_or(
+                                 request.target_profile.default_deadline);
     request.may_have_run = true;
-    request.tokens = asked.from_token;
-    request.received = asked.from_token;
+    request.tokens = submitted.from_token;
+    request.received = submitted.from_token;
     request.resumed = true;
-    request.engine_id = asked.original;
-    request.endpoint = asked.endpoint;
+    request.engine_id = submitted.original;
+    request.endpoint = submitted.endpoint;
     request.address = address;
     request.attempt = 1;
     start(request, request.deadline);
@@ -102,7 +102,7 @@
             environment_.act(observe_time{
                 observe_time::kind::first_token, now - request->admitted});
         }
-        enter(*request, request_phase::streaming, request->deadline);
+        set_phase(*request, request_phase::streaming, request->deadline);
     }
     if (progress.tokens > request->tokens) {
         request->tokens = progress.tokens;
@@ -132,20 +132,20 @@
             count(count_reason::kind::dropped, reason::late_answer);
         }
         release(*request, true, now);
-        forget(*request);
+        erase_request(*request);
         return;
     }
     if (end.how == attempt_result::completed) {
-        completed(*request, end, now);
+        handle_completion(*request, end, now);
     } else if (internal::never_ran(end.how) && !request->resumed) {
-        never_ran(*request, end, now);
+        handle_not_run(*request, end, now);
     } else {
-        broken(*request, end, reported_to_peers, now);
+        handle_failure(*request, end, reported_to_peers, now);
     }
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::completed(
+void request_tracker<Environment>::handle_completion(
     live_request& request, attempt_ended const& end, instant now) {
     release(request, true, now);
     environment_.act(
@@ -157,7 +157,7 @@
 // The endpoint said no, or was never reached: any request may go elsewhere
 // whose caller is still here to be brought an answer.
 template <request_environment Environment>
-void request_tracker<Environment>::never_ran(
+void request_tracker<Environment>::handle_not_run(
     live_request& request, attempt_ended const& end, instant now) {
     if (end.how == attempt_result::refused_not_loaded) {
         // The owner thought otherwise, learns it from the release, and loads:
@@ -165,7 +165,7 @@
         release(request, false, now);
     } else {
         request.tried.push_back(request.endpoint);
-        give_back_grant(request, now);
+        return_grant(request, now);
     }
     request.refusal = internal::reason_of(end.how);
     if (request.detached) {
@@ -176,29 +176,31 @@
         return;
     }
     count(count_reason::kind::retry, request.refusal);
-    seek(request, now);
+    route_request(request, now);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::broken(
+void request_tracker<Environment>::handle_failure(
     live_request& request, attempt_ended const& end, bool reported_to_peers,
     instant now) {
     request.may_have_run = true;
-    bool const lost_stream = end.how == attempt_result::truncated ||
-                             (request.resumed && internal::never_ran(end.how));
-    if (lost_stream && resume_later(request, now)) {
+    bool const stream_interrupted =
+        end.how == attempt_result::truncated ||
+        (request.resumed && internal::never_ran(end.how));
+    if (stream_interrupted && schedule_resume(request, now)) {
         return;
     }
-    repeat_or_end(request, end, reported_to_peers, now);
+    retry_or_finish(request, end, reported_to_peers, now);
 }
 
 // The grant is kept meanwhile: the engine may still be running the stream, and
 // its adapter must not be evicted under it.
 template <request_environment Environment>
-bool request_tracker<Environment>::resume_later(
+bool request_tracker<Environment>::schedule_resume(
     live_request& request, instant now) {
-    if (request.what.kind != endpoint_kind::engine || request.received == 0 ||
-        request.detached || request.resumes == settings_.max_resumes) {
+    if (request.target_profile.kind != endpoint_kind::engine ||
+        request.received == 0 || request.detached ||
+        request.resumes == settings_.max_resumes) {
         return false;
     }
     auto const pause = settings_.resume_backoff * (1U << request.resumes);
@@ -207,7 +209,7 @@
     }
     ++request.resumes;
     count(count_reason::kind::retry, reason::answer_cut);
-    enter(request, request_phase::resume_wait, now + pause);
+    set_phase(request, request_phase::awaiting_resume, now + pause);
     return true;
 }
 
@@ -219,24 +221,25 @@
 }
 
 template <request_environment Environment>
-bool request_tracker<Environment>::may_repeat(
+bool request_tracker<Environment>::may_retry(
     live_request const& request, attempt_ended const& end) const {
-    bool const takes_long = end.how == attempt_result::timed_out ||
-                            end.how == attempt_result::cancelled;
+    bool const not_retryable = end.how == attempt_result::timed_out ||
+                               end.how == attempt_result::cancelled;
     // Tokens that the caller has can't be taken back, and a second run words
     // its answer differently: joined they are an answer that nobody gave.
-    return request.what.idempotent && request.tokens == 0 && !takes_long &&
-           !request.detached && !internal::callers_fault(end.status);
+    return request.target_profile.idempotent && request.tokens == 0 &&
+           !not_retryable && !request.detached &&
+           !internal::is_caller_error(end.status);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::repeat_or_end(
+void request_tracker<Environment>::retry_or_finish(
     live_request& request, attempt_ended const& end, bool reported_to_peers,
     instant now) {
     release(request, true, now);
     reason why = internal::reason_of(end.how);
     request.phase = request_phase::routing;
-    if (may_repeat(request, end)) {
+    if (may_retry(request, end)) {
         if (environment_.try_consume_retry(request, now)) {
             count(count_reason::kind::retry, why);
             request.resumed = false;
@@ -245,20 +248,21 @@
             request.refusal = why;
             request.tried.push_back(request.endpoint);
             if (reported_to_peers) {
-                enter(
-                    request, request_phase::repeat_wait,
+                set_phase(
+                    request, request_phase::awaiting_quarantine,
                     std::min(
                         now + settings_.quarantine_decision_timeout,
                         request.deadline));
                 return;
             }
-            seek(request, now);
+            route_request(request, now);
             return;
         }
         why = reason::retry_budget_empty;
     }
-    auto const back = request.what.idempotent ? settings_.retry_after
-                                              : std::chrono::milliseconds(0);
+    auto const back = request.target_profile.idempotent
+                          ? settings_.retry_after
+                          : std::chrono::milliseconds(0);
     finish(request, outcome::unknown, why, back, now);
 }
 
--- a/src/Serving/request_tracker_completion.hpp
+++ b/src/Serving/request_tracker_completion.hpp
@@ -14,15 +14,15 @@
     if (!request.grant) {
         return;
     }
-    grant_released ended;
-    ended.request = request.asked.id;
-    ended.attempt = request.grant->attempt;
-    ended.replica = request.grant->replica;
-    ended.grant = request.grant->grant;
-    ended.tokens = request.received;
-    ended.adapter_was_loaded = adapter_was_loaded;
+    grant_released message;
+    message.request = request.submitted.id;
+    message.attempt = request.grant->attempt;
+    message.replica = request.grant->replica;
+    message.grant = request.grant->grant;
+    message.tokens = request.received;
+    message.adapter_was_loaded = adapter_was_loaded;
     request.grant.reset();
-    environment_.send_to_owner(ended.replica, ended, now);
+    environment_.send_to_owner(message.replica, message, now);
 }
 
 template <request_environment Environment>
@@ -34,7 +34,7 @@
     }
     // A caller on a poor network comes back with the same key, through any
     // node: what runs goes on, and its answer is kept for the repeat.
-    if (request->asked.key && request->attempt_open()) {
+    if (request->submitted.key && request->attempt_open()) {
         request->detached = true;
         return;
     }
@@ -43,44 +43,50 @@
     // answer. Only who has got a token has an event id to resume by; a caller
     // that is gone for good costs the engine its grace and no more.
     request->resumable_by_caller =
-        request->what.kind == endpoint_kind::engine && request->tokens > 0;
+        request->target_profile.kind == endpoint_kind::engine &&
+        request->tokens > 0;
     finish(
-        *request, request->may_run() ? outcome::unknown : outcome::not_run,
+        *request,
+        request->may_have_reached_endpoint() ? outcome::unknown
+                                             : outcome::not_run,
         reason::caller_gone, {}, now);
 }
 
 template <request_environment Environment>
 void request_tracker<Environment>::on_tick(instant now) {
-    while (auto const due = timers_.take_due(now)) {
+    while (auto const due = timers_.pop_due(now)) {
         live_request* const request = find_live(*due);
         if (request != nullptr) {
-            wake(*request, now);
+            on_timer(*request, now);
         }
     }
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::wake(live_request& request, instant now) {
+void request_tracker<Environment>::on_timer(
+    live_request& request, instant now) {
     if (request.phase == request_phase::closing) {
-        attempt_ended silent;
-        silent.id = request.asked.id;
-        silent.attempt = request.attempt;
-        silent.how = attempt_result::cancelled;
-        environment_.record_attempt_end(request, silent, now);
+        attempt_ended lost_end;
+        lost_end.id = request.submitted.id;
+        lost_end.attempt = request.attempt;
+        lost_end.how = attempt_result::cancelled;
+        environment_.record_attempt_end(request, lost_end, now);
         release(request, true, now);
-        forget(request);
+        erase_request(request);
         return;
     }
-    if (request.phase == request_phase::resume_wait && now < request.deadline) {
+    if (request.phase == request_phase::awaiting_resume &&
+        now < request.deadline) {
         resume(request);
         return;
     }
-    if (request.phase == request_phase::repeat_wait && now < request.deadline) {
-        seek(request, now);
+    if (request.phase == request_phase::awaiting_quarantine &&
+        now < request.deadline) {
+        route_request(request, now);
         return;
     }
-    bool const ran = request.may_run();
-    bool const again = !ran || request.what.idempotent;
+    bool const ran = request.may_have_reached_endpoint();
+    bool const again = !ran || request.target_profile.idempotent;
     finish(
         request, ran ? outcome::unknown : outcome::not_run,
         reason::deadline_passed,
@@ -92,27 +98,29 @@
 void request_tracker<Environment>::stop_attempt(
     live_request& request, instant now) {
     switch (request.phase) {
-    case request_phase::key_asked:
-        environment_.cancel_key_request(request.asked.id, now);
-        request.asked.key.reset();
-        forget(request);
+    case request_phase::awaiting_key:
+        environment_.cancel_key_request(request.submitted.id, now);
+        request.submitted.key.reset();
+        erase_request(request);
         return;
     case request_phase::routing:
-    case request_phase::repeat_wait:
-        forget(request);
+    case request_phase::awaiting_quarantine:
+        erase_request(request);
         return;
-    case request_phase::asking:
-        withdraw_ask(request, now);
-        forget(request);
+    case request_phase::awaiting_grant:
+        cancel_grant_request(request, now);
+        erase_request(request);
         return;
-    case request_phase::resume_wait:
+    case request_phase::awaiting_resume:
         release(request, true, now);
-        forget(request);
+        erase_request(request);
         return;
     default:
         environment_.act(cancel_attempt{
-            request.asked.id, request.attempt, request.resumable_by_caller});
-        enter(request, request_phase::closing, now + settings_.close_timeout);
+            request.submitted.id, request.attempt,
+            request.resumable_by_caller});
+        set_phase(
+            request, request_phase::closing, now + settings_.close_timeout);
     }
 }
 
@@ -125,34 +133,34 @@
         count(count_reason::kind::refusal, why);
     }
     finish_request last;
-    last.id = request.asked.id;
+    last.id = request.submitted.id;
     last.how = how;
     last.why = why;
     last.retry_after = retry_after;
     last.kept_answer = kept;
     environment_.act(last);
-    bool const leave_taken =
-        request.asked.key && request.phase != request_phase::key_asked;
-    if (leave_taken) {
+    bool const key_granted =
+        request.submitted.key && request.phase != request_phase::awaiting_key;
+    if (key_granted) {
         environment_.on_keyed_request_ended(
-            request.asked.id, how, why, answer, now);
+            request.submitted.id, how, why, answer, now);
     }
     stop_attempt(request, now);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::forget(live_request& request) {
-    timers_.remove(request.asked.id, request.wake_at);
-    request_id const id = request.asked.id;
+void request_tracker<Environment>::erase_request(live_request& request) {
+    timers_.remove(request.submitted.id, request.timer_at);
+    request_id const id = request.submitted.id;
     live_.erase(id);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::enter(
-    live_request& request, request_phase phase, instant wake_at) {
+void request_tracker<Environment>::set_phase(
+    live_request& request, request_phase phase, instant timer_at) {
     request.phase = phase;
-    timers_.set(request.asked.id, request.wake_at, wake_at);
-    request.wake_at = wake_at;
+    timers_.set(request.submitted.id, request.timer_at, timer_at);
+    request.timer_at = timer_at;
 }
 
 template <request_environment Environment>
@@ -176,18 +184,18 @@
 template <request_environment Environment>
 std::size_t request_tracker<Environment>::waiting() const {
     auto const waits = [](auto const& each) {
-        return each.second.phase == request_phase::key_asked ||
-               each.second.phase == request_phase::asking;
+        return each.second.phase == request_phase::awaiting_key ||
+               each.second.phase == request_phase::awaiting_grant;
     };
     return static_cast<std::size_t>(std::ranges::count_if(live_, waits));
 }
 
 template <request_environment Environment>
-std::set<endpoint_id> request_tracker<Environment>::waited_for() const {
+std::set<endpoint_id> request_tracker<Environment>::awaited_replicas() const {
     std::set<endpoint_id> replicas;
     for (auto const& [id, request] : live_) {
-        if (request.phase == request_phase::asking &&
-            request.what.kind == endpoint_kind::engine) {
+        if (request.phase == request_phase::awaiting_grant &&
+            request.target_profile.kind == endpoint_kind::engine) {
             replicas.insert(request.endpoint);
         }
     }
@@ -198,8 +206,8 @@
 std::vector<grant_in_use> request_tracker<Environment>::grants_in_use() const {
     std::vector<grant_in_use> all;
     for (auto const& [id, request] : live_) {
-        bool const waits = request.phase == request_phase::asking;
-        if (request.what.kind == endpoint_kind::service) {
+        bool const waits = request.phase == request_phase::awaiting_grant;
+        if (request.target_profile.kind == endpoint_kind::service) {
             continue;
         }
         if (!waits && !request.grant && !request.resumed) {
@@ -209,7 +217,7 @@
         one.request = id;
         one.attempt = request.grant ? request.grant->attempt : request.attempt;
         one.replica = request.endpoint;
-        one.adapter = request.what.adapter;
+        one.adapter = request.target_profile.adapter;
         one.sent = !waits;
         all.push_back(std::move(one));
     }
--- a/src/Serving/request_tracker_routing.hpp
+++ b/src/Serving/request_tracker_routing.hpp
@@ -10,12 +10,13 @@
 namespace camphorpoint {
 
 template <request_environment Environment>
-reason request_tracker<Environment>::check(caller_request const& asked) const {
-    if (asked.deadline && (asked.deadline->count() <= 0 ||
-                           *asked.deadline > settings_.max_deadline)) {
+reason
+request_tracker<Environment>::validate(caller_request const& submitted) const {
+    if (submitted.deadline && (submitted.deadline->count() <= 0 ||
+                               *submitted.deadline > settings_.max_deadline)) {
         return reason::deadline_invalid;
     }
-    if (live_.contains(asked.id)) {
+    if (live_.contains(submitted.id)) {
         return reason::already_running;
     }
     if (live_.size() >= settings_.max_requests) {
@@ -26,11 +27,11 @@
 
 template <request_environment Environment>
 void request_tracker<Environment>::refuse(
-    caller_request const& asked, reason why,
+    caller_request const& submitted, reason why,
     std::chrono::milliseconds retry_after) {
     count(count_reason::kind::refusal, why);
     finish_request last;
-    last.id = asked.id;
+    last.id = submitted.id;
     last.how = outcome::not_run;
     last.why = why;
     last.retry_after = retry_after;
@@ -39,75 +40,76 @@
 
 template <request_environment Environment>
 void request_tracker<Environment>::on_request(
-    caller_request const& asked, instant now) {
-    if (reason const wrong = check(asked); wrong != reason::none) {
+    caller_request const& submitted, instant now) {
+    if (reason const wrong = validate(submitted); wrong != reason::none) {
         bool const later = wrong == reason::limit_reached;
         refuse(
-            asked, wrong,
+            submitted, wrong,
             later ? settings_.retry_after : std::chrono::milliseconds(0));
         return;
     }
-    admission entry = environment_.admit(asked.profile, now);
+    admission entry = environment_.admit(submitted.profile, now);
     if (entry.why != reason::none) {
-        refuse(asked, entry.why, entry.retry_after);
+        refuse(submitted, entry.why, entry.retry_after);
         return;
     }
-    live_request& request = live_[asked.id];
-    request.asked = asked;
-    request.engine_id = asked.id;
-    request.what = std::move(entry.what);
+    live_request& request = live_[submitted.id];
+    request.submitted = submitted;
+    request.engine_id = submitted.id;
+    request.target_profile = std::move(entry.target_profile);
     request.configuration = entry.configuration;
     request.admitted = now;
-    request.deadline =
-        now + asked.deadline.value_or(request.what.default_deadline);
-    if (asked.key) {
-        enter(request, request_phase::key_asked, request.deadline);
+    request.deadline = now + submitted.deadline.value_or(
+                                 request.target_profile.default_deadline);
+    if (submitted.key) {
+        set_phase(request, request_phase::awaiting_key, request.deadline);
         environment_.request_key(request, now);
         return;
     }
-    seek(request, now);
+    route_request(request, now);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::on_key_settled(
-    key_decision const& settled, instant now) {
-    live_request* const request = find_live(settled.request);
-    if (request == nullptr || request->phase != request_phase::key_asked) {
+void request_tracker<Environment>::on_key_decision(
+    key_decision const& decision, instant now) {
+    live_request* const request = find_live(decision.request);
+    if (request == nullptr || request->phase != request_phase::awaiting_key) {
         count(count_reason::kind::dropped, reason::late_answer);
         return;
     }
-    if (settled.verdict == key_verdict::run) {
-        seek(*request, now);
+    if (decision.verdict == key_verdict::run) {
+        route_request(*request, now);
         return;
     }
-    request->asked.key.reset();
+    request->submitted.key.reset();
     finish(
-        *request, outcome_of(settled.verdict), settled.why, settled.retry_after,
-        now, {}, settled.answer);
+        *request, outcome_of(decision.verdict), decision.why,
+        decision.retry_after, now, {}, decision.answer);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::seek(live_request& request, instant now) {
+void request_tracker<Environment>::route_request(
+    live_request& request, instant now) {
     request.phase = request_phase::routing;
     while (now < request.deadline) {
-        if (auto const held = environment_.quarantined_for(request, now)) {
-            give_up_held(request, *held, now);
+        if (auto const remaining = environment_.quarantined_for(request, now)) {
+            finish_quarantined(request, *remaining, now);
             return;
         }
-        if (request.asks == settings_.max_grant_requests) {
-            give_up_seeking(request, reason::no_endpoint, {}, now);
+        if (request.grant_requests == settings_.max_grant_requests) {
+            finish_unroutable(request, reason::no_endpoint, {}, now);
             return;
         }
-        ++request.asks;
+        ++request.grant_requests;
         ++request.attempt;
-        if (request.what.kind == endpoint_kind::service) {
-            enter(request, request_phase::asking, request.deadline);
+        if (request.target_profile.kind == endpoint_kind::service) {
+            set_phase(request, request_phase::awaiting_grant, request.deadline);
             environment_.submit_service(request, now);
             return;
         }
         route const next = environment_.choose(request, now);
         if (next.endpoint.empty()) {
-            give_up_seeking(request, next.why, next.retry_after, now);
+            finish_unroutable(request, next.why, next.retry_after, now);
             return;
         }
         request.endpoint = next.endpoint;
@@ -116,49 +118,50 @@
             start(request, request.deadline);
             return;
         }
-        if (ask(request, now)) {
+        if (request_grant(request, now)) {
             return;
         }
         request.refusal = reason::owner_unreachable;
         request.tried.push_back(request.endpoint);
     }
-    give_up_seeking(request, reason::deadline_passed, {}, now);
+    finish_unroutable(request, reason::deadline_passed, {}, now);
 }
 
 template <request_environment Environment>
-bool request_tracker<Environment>::ask(live_request& request, instant now) {
-    request.asked_at = now;
-    grant_request ask;
-    ask.request = request.asked.id;
-    ask.attempt = request.attempt;
-    ask.replica = request.endpoint;
-    ask.adapter = request.what.adapter;
-    ask.how_urgent = request.what.how_urgent;
-    ask.time_left = request.time_left(now);
-    ask.expected_tokens = request.asked.expected_tokens;
-    ask.prefix_hash = request.asked.prefix_hash;
-    ask.configuration = request.configuration;
-    if (!environment_.send_to_owner(request.endpoint, ask, now)) {
+bool request_tracker<Environment>::request_grant(
+    live_request& request, instant now) {
+    request.grant_requested_at = now;
+    grant_request message;
+    message.request = request.submitted.id;
+    message.attempt = request.attempt;
+    message.replica = request.endpoint;
+    message.adapter = request.target_profile.adapter;
+    message.how_urgent = request.target_profile.how_urgent;
+    message.time_left = request.time_left(now);
+    message.expected_tokens = request.submitted.expected_tokens;
+    message.prefix_hash = request.submitted.prefix_hash;
+    message.configuration = request.configuration;
+    if (!environment_.send_to_owner(request.endpoint, message, now)) {
         return false;
     }
-    enter(request, request_phase::asking, request.deadline);
+    set_phase(request, request_phase::awaiting_grant, request.deadline);
     return true;
 }
 
 // Guards against one request that ends endpoint after endpoint; see
 // request_quarantine.
 template <request_environment Environment>
-void request_tracker<Environment>::give_up_held(
-    live_request& request, duration held, instant now) {
+void request_tracker<Environment>::finish_quarantined(
+    live_request& request, duration remaining, instant now) {
     finish(
         request, request.may_have_run ? outcome::unknown : outcome::not_run,
         reason::content_held,
-        std::chrono::ceil<std::chrono::milliseconds>(held), now);
+        std::chrono::ceil<std::chrono::milliseconds>(remaining), now);
 }
 
 // The last replica's own reason says more than that nothing is left.
 template <request_environment Environment>
-void request_tracker<Environment>::give_up_seeking(
+void request_tracker<Environment>::finish_unroutable(
     live_request& request, reason why, std::chrono::milliseconds retry_after,
     instant now) {
     bool const refused =
@@ -173,32 +176,32 @@
 }
 
 template <request_environment Environment>
-live_request* request_tracker<Environment>::waiting_for(
+live_request* request_tracker<Environment>::find_awaiting_grant(
     request_id const& id, std::uint32_t attempt, endpoint_id const& replica) {
     live_request* const request = find_live(id);
     bool const waits =
-        request != nullptr && request->phase == request_phase::asking &&
+        request != nullptr && request->phase == request_phase::awaiting_grant &&
         request->attempt == attempt && request->endpoint == replica;
     return waits ? request : nullptr;
 }
 
 template <request_environment Environment>
 void request_tracker<Environment>::on_grant(
-    node_id const& /*from*/, grant_issued const& given, instant now) {
+    node_id const& /*from*/, grant_issued const& issued, instant now) {
     live_request* const request =
-        waiting_for(given.request, given.attempt, given.replica);
+        find_awaiting_grant(issued.request, issued.attempt, issued.replica);
     if (request == nullptr) {
         // Guards against a grant that crossed its withdrawal: unless it is
         // given back, the owner counts the slot as taken until a heartbeat
         // says otherwise. One that came twice is in use and stays.
-        live_request const* const held = find_live(given.request);
-        bool const in_use = held != nullptr && held->grant &&
-                            held->grant->attempt == given.attempt;
+        live_request const* const known = find_live(issued.request);
+        bool const in_use = known != nullptr && known->grant &&
+                            known->grant->attempt == issued.attempt;
         if (!in_use) {
             count(count_reason::kind::dropped, reason::late_answer);
             environment_.send_to_owner(
-                given.replica,
-                grant_cancelled{given.request, given.attempt, given.replica},
+                issued.replica,
+                grant_cancelled{issued.request, issued.attempt, issued.replica},
                 now);
         }
         return;
@@ -207,21 +210,21 @@
     // latest `queued` after the ask went out, so that a reply which was long
     // under way, or read late by a paused node, is known to have lapsed.
     instant const send_before = std::min(
-        request->asked_at + given.queued + given.send_within,
+        request->grant_requested_at + issued.queued + issued.send_within,
         request->deadline);
     request->grant =
-        held_grant{request->endpoint, request->attempt, given.grant};
+        active_grant{request->endpoint, request->attempt, issued.grant};
     if (now >= send_before) {
         count(count_reason::kind::retry, reason::grant_expired);
-        withdraw_ask(*request, now);
-        seek(*request, now);
+        cancel_grant_request(*request, now);
+        route_request(*request, now);
         return;
     }
     // It may have been held while this request waited for its grant.
-    if (auto const held = environment_.quarantined_for(*request, now)) {
-        withdraw_ask(*request, now);
+    if (auto const remaining = environment_.quarantined_for(*request, now)) {
+        cancel_grant_request(*request, now);
         request->phase = request_phase::routing;
-        give_up_held(*request, *held, now);
+        finish_quarantined(*request, *remaining, now);
         return;
     }
     environment_.act(
@@ -233,7 +236,7 @@
 void request_tracker<Environment>::on_refusal(
     node_id const& /*from*/, grant_refused const& refused, instant now) {
     live_request* const request =
-        waiting_for(refused.request, refused.attempt, refused.replica);
+        find_awaiting_grant(refused.request, refused.attempt, refused.replica);
     if (request == nullptr) {
         count(count_reason::kind::dropped, reason::late_answer);
         return;
@@ -244,19 +247,19 @@
     request->phase = request_phase::routing;
     request->tried.push_back(refused.replica);
     count(count_reason::kind::retry, refused.why);
-    seek(*request, now);
+    route_request(*request, now);
 }
 
 template <request_environment Environment>
 bool request_tracker<Environment>::on_dispatch(
     service_dispatch const& dispatch, std::string const& address, instant now) {
     live_request* const request = find_live(dispatch.id);
-    if (request == nullptr || request->phase != request_phase::asking) {
+    if (request == nullptr || request->phase != request_phase::awaiting_grant) {
         return false;
     }
-    if (auto const held = environment_.quarantined_for(*request, now)) {
+    if (auto const remaining = environment_.quarantined_for(*request, now)) {
         request->phase = request_phase::routing;
-        give_up_held(*request, *held, now);
+        finish_quarantined(*request, *remaining, now);
         return false;
     }
     request->endpoint = dispatch.endpoint;
@@ -271,77 +274,78 @@
 void request_tracker<Environment>::on_service_refusal(
     service_refusal const& refusal, instant now) {
     live_request* const request = find_live(refusal.id);
-    if (request == nullptr || request->phase != request_phase::asking) {
+    if (request == nullptr || request->phase != request_phase::awaiting_grant) {
         return;
     }
     request->phase = request_phase::routing;
-    give_up_seeking(*request, refusal.why, refusal.retry_after, now);
+    finish_unroutable(*request, refusal.why, refusal.retry_after, now);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::on_owner_lost(
+void request_tracker<Environment>::on_owner_unreachable(
     endpoint_id const& replica, instant now) {
     std::vector<request_id> waiting;
     for (auto const& [id, request] : live_) {
-        if (request.phase == request_phase::asking &&
+        if (request.phase == request_phase::awaiting_grant &&
             request.endpoint == replica) {
             waiting.push_back(id);
         }
     }
     for (request_id const& id : waiting) {
         live_request* const request = find_live(id);
-        if (request == nullptr || request->phase != request_phase::asking) {
+        if (request == nullptr ||
+            request->phase != request_phase::awaiting_grant) {
             continue;
         }
-        withdraw_ask(*request, now);
+        cancel_grant_request(*request, now);
         request->refusal = reason::owner_unreachable;
         request->tried.push_back(replica);
         count(count_reason::kind::retry, reason::owner_unreachable);
-        seek(*request, now);
+        route_request(*request, now);
     }
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::withdraw_ask(
+void request_tracker<Environment>::cancel_grant_request(
     live_request& request, instant now) {
-    grant_cancelled taken_back;
-    taken_back.request = request.asked.id;
-    taken_back.attempt = request.attempt;
-    taken_back.replica = request.endpoint;
+    grant_cancelled cancellation;
+    cancellation.request = request.submitted.id;
+    cancellation.attempt = request.attempt;
+    cancellation.replica = request.endpoint;
     request.grant.reset();
-    if (request.what.kind == endpoint_kind::service) {
+    if (request.target_profile.kind == endpoint_kind::service) {
         environment_.cancel_service_request(request);
         return;
     }
-    environment_.send_to_owner(request.endpoint, taken_back, now);
+    environment_.send_to_owner(request.endpoint, cancellation, now);
 }
 
 template <request_environment Environment>
-void request_tracker<Environment>::give_back_grant(
+void request_tracker<Environment>::return_grant(
     live_request& request, instant now) {
     if (request.grant) {
-        withdraw_ask(request, now);
+        cancel_grant_request(request, now);
     }
 }
 
 template <request_environment Environment>
 void request_tracker<Environment>::start(
     live_request& request, instant send_before) {
-    start_attempt order;
-    order.id = request.asked.id;
-    order.attempt = request.attempt;
-    order.endpoint = request.endpoint;
-    order.address = request.address;
-    order.kind = request.what.kind;
-    order.adapter = request.what.adapter;
-    order.how_urgent = request.what.how_urgent;
-    order.from_token = request.resumed ? request.received : 0;
-    order.engine_id = request.engine_id;
-    order.send_before = send_before;
-    order.deadline = request.deadline;
-    order.return_answer = request.asked.key.has_value();
-    enter(request, request_phase::sent, request.deadline);
-    environment_.act(order);
+    start_attempt attempt;
+    attempt.id = request.submitted.id;
+    attempt.attempt = request.attempt;
+    attempt.endpoint = request.endpoint;
+    attempt.address = request.address;
+    attempt.kind = request.target_profile.kind;
+    attempt.adapter = request.target_profile.adapter;
+    attempt.how_urgent = request.target_profile.how_urgent;
+    attempt.from_token = request.resumed ? request.received : 0;
+    attempt.engine_id = request.engine_id;
+    attempt.send_before = send_before;
+    attempt.deadline = request.deadline;
+    attempt.return_answer = request.submitted.key.has_value();
+    set_phase(request, request_phase::sent, request.deadline);
+    environment_.act(attempt);
 }
 
 } // namespace camphorpoint
--- a/src/Serving/serving_settings.hpp
+++ b/src/Serving/serving_settings.hpp
@@ -74,7 +74,7 @@
     checkpoint_settings checkpoints;
     key_settings key_owner;
     entry_key_settings keys;
-    placement_settings placing;
+    placement_settings placement;
     retry_settings retries;
     service_settings services;
     health_settings health;
--- a/test/serving_authority_test.cpp
+++ b/test/serving_authority_test.cpp
@@ -9,20 +9,20 @@
 
 using test::milliseconds;
 
-profile note(std::string const& adapter) {
-    profile made;
-    made.name = profile_name(adapter);
-    made.model = model_id("base");
-    made.adapter = {adapter_id(adapter), 1};
-    return made;
+profile make_profile(std::string const& adapter) {
+    profile result;
+    result.name = profile_name(adapter);
+    result.model = model_id("base");
+    result.adapter = {adapter_id(adapter), 1};
+    return result;
 }
 
-caller_request asks(std::string const& id, std::string const& adapter) {
-    caller_request made;
-    made.id = request_id(id);
-    made.profile = profile_name(adapter);
-    made.deadline = milliseconds(60'000);
-    return made;
+caller_request make_request(std::string const& id, std::string const& adapter) {
+    caller_request result;
+    result.id = request_id(id);
+    result.profile = profile_name(adapter);
+    result.deadline = milliseconds(60'000);
+    return result;
 }
 
 } // namespace
@@ -32,10 +32,10 @@
 // than its lease may have a successor, and must neither order nor grant.
 TEST_CASE("an owner whose leave has ended neither orders nor grants") {
     test::cluster all(3, 1);
-    all.publish(note("warm"));
-    all.publish(note("cold"));
+    all.publish(make_profile("warm"));
+    all.publish(make_profile("cold"));
     all.run(milliseconds(30'000));
-    all.post(0, asks("first", "warm"));
+    all.post(0, make_request("first", "warm"));
     all.run(milliseconds(3'000));
     REQUIRE(all.ended("first").how == outcome::done);
     std::size_t loads = 0;
@@ -47,8 +47,8 @@
 
     SUBCASE("past the lease no order leaves; what is resident is served") {
         all.run(milliseconds(7'000));
-        all.post(0, asks("cold", "cold"));
-        all.post(0, asks("warm", "warm"));
+        all.post(0, make_request("cold", "cold"));
+        all.post(0, make_request("warm", "warm"));
         all.run(milliseconds(10'000));
         CHECK(loads == 0);
         CHECK(all.ended("warm").how == outcome::done);
@@ -58,14 +58,14 @@
         all.engines[0].tokens = 15;
         all.run(milliseconds(290'000));
         for (int each = 0; each < 8; ++each) {
-            all.post(0, asks(fmt::format("queued{}", each), "warm"));
+            all.post(0, make_request(fmt::format("queued{}", each), "warm"));
         }
         all.run(milliseconds(5'000));
         std::size_t const started = all.attempts.size();
         REQUIRE(started > 1);
         REQUIRE(started < 9);
         all.run(milliseconds(6'000));
-        all.post(0, asks("late", "warm"));
+        all.post(0, make_request("late", "warm"));
         all.run(milliseconds(60'000));
         CHECK(all.attempts.size() == started);
         CHECK(all.ended("late").how == outcome::not_run);
@@ -77,7 +77,7 @@
 // queue; their entry node sends nothing to it, so no connection breaks.
 TEST_CASE("a request waits in the queue of an owner that dies") {
     test::cluster all(3, 1);
-    all.publish(note("warm"));
+    all.publish(make_profile("warm"));
     all.run(milliseconds(30'000));
     all.engines[0].token_time = milliseconds(1'000);
     all.engines[0].tokens = 6;
@@ -85,10 +85,10 @@
     std::size_t const entry = (owner + 1) % 3;
     std::size_t const busy = (owner + 2) % 3;
     for (int each = 0; each < 4; ++each) {
-        all.post(busy, asks(fmt::format("runs{}", each), "warm"));
+        all.post(busy, make_request(fmt::format("runs{}", each), "warm"));
     }
     all.run(milliseconds(2'000));
-    all.post(entry, asks("waits", "warm"));
+    all.post(entry, make_request("waits", "warm"));
     all.run(milliseconds(100));
     REQUIRE(all.begun("waits") == 0);
     all.kill(owner);
@@ -105,13 +105,13 @@
 TEST_CASE("a successor after a crash evicts nothing for the grants' lease") {
     test::cluster all(3, 1);
     for (char const* const each : {"one", "two", "three"}) {
-        all.publish(note(each));
+        all.publish(make_profile(each));
     }
     all.run(milliseconds(30'000));
     std::size_t const owner = all.owner_of(0);
     std::size_t const entry = (owner + 1) % 3;
-    all.post(entry, asks("a", "one"));
-    all.post(entry, asks("b", "two"));
+    all.post(entry, make_request("a", "one"));
+    all.post(entry, make_request("b", "two"));
     all.run(milliseconds(10'000));
     REQUIRE(all.ended("a").how == outcome::done);
     REQUIRE(all.ended("b").how == outcome::done);
@@ -124,12 +124,12 @@
     };
     all.kill(owner);
     all.run(milliseconds(20'000));
-    all.post(entry, asks("early", "three"));
+    all.post(entry, make_request("early", "three"));
     all.run(milliseconds(70'000));
     CHECK(evictions == 0);
     CHECK(all.ended("early").how == outcome::not_run);
     all.run(milliseconds(300'000));
-    all.post(entry, asks("late", "three"));
+    all.post(entry, make_request("late", "three"));
     all.run(milliseconds(20'000));
     CHECK(evictions == 1);
     CHECK(all.ended("late").how == outcome::done);
--- a/test/serving_cluster_test.cpp
+++ b/test/serving_cluster_test.cpp
@@ -8,32 +8,32 @@
 
 using test::milliseconds;
 
-profile audit(std::uint32_t version, bool idempotent = true) {
-    profile made;
-    made.name = profile_name("audit-note");
-    made.model = model_id("base");
-    made.adapter = {adapter_id("audit"), version};
-    made.idempotent = idempotent;
-    return made;
+profile make_profile(std::uint32_t version, bool idempotent = true) {
+    profile result;
+    result.name = profile_name("audit-note");
+    result.model = model_id("base");
+    result.adapter = {adapter_id("audit"), version};
+    result.idempotent = idempotent;
+    return result;
 }
 
-caller_request asks(std::string const& id) {
-    caller_request made;
-    made.id = request_id(id);
-    made.profile = profile_name("audit-note");
-    made.deadline = milliseconds(10'000);
-    return made;
+caller_request make_request(std::string const& id) {
+    caller_request result;
+    result.id = request_id(id);
+    result.profile = profile_name("audit-note");
+    result.deadline = milliseconds(10'000);
+    return result;
 }
 
 /// Three nodes before two engines, with one profile, all settled.
 struct settled_cluster : test::cluster {
     explicit settled_cluster(bool idempotent = true)
         : cluster(3, 2) {
-        publish(audit(1, idempotent));
+        publish(make_profile(1, idempotent));
         run(milliseconds(30'000));
     }
     /// @returns a node that owns neither engine
-    std::size_t stranger() const {
+    std::size_t non_owner() const {
         for (std::size_t node = 0; node < nodes.size(); ++node) {
             if (node != owner_of(0) && node != owner_of(1)) {
                 return node;
@@ -59,7 +59,7 @@
 
     SUBCASE(
         "the entry node need not own the replica; a cold adapter is loaded") {
-        all.post(all.stranger(), asks("r"));
+        all.post(all.non_owner(), make_request("r"));
         all.run(milliseconds(3'000));
         CHECK(all.ended("r").how == outcome::done);
         CHECK(all.begun("r") == 1);
@@ -70,10 +70,10 @@
     SUBCASE("a request keeps the version it was admitted under") {
         all.engines[0].load_time = milliseconds(2'000);
         all.engines[1].load_time = milliseconds(2'000);
-        all.post(0, asks("before"));
-        all.publish(audit(2), 1);
+        all.post(0, make_request("before"));
+        all.publish(make_profile(2), 1);
         all.run(milliseconds(1'900));
-        all.post(0, asks("after"));
+        all.post(0, make_request("after"));
         all.run(milliseconds(9'000));
         CHECK(all.ended("before").how == outcome::done);
         CHECK(all.ended("after").how == outcome::done);
@@ -88,7 +88,7 @@
         all.log.down = true;
         all.start(0);
         all.run(milliseconds(1'000));
-        all.post(0, asks("r"));
+        all.post(0, make_request("r"));
         CHECK(all.ended("r").how == outcome::not_run);
         CHECK(all.ended("r").why == reason::not_ready);
     }
@@ -102,8 +102,8 @@
     for (auto& engine : all.engines) {
         engine.tokens = 200;
     }
-    std::size_t const entry = all.stranger();
-    all.post(entry, asks("r"));
+    std::size_t const entry = all.non_owner();
+    all.post(entry, make_request("r"));
     all.run(milliseconds(1'000));
     std::size_t const owner = all.owner_running("r");
     REQUIRE(owner != entry);
@@ -115,7 +115,7 @@
     SUBCASE(
         "its successor serves the replica again, and evicts nothing in use") {
         all.run(milliseconds(20'000));
-        all.post(entry, asks("next"));
+        all.post(entry, make_request("next"));
         all.run(milliseconds(5'000));
         CHECK(all.ended("next").how == outcome::done);
         CHECK(all.engines[0].evicted_in_use == 0);
@@ -132,12 +132,12 @@
     }
     std::size_t const leaver = all.owner_of(0);
     std::size_t const other = (leaver + 1) % 3;
-    all.post(leaver, asks("own"));
-    all.post(other, asks("others"));
+    all.post(leaver, make_request("own"));
+    all.post(other, make_request("others"));
     all.run(milliseconds(1'000));
     all.bring(leaver, drain_started{});
     CHECK_FALSE(all.nodes[leaver].core->status({}).ready);
-    all.post(leaver, asks("late"));
+    all.post(leaver, make_request("late"));
     CHECK(all.ended("late").how == outcome::not_run);
     CHECK(all.ended("late").why == reason::draining);
     all.run(milliseconds(20'000));
@@ -146,7 +146,7 @@
     CHECK(all.ended("others").how == outcome::done);
     CHECK(all.nodes[leaver].drained);
     all.kill(leaver);
-    all.post(other, asks("after"));
+    all.post(other, make_request("after"));
     all.run(milliseconds(6'000));
     CHECK(all.ended("after").how == outcome::done);
 }
@@ -155,9 +155,9 @@
 // sends the same booking with the same key through another node.
 TEST_CASE("a booking is repeated through another node") {
     settled_cluster all(false);
-    caller_request first = asks("first");
+    caller_request first = make_request("first");
     first.key = all.new_key();
-    caller_request again = asks("again");
+    caller_request again = make_request("again");
     again.key = first.key;
     again.body_digest = first.body_digest;
 
--- a/test/serving_handover_test.cpp
+++ b/test/serving_handover_test.cpp
@@ -9,36 +9,36 @@
 
 using test::milliseconds;
 
-profile booking() {
-    profile made;
-    made.name = profile_name("booking");
-    made.model = model_id("base");
-    made.adapter = {adapter_id("booking"), 1};
-    made.idempotent = false;
-    return made;
+profile booking_profile() {
+    profile result;
+    result.name = profile_name("booking");
+    result.model = model_id("base");
+    result.adapter = {adapter_id("booking"), 1};
+    result.idempotent = false;
+    return result;
 }
 
 /// Bookings, each with a fresh key, come through chosen nodes.
 struct booking_cluster : test::cluster {
     booking_cluster()
         : cluster(5, 3) {
-        publish(booking());
+        publish(booking_profile());
     }
     /// Books every 25 ms for a while, through the entry nodes in turn.
     void book(milliseconds time, std::vector<std::size_t> const& entries) {
         constexpr milliseconds period{25};
         for (milliseconds done{}; done < time; done += period) {
-            caller_request made;
-            made.id = request_id(fmt::format("b{}", booked));
-            made.profile = profile_name("booking");
-            made.deadline = milliseconds(10'000);
-            made.key = new_key();
-            post(entries[booked % entries.size()], made);
+            caller_request result;
+            result.id = request_id(fmt::format("b{}", booked));
+            result.profile = profile_name("booking");
+            result.deadline = milliseconds(10'000);
+            result.key = new_key();
+            post(entries[booked % entries.size()], result);
             ++booked;
             run(period);
         }
     }
-    std::size_t ended_as(reason why) const {
+    std::size_t count_endings(reason why) const {
         std::size_t count = 0;
         for (auto const& [id, ends] : endings) {
             for (finish_request const& each : ends) {
@@ -47,14 +47,15 @@
         }
         return count;
     }
-    std::size_t begun_twice() const {
+    std::size_t count_begun_twice() const {
         std::size_t count = 0;
         for (std::size_t each = 0; each < booked; ++each) {
             count += begun(fmt::format("b{}", each)) > 1 ? 1 : 0;
         }
         return count;
     }
-    void start_again(std::vector<std::size_t> const& which, milliseconds time) {
+    void
+    restart_nodes(std::vector<std::size_t> const& which, milliseconds time) {
         for (std::size_t const node : which) {
             kill(node);
         }
@@ -132,8 +133,8 @@
             // The list comes at 0 ms of each half second. Started without the
             // log, all come to own their own share, and then write no more.
             all.log.down = true;
-            all.start_again({0, 1, 2, 4}, milliseconds(120));
-            all.start_again({3}, milliseconds(100));
+            all.restart_nodes({0, 1, 2, 4}, milliseconds(120));
+            all.restart_nodes({3}, milliseconds(100));
             all.run(milliseconds(5'000));
             all.log.down = false;
             all.run(settled);
@@ -143,8 +144,8 @@
             all.kill(0);
             all.kill(1);
             all.kill(2);
-            all.start_again({3, 4}, milliseconds(220));
-            all.start_again({0, 1, 2}, milliseconds(400));
+            all.restart_nodes({3, 4}, milliseconds(220));
+            all.restart_nodes({0, 1, 2}, milliseconds(400));
             all.run(settled);
         }
         for (std::size_t const node : {3U, 4U}) {
@@ -159,10 +160,10 @@
         all.book(milliseconds(20'000), {0, 1, 2});
     }
     all.run(milliseconds(15'000));
-    CHECK(all.ended_as(reason::key_unknown_after_takeover) == 0);
-    CHECK(all.ended_as(reason::key_entry_lost) == 0);
-    CHECK(all.begun_twice() == 0);
-    CHECK(all.ended_as(reason::none) > all.booked / 2);
+    CHECK(all.count_endings(reason::key_unknown_after_takeover) == 0);
+    CHECK(all.count_endings(reason::key_entry_lost) == 0);
+    CHECK(all.count_begun_twice() == 0);
+    CHECK(all.count_endings(reason::none) > all.booked / 2);
 }
 
 // The order: a node gets another's shards and is itself told to stop, at each
@@ -187,8 +188,8 @@
         all.kill(4);
         all.book(milliseconds(10'000), {0, 1, 2});
         all.run(milliseconds(10'000));
-        unknown += all.ended_as(reason::key_unknown_after_takeover);
-        twice += all.begun_twice();
+        unknown += all.count_endings(reason::key_unknown_after_takeover);
+        twice += all.count_begun_twice();
     }
     CHECK(unknown == 0);
     CHECK(twice == 0);
