--- a/src/Serving/config_router.hpp
+++ b/src/Serving/config_router.hpp
@@ -8,8 +8,8 @@
 
 namespace camphorpoint {
 
-/// Carries the configuration between the log, peers, operators and the
-/// services that follow, publish and checkpoint it.
+/// Connects the services that follow, publish and checkpoint the configuration
+/// to the log, the peers and the operators.
 class config_router {
 public:
     config_router(node_services& services, node_outbox& outbox)
@@ -22,11 +22,14 @@
         append_origin origin, log_append_ended const& end, instant now);
     void
     on_peer(node_id const& from, config_message const& message, instant now);
-    /// A peer's request names a configuration that this node may lack.
+    /// Asks for newer configuration records when a peer's request refers to an
+    /// offset that this node has not applied yet.
+    /// @param offset the offset that the request refers to
+    /// @param peer   the node that sent the request
     void require_offset(log_offset offset, node_id const& peer, instant now);
     void on_publish(publish_request const& request, instant now);
     void on_tick(instant now, wall_time wall);
-    /// The live nodes changed.
+    /// Updates the list of peers after a change of the live nodes.
     void refresh_peers();
 
 private:
--- a/src/Serving/grant_router.cpp
+++ b/src/Serving/grant_router.cpp
@@ -122,7 +122,7 @@
     handing_over_.insert(id);
 }
 
-// The scheduler goes on when it gains the replica; what it knows is kept.
+// The scheduler starts again as after gaining the replica, but keeps its state.
 void grant_router::resume(resource_id const& replica, instant now) {
     endpoint_id const id(replica.name);
     handing_over_.erase(id);
@@ -166,8 +166,9 @@
     }
 }
 
-// Prolongs what the scheduler may order for. An engine that checks fencing
-// numbers arbitrates itself, so that loads go on through a log outage.
+// Extends the time until which the scheduler may command the replica. An engine
+// that checks fencing numbers rejects commands of an earlier owner itself, so
+// its loads continue through a log outage.
 void grant_router::renew_authority(
     endpoint_id const& replica, scheduler& which, instant now) {
     resource_id const resource = replica_resource(replica);
@@ -247,8 +248,9 @@
     }
 }
 
-// Guards against a paused owner whose successor has begun: it would fill the
-// batch a second time. Its leave is looked up now, on the clock of this event.
+// Guards against a paused owner whose successor already issues grants: together
+// they would fill the batch twice. The authority is checked now, against the
+// time of this event.
 void grant_router::send_grant(
     endpoint_id const& replica, reply_grant const& reply, instant now) {
     resource_id const resource = replica_resource(replica);
@@ -271,9 +273,10 @@
     outbox_.send(reply.to, refused);
 }
 
-// Guards against orders of an owner whose authority has lapsed: an eviction
-// of its would take an adapter from under a request that the successor granted.
-// Without leave nothing is sent, and the scheduler learns just that.
+// Guards against commands of an owner whose authority has lapsed: its eviction
+// could remove an adapter that a request granted by the successor uses. Without
+// authority the command is not sent, and the scheduler gets the result
+// not_sent.
 void grant_router::send_command(
     endpoint_id const& replica, engine_order const& command, instant now) {
     resource_id const resource = replica_resource(replica);
--- a/src/Serving/grant_router.hpp
+++ b/src/Serving/grant_router.hpp
@@ -15,9 +15,10 @@
 
 namespace camphorpoint {
 
-/// The owner's side of replicas: carries asks to the replicas' schedulers, and
-/// their grants, orders and wants to where they belong. Each grant and order
-/// passes the gate of its authority right before it leaves the node.
+/// The owner's side of replicas. Passes grant requests to the schedulers of the
+/// owned replicas, and the schedulers' grants, commands and load requests to
+/// their recipients. The authority for each grant and command is checked
+/// immediately before it leaves the node.
 class grant_router {
 public:
     grant_router(
@@ -45,17 +46,18 @@
 
     void gained(ownership_gained const& claim, instant now);
     void lost(resource_id const& replica, instant now);
-    /// A planned move: stops granting; the table goes once no order is open.
+    /// Starts a planned handover: stops granting, and sends the scheduler's
+    /// table once no command is open.
     void hand_over(resource_id const& replica, instant now);
-    /// The planned move came to nothing.
+    /// Resumes granting after a planned handover was aborted.
     void resume(resource_id const& replica, instant now);
-    /// Endpoints may have begun to leave.
+    /// Stops granting on replicas that have started to leave or are gone.
     void refresh_endpoints(instant now);
-    /// The configuration may have changed adapters' versions.
+    /// Passes changed adapter versions of the configuration to the schedulers.
     void refresh_versions(instant now);
     void on_tick(instant now);
-    /// Carries out what the schedulers decided.
-    /// @returns true when there was anything
+    /// Executes the schedulers' pending actions.
+    /// @returns true when there were any
     bool pump(instant now);
 
 private:
@@ -78,7 +80,8 @@
     node_services& services_;
     node_outbox& outbox_;
     load_router& loads_;
-    /// Open orders as their schedulers know them, by the node's own numbers.
+    /// Open commands as their schedulers know them, by the node-wide number
+    /// under which each was sent.
     std::map<std::uint64_t, engine_order> commands_;
     std::uint64_t last_command_ = 0;
     std::set<endpoint_id> handing_over_;
--- a/src/Serving/heartbeat_sender.hpp
+++ b/src/Serving/heartbeat_sender.hpp
@@ -10,9 +10,9 @@
 
 namespace camphorpoint {
 
-/// Tells each owner every second what this node has on the owner's replicas.
-/// One on whose replicas nothing runs any more still hears so for a while:
-/// that repairs a release which was lost.
+/// Sends each owner a periodic list of this node's requests on the owner's
+/// replicas. Heartbeats continue for a while after the last request, which
+/// repairs a lost release message.
 class heartbeat_sender {
 public:
     heartbeat_sender(
@@ -24,7 +24,8 @@
 
     /// @returns true when it is time for the next heartbeats
     bool due(instant now) const noexcept { return now >= next_; }
-    /// @param all what runs or waits on any replica
+    /// Sends the heartbeats.
+    /// @param all all requests that run or wait on any replica
     void send(std::vector<grant_in_use> const& all, instant now) {
         next_ = now + settings_.heartbeat_period;
         std::map<node_id, grant_heartbeat> heartbeats;
--- a/src/Serving/key_router.hpp
+++ b/src/Serving/key_router.hpp
@@ -8,8 +8,8 @@
 
 namespace camphorpoint {
 
-/// Carries idempotency keys' messages between entry nodes and shards' owners,
-/// which may be this node.
+/// Passes messages about idempotency keys between entry nodes and the owners of
+/// key shards. This node may be both.
 class key_router {
 public:
     key_router(node_services& services, node_outbox& outbox)
@@ -37,13 +37,13 @@
 
     void gained(ownership_gained const& claim, clock_reading const& clock);
     void lost(resource_id const& shard);
-    /// Closes the shard and sends its table.
+    /// Closes the shard and sends its table to the successor.
     void hand_over(resource_id const& shard, node_id const& successor);
-    /// Owners may have changed: tells the entry side who owns each shard.
+    /// Updates the entry side's owner of each shard after a possible change.
     void refresh_owners();
     void on_tick(clock_reading const& clock);
-    /// Carries out what was decided.
-    /// @returns what the request tracker must be told
+    /// Executes the pending actions of both sides.
+    /// @returns decisions to pass to the request tracker
     std::vector<key_decision> pump();
 
 private:
--- a/src/Serving/live_request.hpp
+++ b/src/Serving/live_request.hpp
@@ -14,92 +14,95 @@
 
 namespace camphorpoint {
 
-/// Where a request stands at its entry node.
+/// State of a request at its entry node.
 enum class request_phase : std::uint8_t {
-    /// The owner of its key's shard was asked for leave.
+    /// Waiting for permission from the owner of the shard of its key.
     awaiting_key,
-    /// Nothing is under way: the next endpoint is being chosen. No event finds
-    /// a request here.
+    /// An endpoint is being chosen. This phase lasts only within the handling
+    /// of one event.
     routing,
-    /// A replica's owner was asked for a grant; nothing is on its way.
+    /// Waiting for a grant from the replica's owner, or for the limits of a
+    /// plain service. No bytes have been sent.
     awaiting_grant,
-    /// An attempt was started: from here on bytes may have left.
+    /// An attempt was started. Bytes may have been sent from here on.
     sent,
-    /// The answer comes.
+    /// The answer is being received.
     streaming,
-    /// The stream was cut and is about to be resumed.
+    /// The stream was truncated and will be resumed after a backoff.
     awaiting_resume,
-    /// The endpoint ended; before it goes elsewhere the word of the nodes that
-    /// count such ends is waited for.
+    /// The endpoint crashed. Before a retry, the request waits for the nodes
+    /// that count crashes to decide whether it is quarantined.
     awaiting_quarantine,
-    /// The caller has its final answer; the attempt's end is waited for, since
-    /// until then the engine may still use the adapter.
+    /// The caller has its final answer. The request waits for the end of its
+    /// attempt, since until then the engine may still use the adapter.
     closing
 };
 
-/// Leave of a replica's owner to run there, as long as it is not given back.
+/// Permission of a replica's owner to run on the replica, until it is released
+/// or returned.
 struct active_grant {
     endpoint_id replica;
     std::uint32_t attempt = 0;
     std::uint64_t grant = 0;
 };
 
-/// One request at its entry node.
+/// A request at its entry node.
 struct live_request {
     caller_request submitted;
-    /// The profile as it stood at the offset below; later changes don't count.
+    /// The profile in the configuration below. Later changes do not apply.
     profile target_profile;
-    /// The configuration that the request was admitted under.
+    /// Offset of the configuration under which the request was admitted.
     log_offset configuration;
     instant admitted;
     instant deadline;
     request_phase phase = request_phase::routing;
-    /// Counts asks and attempts, so that a late reply or end is told apart.
+    /// Number of the current grant request or attempt. Late replies and ends
+    /// carry an older number and are recognized by it.
     std::uint32_t attempt = 0;
     std::uint32_t grant_requests = 0;
-    /// Where it is asked for or runs.
+    /// The endpoint on which the request runs or waits to run.
     endpoint_id endpoint;
     std::string address;
     instant grant_requested_at;
-    /// Absent for a plain service, and for what runs without a grant.
+    /// Absent for a plain service, and for attempts without a grant.
     std::optional<active_grant> grant;
-    /// True once an ended attempt may have run.
+    /// True once an attempt that has ended may have executed the request.
     bool may_have_run = false;
-    /// Tokens that reached the caller, and that came from the engine.
+    /// Tokens that reached the caller, and tokens received from the engine.
     std::uint32_t tokens = 0;
     std::uint32_t received = 0;
     std::uint32_t resumes = 0;
-    /// True when an attempt goes on with an earlier one's stream.
+    /// True when the attempt resumes the stream of an earlier one.
     bool resumed = false;
-    /// The id that the engine knows the stream by.
+    /// The id under which the engine knows the stream.
     request_id engine_id;
-    /// Endpoints that are not asked again.
+    /// Endpoints that are excluded from routing.
     std::vector<endpoint_id> tried;
-    /// Why the last replica said no, and when it said to come back.
+    /// Reason of the last refusal, and the longest retry delay of all refusals.
     reason refusal = reason::none;
     std::chrono::milliseconds refusal_retry{};
-    /// True when the caller has gone but the answer is kept for its key: the
-    /// attempt under way is the last.
+    /// True when the caller has disconnected but the answer is stored for its
+    /// key. The current attempt is then the last.
     bool detached = false;
-    /// True when the caller's connection broke after tokens reached it, so that
-    /// it may resume the stream through any node.
+    /// True when the caller's connection broke after it had received tokens, so
+    /// that it may resume the stream through any node.
     bool resumable_by_caller = false;
-    /// When the phase must be looked at again.
+    /// When the current phase times out.
     instant timer_at;
 
-    /// @returns true when a byte of it may have reached an endpoint
+    /// @returns true when any byte of the request may have reached an endpoint
     bool may_have_reached_endpoint() const noexcept {
         return may_have_run || phase == request_phase::sent ||
                phase == request_phase::streaming ||
                phase == request_phase::awaiting_resume;
     }
-    /// @returns true while an attempt is under way
+    /// @returns true while an attempt is open
     bool attempt_open() const noexcept {
         return phase == request_phase::sent ||
                phase == request_phase::streaming ||
                phase == request_phase::closing;
     }
-    /// @returns what is left until the deadline; never below zero
+    /// @returns the time left until the deadline, at least zero
     std::chrono::milliseconds time_left(instant now) const noexcept {
         auto const left = std::chrono::duration_cast<std::chrono::milliseconds>(
             deadline - now);
--- a/src/Serving/load_router.cpp
+++ b/src/Serving/load_router.cpp
@@ -14,9 +14,9 @@
     }
 }
 
-// With the store's owner out of reach, as when it died in a log outage, loads
-// go on within this node's share: all nodes' shares together stay within what
-// the store bears.
+// When the store's owner is unreachable, for instance after it died during a
+// log outage, loads continue within this node's part of the budget. The parts
+// of all nodes together stay within the store's limits.
 void load_router::send_to_store_owner(
     load_message const& message, instant now) {
     node_id const owner = services_.reachable_owner(store_);
--- a/src/Serving/load_router.hpp
+++ b/src/Serving/load_router.hpp
@@ -8,11 +8,11 @@
 
 namespace camphorpoint {
 
-/// What a replica's owner tells the weight store's owner.
+/// A message from a replica's owner to the owner of the weight store.
 using load_message = std::variant<load_request, load_cancelled, load_result>;
 
-/// Carries wants and permissions to load between replicas' owners and the
-/// weight store's owner, which may both be this node.
+/// Passes load requests and their decisions between the owners of replicas and
+/// the owner of the weight store. This node may be both.
 class load_router {
 public:
     load_router(
@@ -23,18 +23,20 @@
         , services_(services)
         , outbox_(outbox) {}
 
-    /// A replica here wants a load, no longer wants it, or has ended one.
+    /// Sends a load request, its cancellation or the result of a load of a
+    /// replica that this node owns.
     void send_to_store_owner(load_message const& message, instant now);
-    /// A replica's owner told this node, which owns the store or did so.
+    /// Handles a message from the owner of a replica. This node owns the store
+    /// or owned it before.
     void
     on_message(node_id const& from, load_message const& message, instant now);
-    /// This node no longer owns the store.
+    /// Handles the loss of the store's ownership.
     void lost(instant now) { services_.cluster_budget.on_authority_lost(now); }
     void on_tick(instant now);
-    /// How many nodes share the store changed.
+    /// Sets the number of nodes that divide the fallback budget.
     void set_nodes(std::size_t nodes);
-    /// Carries out what the budgets decided.
-    /// @returns true when there was anything
+    /// Executes the budgets' pending actions.
+    /// @returns true when there were any
     bool pump(instant now);
 
     resource_id const& store() const noexcept { return store_; }
--- a/src/Serving/node_action.hpp
+++ b/src/Serving/node_action.hpp
@@ -17,87 +17,89 @@
 
 namespace camphorpoint {
 
-/// Send a request to an endpoint.
+/// Sends a request to an endpoint.
 struct start_attempt {
     request_id id;
     std::uint32_t attempt = 0;
     endpoint_id endpoint;
     std::string address;
     endpoint_kind kind = endpoint_kind::engine;
-    /// Named to the engine; the answer's echo must be the same.
+    /// Sent to the engine. The answer must name the same adapter.
     adapter_ref adapter;
     urgency how_urgent = urgency::normal;
-    /// More than 0 resumes a stream on the engine; 0 starts afresh, and what
-    /// was held back from an earlier attempt is thrown away.
+    /// Greater than 0: resume the stream on the engine after this many tokens.
+    /// 0: start from the beginning, and discard answer tokens that were
+    /// buffered from an earlier attempt.
     std::uint32_t from_token = 0;
-    /// The id that the engine knows the stream by.
+    /// The id under which the engine knows the stream.
     request_id engine_id;
-    /// Not a byte may be sent past this time: the grant has lapsed.
+    /// The grant expires at this time. No byte may be sent afterwards.
     instant send_before;
-    /// The whole attempt is cut off here.
+    /// The attempt is aborted at this time.
     instant deadline;
-    /// True when the whole answer is wanted in attempt_ended.
+    /// True to return the complete answer in attempt_ended.
     bool return_answer = false;
 };
 
-/// Stop an attempt and close its connection.
-/// An attempt_ended always follows, cancelled or as it had ended before.
+/// Stops an attempt and closes its connection. An attempt_ended always follows:
+/// either cancelled or, when the attempt ended before, its own result.
 struct cancel_attempt {
     request_id id;
     std::uint32_t attempt = 0;
-    /// False: the engine is told to end the run at once. True: it is left to
-    /// the engine's grace for runs that nobody reads, since the caller has
-    /// event ids and may resume the stream through any node.
+    /// False: the engine must abort the request immediately. True: the engine
+    /// may continue for its grace period for unread streams, since the caller
+    /// has event ids and may resume the stream through any node.
     bool keep_for_resume = false;
 };
 
-/// Tell the caller how its request ended. It is the request's last action.
+/// Sends the caller the outcome of its request. It is the request's last action
+/// towards the caller.
 struct finish_request {
     request_id id;
     outcome how = outcome::unknown;
     reason why = reason::none;
-    /// When the caller should come back; zero when there is nothing to say.
+    /// When the caller should retry. Zero when unspecified.
     std::chrono::milliseconds retry_after{};
-    /// A kept answer of an earlier run under the same key.
+    /// The stored answer of an earlier request with the same key.
     std::string kept_answer;
 };
 
-/// Read a stream of the log.
+/// Reads a stream of the log.
 struct read_log {
     log_stream stream = log_stream::configuration;
     log_offset from;
 };
 
-/// Append to a stream of the log.
+/// Appends to a stream of the log.
 struct append_log {
     std::uint64_t append = 0;
     log_stream stream = log_stream::configuration;
     std::string data;
 };
 
-/// Send a message to a peer over TCP.
+/// Sends a message to a peer over TCP.
 struct send_peer {
     node_id to;
     peer_message message;
 };
 
-/// Nothing of this node is needed any more: it may leave and the process end.
+/// The drain is complete: the process may leave the cluster and exit.
 struct drain_finished {};
 
-/// Tell an operator what became of the change.
+/// Sends an operator the outcome of a change.
 struct publish_ended {
     std::uint64_t number = 0;
-    /// True when the change is in the log and every node accepts it.
+    /// True when the change is in the log and all nodes accept it.
     bool accepted = false;
-    /// False when it is not known whether the change stands in the log.
+    /// False when it is unknown whether the change is in the log.
     bool known = true;
     log_offset offset;
-    /// Why it was rejected, all reasons.
+    /// All reasons for which the change was rejected.
     std::vector<std::string> problems;
 };
 
-/// Count a refusal, a retry, or something that came too late or to the wrong
-/// place and was dropped, under its reason.
+/// Increments a counter of refusals, retries, or late or misdirected events
+/// that were dropped, by reason.
 struct count_reason {
     enum class kind : std::uint8_t {
         refusal,
@@ -107,7 +109,7 @@
     reason why = reason::none;
 };
 
-/// Record a time in a histogram.
+/// Records a duration in a histogram.
 struct observe_time {
     enum class kind : std::uint8_t {
         load_stall,
@@ -118,7 +120,7 @@
     duration time{};
 };
 
-/// All that a node's decisions can ask for.
+/// Any action that the decision core of a node can request.
 using node_action = std::variant<
     start_attempt, cancel_attempt, finish_request, read_log, append_log,
     engine_order, send_peer, publish_ended, count_reason, observe_time,
--- a/src/Serving/node_core.cpp
+++ b/src/Serving/node_core.cpp
@@ -97,7 +97,8 @@
     dispatch_peer_message(event.from, event.message);
 }
 
-// Asks that may be lost go elsewhere; what runs needs no owner.
+// Grant requests that may be lost are sent to another replica. Running attempts
+// do not need the owner.
 void node_core::on(peer_unreachable const& event) {
     for (endpoint_id const& replica : requests_.awaited_replicas()) {
         auto const known =
--- a/src/Serving/node_core.hpp
+++ b/src/Serving/node_core.hpp
@@ -21,34 +21,34 @@
 
 namespace camphorpoint {
 
-/// All decisions of one node: an event and the time go in, typed actions come
-/// out. It reads no clock, starts no thread and does no input or output, so
-/// that the same object runs in the node, in golden sessions and under the
-/// fuzzer. It only carries: what is decided, the services decide.
+/// All decisions of one node: the input is an event and the time, the output is
+/// a list of typed actions. The class reads no clock, starts no thread and does
+/// no input or output, so the same object runs in the node, in golden sessions
+/// and under the fuzzer. It only dispatches; the services decide.
 class node_core {
 public:
-    /// @param settings of this node and this run of it
+    /// @param settings settings of this node and its process
     explicit node_core(serving_settings settings);
-    // Its parts refer to one another.
+    // The members hold references to each other.
     node_core(node_core const&) = delete;
     node_core& operator=(node_core const&) = delete;
 
     /// Handles one event.
-    /// @param event what happened
+    /// @param event the event
     /// @param now   the monotonic clock, read after the calendar clock
     /// @param wall  the calendar clock
-    /// @param out   what is to be done is put behind what it holds, in order
+    /// @param out   the resulting actions are appended here, in order
     void handle(
         node_event const& event, instant now, wall_time wall,
         std::vector<node_action>& out);
 
-    /// @returns a copy of what operators may see
+    /// @returns a snapshot of the node for operators
     node_status status(instant now) const;
     /// @returns the configuration in force on this node
     configuration const& in_force() const noexcept {
         return services_.follower.current();
     }
-    /// @returns why the node takes no requests; none when it does
+    /// @returns why the node accepts no requests, or none when it accepts them
     reason not_ready(instant now) const;
 
 private:
--- a/src/Serving/node_core_dispatch.cpp
+++ b/src/Serving/node_core_dispatch.cpp
@@ -68,8 +68,9 @@
     std::visit(dispatch, message);
 }
 
-// Services answer one another until nothing more is to be said. A key's table
-// is pumped before ownership's offer of it, so that it arrives first.
+// Executes the services' actions until none produces further ones. Tables of
+// key shards are sent before the ownership service's offer of the shard, so
+// they arrive first.
 void node_core::run_pending_work() {
     bool has_more = true;
     while (has_more) {
@@ -112,8 +113,8 @@
     reroute_from_unreachable_owners();
 }
 
-// Guards against a wait for an owner that is dead: its queue died with it, so
-// that the request would stand still until its deadline.
+// Guards against a request that waits for a dead owner: the queue is lost with
+// the owner, and the request would wait until its deadline.
 void node_core::reroute_from_unreachable_owners() {
     for (endpoint_id const& replica : requests_.awaited_replicas()) {
         if (services_.reachable_owner(replica_resource(replica)).empty()) {
--- a/src/Serving/node_event.hpp
+++ b/src/Serving/node_event.hpp
@@ -16,28 +16,29 @@
 
 namespace camphorpoint {
 
-/// A caller asks for work by profile.
+/// A caller submits a request for a profile.
 struct caller_request {
     request_id id;
     profile_name profile;
     std::optional<idempotency_key> key;
-    /// Hash of the request's body: a key that comes back with another is
+    /// Hash of the request's body. A repeated key with a different hash is
     /// refused.
     std::uint64_t body_digest = 0;
-    /// From now on; the profile's default applies when absent.
+    /// Relative to the arrival. Without it the profile's default applies.
     std::optional<std::chrono::milliseconds> deadline;
     std::uint32_t expected_tokens = 0;
     std::uint64_t prefix_hash = 0;
-    /// Whose retry budget it counts against, such as a caller's API key.
+    /// Group whose retry budget the request uses, for instance a caller's API
+    /// key.
     std::string caller_group;
 };
 
-/// A caller asks for the rest of a stream that was cut, through any node.
+/// A caller resumes a truncated stream, through any node.
 struct caller_resume {
     request_id id;
-    /// The request whose stream was cut.
+    /// The request whose stream was truncated.
     request_id original;
-    /// The endpoint that ran it, from the stream's event ids.
+    /// The endpoint that ran the request, taken from the stream's event ids.
     endpoint_id endpoint;
     adapter_ref adapter;
     std::uint32_t from_token = 0;
@@ -49,27 +50,27 @@
     request_id id;
 };
 
-/// How sending one request to one endpoint ended.
+/// Result of one attempt to run a request on an endpoint.
 enum class attempt_result : std::uint8_t {
     completed,
-    /// No byte can have left: the deadline of the grant had passed, or no
-    /// connection was made.
+    /// No byte was sent: the grant had expired, or no connection was
+    /// established.
     not_sent,
-    /// The endpoint refused before running: adapter not loaded.
+    /// Refused before execution: the adapter is not loaded.
     refused_not_loaded,
-    /// The endpoint refused before running: overloaded or leaving.
+    /// Refused before execution: the endpoint is overloaded or leaving.
     refused_busy,
-    /// The answer bore another adapter, version or id; it was dropped.
+    /// The answer named another adapter, version or id and was dropped.
     mismatch,
     /// The stream broke off, or was shorter than announced.
     truncated,
-    /// An error status after the request was taken.
+    /// An error status after the endpoint had accepted the request.
     failed,
     timed_out,
     cancelled
 };
 
-/// The first or a further piece of an answer went on to the caller.
+/// Further tokens of the answer were passed on to the caller.
 struct attempt_progress {
     request_id id;
     std::uint32_t attempt = 0;
@@ -83,15 +84,16 @@
     attempt_result how = attempt_result::completed;
     /// Tokens that reached the caller, over all attempts.
     std::uint32_t tokens = 0;
-    /// Tokens that came from the engine whole, over all attempts, also those
-    /// held back for a caller who wants the answer in one piece.
+    /// Tokens received completely from the engine, over all attempts. Includes
+    /// tokens buffered for a caller that receives the answer in one piece.
     std::uint32_t received = 0;
-    /// The whole answer, kept for repeats; empty when the request has no key.
+    /// The complete answer, stored for repeats of the key. Empty when the
+    /// request has no key.
     std::string answer;
     int status = 0;
 };
 
-/// A read of the log failed or was too late.
+/// A read of the log failed or timed out.
 struct log_read_failed {
     log_stream stream = log_stream::configuration;
 };
@@ -103,7 +105,7 @@
     log_offset offset;
 };
 
-/// An order has ended.
+/// A command to an engine has ended.
 struct command_ended {
     std::uint64_t command = 0;
     order_result how = order_result::done;
@@ -115,13 +117,13 @@
     peer_message message;
 };
 
-/// A datagram from a peer, as it came; it may be broken or forged.
+/// A datagram from a peer as received. It may be malformed or forged.
 struct probe_received {
     std::string datagram;
 };
 
-/// A peer could not be reached over TCP, or a connection that may have held
-/// messages not yet delivered has broken.
+/// A peer could not be reached over TCP, or a connection broke that may have
+/// held undelivered messages.
 struct peer_unreachable {
     node_id peer;
 };
@@ -133,20 +135,20 @@
     std::string record;
 };
 
-/// Time has passed; sent every tick_period.
+/// Time has passed. Sent every tick_period.
 struct tick {};
 
-/// A planned stop begins (SIGTERM or camphorpoint drain).
+/// A planned shutdown begins (SIGTERM or camphorpoint drain).
 struct drain_started {};
 
-/// All that can happen to a node's decisions.
+/// Any event that the decision core of a node can handle.
 using node_event = std::variant<
     caller_request, caller_resume, caller_disconnected, attempt_progress,
     attempt_ended, log_batch, log_read_failed, log_append_ended, instance_list,
     engine_report, command_ended, peer_received, peer_unreachable,
     publish_request, tick, drain_started, probe_received>;
 
-/// How often a node's decisions see a tick.
+/// Interval between ticks.
 inline constexpr std::chrono::milliseconds tick_period{20};
 
 } // namespace camphorpoint
--- a/src/Serving/node_outbox.hpp
+++ b/src/Serving/node_outbox.hpp
@@ -16,25 +16,25 @@
 
 namespace camphorpoint {
 
-/// Which service began an append.
+/// The service that requested an append.
 enum class append_source : std::uint8_t { control, change, checkpoint };
 
-/// An append as its service knows it.
+/// An append, numbered by the service that requested it.
 struct append_origin {
     append_source source = append_source::control;
     std::uint64_t number = 0;
 };
 
-/// Where the decisions of one node put what is to be done. A message to the
-/// node itself is not sent: it waits here and is handled within the same event,
-/// but after the service that sent it has returned.
+/// Collects the actions of one node. Messages from the node to itself are not
+/// sent: they are queued here and handled within the same event, after the
+/// sending service has returned.
 class node_outbox {
 public:
     explicit node_outbox(node_id self)
         : self_(std::move(self)) {}
 
-    /// Begins an event.
-    /// @param out where actions go until `finish`
+    /// Starts the handling of an event.
+    /// @param out receives the actions until `finish`
     void begin(std::vector<node_action>& out) { out_ = &out; }
     void finish() { out_ = nullptr; }
 
@@ -59,12 +59,13 @@
         local_.pop_front();
         return next;
     }
-    /// Numbers an append for the whole node and asks for it.
+    /// Requests an append under a number that is unique within the node.
     void append(append_origin origin, log_stream stream, std::string data) {
         appends_[++last_append_] = origin;
         emit(append_log{last_append_, stream, std::move(data)});
     }
-    /// @returns whose append has ended; nothing when it ended before
+    /// @returns the origin of an append that has ended; nothing when the append
+    /// is not open
     std::optional<append_origin> append_ended(std::uint64_t number) {
         auto const found = appends_.find(number);
         if (found == appends_.end()) {
--- a/src/Serving/node_services.cpp
+++ b/src/Serving/node_services.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Seeds of the services' own generators, so that none draws from another's.
+// Each service has its own random generator, so that random samples of one do
+// not change those of another.
 enum class random_stream : std::uint64_t { members = 1, ownership, follower };
 
 std::mt19937_64
--- a/src/Serving/node_services.hpp
+++ b/src/Serving/node_services.hpp
@@ -21,11 +21,11 @@
 
 namespace camphorpoint {
 
-/// The limits of one plain service's replicas.
+/// The limits of the replicas of one plain service.
 using plain_service = service_router<fixed_limit>;
 
-/// All decision services of one node. They know nothing of each other; the
-/// routers carry what one asks to the other.
+/// All decision services of one node. They do not refer to each other; the
+/// routers pass on what one requests from another.
 struct node_services {
     explicit node_services(serving_settings const& settings);
 
@@ -38,19 +38,20 @@
     entry_key_tracker keys;
     placement<> endpoint_selector;
     retry_budget retries;
-    /// Contents that end the endpoints which run them.
+    /// Requests that crash the endpoints which run them.
     request_quarantine quarantine;
-    /// The weight store's budget, while this node owns it.
+    /// Load budget of the weight store, in use while this node owns the store.
     store_budget cluster_budget;
-    /// This node's share of it, while its owner is out of reach.
+    /// This node's part of the load budget, in use while the store's owner is
+    /// unreachable.
     store_budget local_budget;
-    /// The replicas that this node owns.
+    /// Schedulers of the replicas that this node owns.
     std::map<endpoint_id, std::unique_ptr<replica_scheduler<>>> replicas;
     std::map<model_id, plain_service> plain_services;
 
-    /// @returns true when a message to the node may arrive
+    /// @returns true when the node is a known member that is not dead
     bool reachable(node_id const& node) const;
-    /// @returns who owns the resource and can be reached; empty when nobody
+    /// @returns the owner of the resource when it is reachable, otherwise empty
     node_id reachable_owner(resource_id const& resource) const;
 };
 
--- a/src/Serving/node_status.hpp
+++ b/src/Serving/node_status.hpp
@@ -11,7 +11,7 @@
 
 namespace camphorpoint {
 
-/// How a member looks from this node.
+/// State of a member as this node sees it.
 struct member_status {
     node_id id;
     std::uint64_t incarnation = 0;
@@ -19,13 +19,13 @@
     std::string state;
 };
 
-/// A resource that this node decides for.
+/// A resource that this node owns.
 struct owned_status {
-    /// Such as replica/engine-3 or keys/17.
+    /// For instance replica/engine-3 or keys/17.
     std::string resource;
-    /// The claim's offset: its fencing number.
+    /// Log offset of the ownership claim, used as its fencing number.
     log_offset fencing;
-    /// False when the authority has lapsed and no order is given.
+    /// False when the authority has lapsed; the node then sends no commands.
     bool authority = false;
 };
 
@@ -36,20 +36,21 @@
     std::uint32_t running = 0;
 };
 
-/// What a node shows its operators; a copy, taken at one moment.
+/// Snapshot of a node for its operators.
 struct node_status {
     bool ready = false;
-    /// Why the node is not ready; empty when it is.
+    /// Why the node is not ready. Empty when it is ready.
     std::vector<reason> not_ready;
     bool draining = false;
-    /// One past the newest applied record of the configuration stream.
+    /// Offset after the newest applied record of the configuration stream.
     log_offset configuration;
-    /// Digest of the applied configuration: equal on all nodes at one offset.
+    /// Digest of the applied configuration. Equal on all nodes at the same
+    /// offset.
     std::uint64_t configuration_digest = 0;
-    /// How long ago the configuration was known to be current.
+    /// Time since the configuration was last known to be current.
     duration configuration_age{};
     std::size_t profiles = 0;
-    /// Requests at this entry node, by stage.
+    /// Number of requests at this entry node that wait or run.
     std::size_t waiting_requests = 0;
     std::size_t running_requests = 0;
     std::vector<owned_status> owned;
--- a/src/Serving/owner_table_codec.hpp
+++ b/src/Serving/owner_table_codec.hpp
@@ -8,9 +8,9 @@
 
 namespace camphorpoint {
 
-/// @returns the table as it travels in a handover
+/// @returns the table, encoded for a handover
 std::string encode_owner_table(owner_table const& table);
-/// @returns the table, or nothing when the bytes are not one
+/// @returns the table, or nothing when the bytes are not a valid table
 std::optional<owner_table> decode_owner_table(std::string_view bytes);
 
 } // namespace camphorpoint
--- a/src/Serving/ownership_router.cpp
+++ b/src/Serving/ownership_router.cpp
@@ -41,7 +41,7 @@
         keys_.gained(claim, clock);
         return;
     case resource_kind::store:
-        // The budget takes its authority with the next tick.
+        // The budget receives its authority with the next tick.
         return;
     }
 }
@@ -67,7 +67,8 @@
         grants_.hand_over(wanted.resource, now);
         return;
     case resource_kind::key_shard:
-        // The table's parts go out before the offer, on the same connection.
+        // The parts of the table are sent before the offer, on the same
+        // connection.
         keys_.hand_over(wanted.resource, wanted.successor);
         services_.ownership.handover_ready(wanted.resource, {}, now);
         return;
--- a/src/Serving/ownership_router.hpp
+++ b/src/Serving/ownership_router.hpp
@@ -8,8 +8,8 @@
 
 namespace camphorpoint {
 
-/// Carries ownership between the control stream, peers and the services whose
-/// resources it decides.
+/// Connects the ownership service to the control stream, the peers and the
+/// services whose resources it assigns.
 class ownership_router {
 public:
     ownership_router(
@@ -22,10 +22,10 @@
         , loads_(loads) {}
 
     void on_batch(log_batch const& batch, instant now);
-    /// Who may own and what there is to own may have changed.
+    /// Updates the nodes that may own resources, and the resources to own.
     void refresh_candidates(instant now);
-    /// Carries out what was decided.
-    /// @returns true when there was anything
+    /// Executes the pending ownership actions.
+    /// @returns true when there were any
     bool pump(clock_reading const& clock);
 
 private:
--- a/src/Serving/peer_message.hpp
+++ b/src/Serving/peer_message.hpp
@@ -11,8 +11,9 @@
 
 namespace camphorpoint {
 
-/// All that nodes say to each other over TCP. Each module defines its messages
-/// in its own folder; order matters on the wire.
+/// All messages that nodes send each other over TCP. Each module defines its
+/// messages in its own folder. The order of the alternatives is part of the
+/// wire format.
 using peer_message = std::variant<
     grant_request, grant_issued, grant_refused, grant_cancelled, grant_released,
     grant_heartbeat, handover_offer, handover_accepted, holder_stopped,
--- a/src/Serving/quarantine_router.cpp
+++ b/src/Serving/quarantine_router.cpp
@@ -14,21 +14,24 @@
 
 namespace {
 
-/// Nodes that count the ends under a content: one may be gone without the
-/// others' knowing, and another may have begun a moment ago.
+/// Number of nodes that count the crashes of a request. Several, since one may
+/// be dead without the others knowing, and another may have just started.
 constexpr std::size_t crash_counter_count = 3;
-/// Nodes that a piece of news is handed on to. At ln(nodes) + c all hear it but
-/// for a part of exp(-exp(-c)) of the cases; the rounds reach the rest.
+/// Number of nodes that each node forwards a new update to. With a fan-out of
+/// ln(nodes) + c every node receives the update with probability exp(-exp(-c));
+/// the periodic rounds reach the remaining nodes.
 constexpr std::size_t gossip_fanout = 12;
-/// Nodes that a node which has begun asks for what they know.
+/// Number of nodes that a starting node requests all updates from.
 constexpr std::size_t sync_requests_at_start = 3;
-/// How often words are told to another node, and how many.
+/// Interval of the periodic rounds, and the number of updates sent in each.
 constexpr duration anti_entropy_period = std::chrono::seconds(1);
 constexpr std::size_t updates_per_round = 16;
-/// An endpoint that has ended takes longer than this to run anything again, so
-/// that ends closer together are one, seen by several nodes.
+/// A crashed endpoint takes longer than this to run a request again. Crash
+/// reports that are closer together are therefore reports of one crash from
+/// several nodes.
 constexpr duration min_restart_time = std::chrono::milliseconds(100);
-/// Ends and contents that are remembered at the most, and for how long.
+/// Maximum number of endpoints and of requests that are tracked, and how long a
+/// request is tracked after its last crash.
 constexpr std::size_t max_tracked = 16'384;
 constexpr duration retention_period = std::chrono::minutes(10);
 
@@ -45,7 +48,8 @@
 }
 
 quarantine_update to_update(quarantine_entry const& entry) {
-    // A peer's figure may be any: it must not overflow when it is added.
+    // The duration comes from a peer. The bound prevents an overflow when it is
+    // added to a time.
     constexpr std::uint64_t longest_ms = 86'400'000;
     return {
         request_fingerprint{entry.fingerprint}, entry.revision,
@@ -62,7 +66,8 @@
     , random_(hash_text(settings.self.id.str(), settings.seed))
     , sync_requests_left_(sync_requests_at_start) {}
 
-// Rendezvous hashing: a node that comes or goes moves only what it counts.
+// Rendezvous hashing: when a node joins or leaves, only the requests that it
+// counts move.
 std::vector<node_id>
 quarantine_router::crash_counter_nodes(request_fingerprint fingerprint) const {
     std::vector<std::pair<std::uint64_t, node_id>> ranked;
@@ -150,8 +155,8 @@
 void quarantine_router::on_success(
     request_fingerprint fingerprint, instant now) {
     record_success(fingerprint, now);
-    // Few contents have had an end, so that a run which ends well costs no
-    // message.
+    // Few requests have a reported crash, so a successful attempt usually costs
+    // no message.
     if (reported_.erase(fingerprint) == 0) {
         return;
     }
@@ -226,7 +231,8 @@
     }
 }
 
-// Guards against a node that begins anew and runs what all others hold.
+// Guards against a starting node that runs requests which all other nodes have
+// quarantined.
 void quarantine_router::refresh_members() {
     if (sync_requests_left_ == 0) {
         return;
--- a/src/Serving/quarantine_router.hpp
+++ b/src/Serving/quarantine_router.hpp
@@ -18,10 +18,11 @@
 
 namespace camphorpoint {
 
-/// Carries between nodes what a content has done to the endpoints that ran it.
-/// Ends are told to the few nodes that count the content, the same ones for
-/// all; what they decide spreads as a rumour, and what a rumour has missed is
-/// compared with one node a second.
+/// Shares between nodes which requests crash the endpoints that run them. Each
+/// crash is reported to a few nodes that count the crashes of the request, the
+/// same nodes for every reporter. Their decisions spread by gossip. Periodic
+/// rounds, in which each node sends updates to one other node, reach nodes that
+/// the gossip missed.
 /// Reference: A. Demers et al., "Epidemic algorithms for replicated database
 /// maintenance", PODC 1987.
 class quarantine_router {
@@ -30,13 +31,14 @@
         serving_settings const& settings, node_services& services,
         node_outbox& outbox);
 
-    /// An endpoint ended while it ran the content.
-    /// @returns true when other nodes count it and may say that it is held
+    /// Records and reports that an endpoint crashed while it ran the request.
+    /// @returns true when other nodes count the crash and may quarantine the
+    /// request
     bool on_crash(
         request_fingerprint fingerprint, endpoint_id const& at, instant now);
-    /// A run of the content ended well.
+    /// Records and reports that an attempt of the request completed.
     void on_success(request_fingerprint fingerprint, instant now);
-    /// A peer's word.
+    /// Handles a message from a peer.
     void on_message(
         node_id const& from, replica_crash_message const& message, instant now);
     void on_message(
@@ -46,12 +48,13 @@
         node_id const& from, quarantine_message const& message, instant now);
     void on_message(
         node_id const& from, quarantine_sync_request const& asked, instant now);
-    /// Who is there may have changed: a node that has begun asks.
+    /// Handles a possible change of the live nodes. A starting node requests
+    /// the updates of others.
     void refresh_members();
     void on_tick(instant now);
 
 private:
-    /// Ends of one endpoint, by which its starts are told apart.
+    /// Crashes of one endpoint, counted to distinguish its incarnations.
     struct endpoint_crashes {
         std::uint64_t crashes = 0;
         instant last_seen;
@@ -69,7 +72,8 @@
     node_outbox& outbox_;
     std::mt19937_64 random_;
     std::unordered_map<std::uint64_t, endpoint_crashes> crashes_;
-    /// Contents whose ends this node has told, and when it did last.
+    /// Requests whose crashes this node has reported, with the time of the last
+    /// report.
     std::unordered_map<request_fingerprint, instant> reported_;
     std::size_t sync_requests_left_;
     instant next_round_at_{};
--- a/src/Serving/request_environment.hpp
+++ b/src/Serving/request_environment.hpp
@@ -19,38 +19,38 @@
 
 namespace camphorpoint {
 
-/// Whether a request may enter, and under which profile.
+/// Decision whether a request is admitted, and under which profile.
 struct admission {
-    /// none admits it.
+    /// The reason of a refusal; none when the request is admitted.
     reason why = reason::none;
     profile target_profile;
-    /// The configuration that the profile was read from.
+    /// Offset of the configuration from which the profile was read.
     log_offset configuration;
-    /// When a refused caller should come back.
+    /// When a refused caller should retry.
     std::chrono::milliseconds retry_after{};
 };
 
-/// Where a request goes next.
+/// Decision where a request is sent next.
 struct route {
-    /// Empty when there is nowhere left.
+    /// Empty when no endpoint is available.
     endpoint_id endpoint;
     std::string address;
-    /// False for a plain service, and for a replica whose owner is out of
-    /// reach but which may be used all the same.
+    /// False for a replica whose owner is unreachable but which may be used
+    /// without a grant.
     bool needs_grant = true;
-    /// Why there is nowhere left.
+    /// Why no endpoint is available.
     reason why = reason::none;
-    /// When a caller should come back then.
+    /// When the caller should retry in this case.
     std::chrono::milliseconds retry_after{};
 };
 
-/// What an entry node tells a replica's owner.
+/// A message from an entry node to the owner of a replica.
 using owner_message =
     std::variant<grant_request, grant_cancelled, grant_released>;
 
-/// What a request's life needs of the rest of the node. node_core gives it the
-/// real services, a test gives it a script. None of these may call the tracker
-/// back: an answer that is there at once is brought as an event of its own.
+/// Services of the node that a request tracker uses. node_core provides the
+/// real services, tests provide scripted ones. None of the functions may call
+/// the tracker back: even an immediate answer is delivered as a separate event.
 template <class Environment>
 concept request_environment = requires(
     Environment& environment, profile_name const& name,
@@ -58,34 +58,39 @@
     owner_message const& message, attempt_ended const& end,
     request_id const& id, outcome how, reason why, std::string const& answer,
     node_action const& action, instant now) {
-    /// Resolves a profile, or says why no request is taken.
+    /// Resolves a profile, or returns why the request is refused.
     { environment.admit(name, now) } -> std::same_as<admission>;
-    /// Chooses an endpoint that is not among request.tried.
+    /// Chooses an endpoint that is not in request.tried.
     { environment.choose(request, now) } -> std::same_as<route>;
-    /// Where an endpoint is; empty when it is not known.
+    /// Returns the address of an endpoint; empty when it is unknown.
     { environment.address_of(endpoint) } -> std::same_as<std::string>;
-    /// Takes one repeat of a request from its retry budgets.
+    /// Deducts one retry of the request from its retry budgets. Returns false
+    /// when a budget is exhausted.
     { environment.try_consume_retry(request, now) } -> std::same_as<bool>;
-    /// Sends to the replica's owner; false when it is known to be out of reach.
+    /// Sends a message to the replica's owner. Returns false when the owner is
+    /// known to be unreachable.
     { environment.send_to_owner(endpoint, message, now) } -> std::same_as<bool>;
-    /// Asks for leave to run a request under its key.
+    /// Requests permission to run a request under its key.
     environment.request_key(request, now);
-    /// The request will not run, whatever leave still comes.
+    /// Cancels the request for permission. The request will not run, even when
+    /// permission still arrives.
     environment.cancel_key_request(id, now);
-    /// A request that got leave has ended.
+    /// Reports the outcome of a request that had permission to run under its
+    /// key.
     environment.on_keyed_request_ended(id, how, why, answer, now);
-    /// An attempt has ended: for limits, retry budgets and placement.
-    /// True when other nodes count the end under the request's content, and may
-    /// say that it is held.
+    /// Records the end of an attempt for limits, retry budgets, placement and
+    /// quarantine. Returns true when other nodes count the crash of the
+    /// endpoint and may quarantine the request.
     { environment.record_attempt_end(request, end, now) } -> std::same_as<bool>;
-    /// For how long the request's content is not run; nothing when it may run.
+    /// Returns for how long the request is quarantined; nothing when it may
+    /// run.
     {
         environment.quarantined_for(request, now)
         } -> std::same_as<std::optional<duration>>;
-    /// Hands a plain service's request to the service's limits; a dispatch or
-    /// a refusal follows as an event.
+    /// Submits a request for a plain service to the limits of the service. A
+    /// dispatch or refusal follows as an event.
     environment.submit_service(request, now);
-    /// Takes it back; it was not dispatched.
+    /// Cancels a submitted request that was not dispatched.
     environment.cancel_service_request(request);
     environment.act(action);
 };
--- a/src/Serving/request_services.cpp
+++ b/src/Serving/request_services.cpp
@@ -29,8 +29,8 @@
     }
 }
 
-// A stream that is resumed has no body by which its content is known; it goes
-// on where it ran before, and nowhere else.
+// The request to resume a stream has no body to compute a fingerprint from. It
+// runs only at the endpoint where the stream ran before, so it needs none.
 std::optional<request_fingerprint> fingerprint_of(live_request const& request) {
     if (request.submitted.body_digest == 0) {
         return std::nullopt;
@@ -40,7 +40,7 @@
         request.submitted.body_digest)};
 }
 
-// The endpoint answered, whatever it said.
+// Returns true when the endpoint answered, whether it accepted or refused.
 bool endpoint_answered(attempt_result how) {
     return how == attempt_result::completed ||
            how == attempt_result::refused_busy ||
@@ -51,7 +51,7 @@
 
 admission request_services::admit(profile_name const& name, instant now) {
     if (draining_) {
-        // Another node behind the balancer takes it at once.
+        // The load balancer can send the request to another node immediately.
         return {reason::draining, {}, {}, settings_.requests.retry_after};
     }
     reason const stale = services_.follower.may_serve(now);
@@ -69,9 +69,10 @@
     return {reason::none, *found, current.next(), {}};
 }
 
-// Guards against requests that follow one that ends its engines: those of one
-// adapter go to the same engines, break off there with it, and would be taken
-// for it. Each suspected content goes to an engine of its own.
+// Guards against false suspicion. Requests for one adapter use the same engines
+// as a poison request for it, so they are cut off by the crashes it causes and
+// are suspected, too. Each suspected request therefore uses an engine of its
+// own.
 std::optional<endpoint_id>
 request_services::choose_for_suspected(live_request const& request) const {
     auto const fingerprint = fingerprint_of(request);
@@ -117,9 +118,10 @@
     return {*chosen, instance->address, !ungranted, reason::none, {}};
 }
 
-// While the log is out of reach and a replica's owner is dead nobody can take
-// over, and nobody evicts: a request may use what is resident there. The
-// engine refuses what is not, and each node keeps to its share of the batch.
+// While the log is unreachable and a replica's owner is dead, no node can take
+// the replica over and none evicts adapters. A request may therefore use an
+// adapter that is resident there. The engine refuses adapters that are not
+// resident, and each node uses only its quota of the batch.
 bool request_services::may_run_without_grant(
     endpoint_instance const& endpoint, instant now) const {
     resource_id const resource = replica_resource(endpoint.id);
@@ -184,8 +186,9 @@
                        : std::nullopt;
 }
 
-// A caller that has left breaks its own run off; an endpoint that answers what
-// is no good, or nothing in time, goes on.
+// Only a truncated answer counts as a crash. An attempt that was cancelled
+// because its caller disconnected does not, nor does an endpoint that gives a
+// wrong answer or times out, since the endpoint keeps running.
 bool request_services::report_to_quarantine(
     live_request const& request, attempt_ended const& end, instant now) {
     auto const fingerprint = fingerprint_of(request);
@@ -241,7 +244,8 @@
         service->second.submit(new_request, now);
         return;
     }
-    // An empty router refuses it as it refuses when all replicas are gone.
+    // A service without endpoints refuses the request in the same way as one
+    // that lost all its replicas.
     auto const made = services_.plain_services.try_emplace(
         request.target_profile.model, settings_.services, settings_.health,
         settings_.self.domain, settings_.seed);
--- a/src/Serving/request_services.hpp
+++ b/src/Serving/request_services.hpp
@@ -13,8 +13,7 @@
 
 namespace camphorpoint {
 
-/// What a request's life meets in the running node: the request_environment of
-/// the product.
+/// The request_environment of a running node, backed by its services.
 class request_services {
 public:
     request_services(
@@ -25,10 +24,10 @@
         , outbox_(outbox)
         , quarantine_(quarantine) {}
 
-    /// The node stops: nothing more is admitted.
+    /// Begins the shutdown: no further request is admitted.
     void start_draining() noexcept { draining_ = true; }
     bool draining() const noexcept { return draining_; }
-    /// Sets the clocks of the event that is being handled.
+    /// Sets the clock reading of the event that is being handled.
     void set_clock(clock_reading clock) noexcept { clock_ = clock; }
 
     admission admit(profile_name const& name, instant now);
@@ -64,7 +63,7 @@
     quarantine_router& quarantine_;
     clock_reading clock_;
     bool draining_ = false;
-    /// Requests that run on a replica without a grant of its owner.
+    /// Open attempts on each replica without a grant of its owner.
     std::map<endpoint_id, std::uint32_t> ungranted_attempts_;
 };
 
--- a/src/Serving/request_timers.hpp
+++ b/src/Serving/request_timers.hpp
@@ -9,19 +9,19 @@
 
 namespace camphorpoint {
 
-/// When requests must be looked at, the earliest first.
+/// One timer per request, ordered by time.
 class request_timers {
 public:
-    /// Sets a request's time in place of its earlier one.
+    /// Replaces the timer of a request.
     void set(request_id const& id, instant earlier, instant when) {
         timers_.erase({earlier, id});
         timers_.insert({when, id});
     }
-    /// Takes a request's time out.
+    /// Removes the timer of a request.
     void remove(request_id const& id, instant when) {
         timers_.erase({when, id});
     }
-    /// @returns the first request whose time has come; it is taken out
+    /// Removes and returns the first request whose timer has expired.
     std::optional<request_id> pop_due(instant now) {
         if (timers_.empty() || timers_.begin()->when > now) {
             return std::nullopt;
--- a/src/Serving/request_tracker.hpp
+++ b/src/Serving/request_tracker.hpp
@@ -16,74 +16,77 @@
 
 namespace camphorpoint {
 
-/// The life of each request at its entry node, from the caller's post to the
-/// outcome, as one state machine:
+/// State machine of each request at its entry node, from its submission to its
+/// outcome:
 ///
-///   admitted -> [awaiting_key] -> asking -> sent -> streaming -> ended
-///                                 ^        |         |
-///                                 +--------+---------+  (repeat, resume)
+///   admitted -> [awaiting_key] -> awaiting_grant -> sent -> streaming -> ended
+///                                     ^             |          |
+///                                     +-------------+----------+ retry, resume
 ///
-/// Whether a request is withdrawn or dispatched is decided here alone, on one
-/// event at a time: a timeout that comes first turns the phase away from
-/// `asking`, so that a grant which comes later finds nothing to start; and a
-/// grant that comes first makes the outcome `unknown` or `done`, so that the
-/// timeout can no longer say `not run`.
+/// Only this class decides whether a request is cancelled or dispatched, one
+/// event at a time. A timeout that comes first ends the phase `awaiting_grant`,
+/// so a later grant starts nothing. A grant that comes first makes the outcome
+/// `unknown` or `done`, so a later timeout cannot report `not_run`.
 ///
-/// docs/design/requests.md weighs the rules; docs/operating/requests.md says
-/// what an operator sees.
-/// @tparam Environment the services that the request needs
+/// docs/design/requests.md explains the rules; docs/operating/requests.md
+/// describes them for operators.
+/// @tparam Environment the services that requests use
 template <request_environment Environment>
 class request_tracker {
 public:
-    /// @param settings    bounds and times
-    /// @param environment what requests need; outlives the tracker
+    /// @param settings    limits and timeouts
+    /// @param environment services that requests use; must outlive the tracker
     request_tracker(request_settings settings, Environment& environment)
         : settings_(settings)
         , environment_(environment) {}
 
-    /// A caller asks for work.
+    /// Handles a new request.
     void on_request(caller_request const& submitted, instant now);
-    /// A caller asks for the rest of a stream that was cut.
+    /// Handles a caller's request to resume a truncated stream.
     void on_resume(caller_resume const& submitted, instant now);
-    /// The caller closed its connection.
+    /// Handles the disconnection of a caller.
     void on_caller_disconnected(request_id const& id, instant now);
-    /// The decision about the request's key has come.
+    /// Handles the decision about a request's key.
     void on_key_decision(key_decision const& decision, instant now);
-    /// An owner's word.
+    /// Handles a reply of a replica's owner.
     /// @param from the node that sent it
     void on_grant(node_id const& from, grant_issued const& issued, instant now);
     void
     on_refusal(node_id const& from, grant_refused const& refused, instant now);
-    /// The limits of a plain service let a request go.
-    /// @returns false when it is no longer waited for: nothing was sent
+    /// Handles a dispatch by the limits of a plain service.
+    /// @returns false when the request no longer waits for it; nothing was sent
+    /// then
     bool on_dispatch(
         service_dispatch const& dispatch, std::string const& address,
         instant now);
-    /// The limits of a plain service refused a request.
+    /// Handles a refusal by the limits of a plain service.
     void on_service_refusal(service_refusal const& refusal, instant now);
-    /// What was sent to the replica's owner may not have arrived, or the owner
-    /// is gone: its unsent requests go elsewhere, running ones go on.
+    /// Handles an owner that is gone, or that may not have received the
+    /// messages sent to it. Its waiting requests are sent to another replica;
+    /// running ones continue.
     void on_owner_unreachable(endpoint_id const& replica, instant now);
-    /// An answer has begun or goes on.
+    /// Handles the start or progress of an answer.
     void on_progress(attempt_progress const& progress, instant now);
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     void on_attempt_ended(attempt_ended const& end, instant now);
-    /// Time has passed.
+    /// Handles expired timers.
     void on_tick(instant now);
 
-    /// @returns all that runs or waits on replicas, for the heartbeats
+    /// @returns all requests that run or wait on replicas, for heartbeats
     std::vector<grant_in_use> grants_in_use() const;
-    /// @returns the replicas at whose owners requests wait, each once
+    /// @returns the replicas whose owners have requests of this node waiting
     std::set<endpoint_id> awaited_replicas() const;
-    /// @returns requests that wait for a key or a grant
+    /// @returns number of requests that wait for a key or a grant
     std::size_t waiting() const;
-    /// @returns requests at this node, the closing ones included
+    /// @returns number of requests at this node, including those that are
+    /// closing
     std::size_t size() const noexcept { return live_.size(); }
     /// @returns the request, or null when it has ended
     live_request const* find(request_id const& id) const;
 
 private:
-    // request_tracker_routing.hpp: to a grant, and to the start.
+    // request_tracker_routing.hpp: from the submission to the start of an
+    // attempt.
     void refuse(
         caller_request const& submitted, reason why,
         std::chrono::milliseconds retry_after);
@@ -101,7 +104,7 @@
     live_request* find_awaiting_grant(
         request_id const& id, std::uint32_t attempt,
         endpoint_id const& replica);
-    // request_tracker_attempts.hpp: from the start to the end.
+    // request_tracker_attempts.hpp: from the start of an attempt to its end.
     void handle_completion(
         live_request& request, attempt_ended const& end, instant now);
     void handle_not_run(
@@ -116,7 +119,7 @@
         instant now);
     bool may_retry(live_request const& request, attempt_ended const& end) const;
     void release(live_request& request, bool adapter_was_loaded, instant now);
-    // request_tracker_ending.hpp: the final answer and what it leaves.
+    // request_tracker_completion.hpp: the outcome and the cleanup.
     void on_timer(live_request& request, instant now);
     void stop_attempt(live_request& request, instant now);
     void finish(
--- a/src/Serving/request_tracker_attempts.hpp
+++ b/src/Serving/request_tracker_attempts.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The way of a request from its start to its end.
+// Requests from the start of an attempt to its end.
 
 #include "Serving/request_tracker.hpp"
 
@@ -10,7 +10,7 @@
 
 namespace internal {
 
-/// @returns why a request ends whose attempt ended so
+/// @returns the reason code for the result of an attempt
 constexpr reason reason_of(attempt_result how) noexcept {
     switch (how) {
     case attempt_result::not_sent:
@@ -32,15 +32,15 @@
     }
 }
 
-/// @returns true when the endpoint cannot have run any of it
+/// @returns true when the endpoint cannot have executed any of the request
 constexpr bool never_ran(attempt_result how) noexcept {
     return how == attempt_result::not_sent ||
            how == attempt_result::refused_not_loaded ||
            how == attempt_result::refused_busy;
 }
 
-/// @returns true when the endpoint says that the request itself is wrong, so
-/// that no other endpoint would take it
+/// @returns true when the status means that the request itself is invalid, so
+/// that any other endpoint would refuse it, too
 constexpr bool is_caller_error(int status) noexcept {
     constexpr int request_timeout = 408;
     constexpr int too_many_requests = 429;
@@ -65,7 +65,8 @@
         why = reason::no_endpoint;
     }
     if (why != reason::none) {
-        // The stream that is asked for has run, so "not run" would mislead.
+        // The stream to resume has been executed, so the outcome "not run"
+        // would be wrong.
         count(count_reason::kind::refusal, why);
         environment_.act(
             finish_request{submitted.id, outcome::unknown, why, {}, {}});
@@ -114,9 +115,10 @@
 void request_tracker<Environment>::on_attempt_ended(
     attempt_ended const& end, instant now) {
     live_request* const request = find_live(end.id);
-    // Guards against an end that comes after its request was given up or has
-    // gone on to another attempt: taken at its word, it would hand an old
-    // answer on or end a running attempt. The number tells them apart.
+    // Guards against the end of an attempt whose request has been cancelled or
+    // has continued with another attempt. Without the check of the attempt's
+    // number the caller could get an outdated answer, or a running attempt
+    // would be taken as ended.
     if (request == nullptr || request->attempt != end.attempt ||
         !request->attempt_open()) {
         count(count_reason::kind::dropped, reason::late_answer);
@@ -154,14 +156,16 @@
     finish(request, outcome::done, reason::none, {}, now, end.answer);
 }
 
-// The endpoint said no, or was never reached: any request may go elsewhere
-// whose caller is still here to be brought an answer.
+// The endpoint refused the request or was not reached. Any request may be sent
+// to another endpoint, unless its caller has disconnected and could not receive
+// the answer.
 template <request_environment Environment>
 void request_tracker<Environment>::handle_not_run(
     live_request& request, attempt_ended const& end, instant now) {
     if (end.how == attempt_result::refused_not_loaded) {
-        // The owner thought otherwise, learns it from the release, and loads:
-        // the same replica may well be the next best.
+        // The owner assumed that the adapter was loaded. The release corrects
+        // that, and the owner loads the adapter, so the same replica remains a
+        // candidate.
         release(request, false, now);
     } else {
         request.tried.push_back(request.endpoint);
@@ -193,8 +197,8 @@
     retry_or_finish(request, end, reported_to_peers, now);
 }
 
-// The grant is kept meanwhile: the engine may still be running the stream, and
-// its adapter must not be evicted under it.
+// The grant is kept until the resume: the engine may still be executing the
+// stream, so its adapter must not be evicted.
 template <request_environment Environment>
 bool request_tracker<Environment>::schedule_resume(
     live_request& request, instant now) {
@@ -225,8 +229,9 @@
     live_request const& request, attempt_ended const& end) const {
     bool const not_retryable = end.how == attempt_result::timed_out ||
                                end.how == attempt_result::cancelled;
-    // Tokens that the caller has can't be taken back, and a second run words
-    // its answer differently: joined they are an answer that nobody gave.
+    // Tokens that the caller has received cannot be withdrawn. A second
+    // execution may produce a different text, and its tail would not fit the
+    // first part.
     return request.target_profile.idempotent && request.tokens == 0 &&
            !not_retryable && !request.detached &&
            !internal::is_caller_error(end.status);
--- a/src/Serving/request_tracker_completion.hpp
+++ b/src/Serving/request_tracker_completion.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// The final answer of a request, and what it leaves to be tidied up.
+// The outcome of a request, and the cleanup after it.
 
 #include "Serving/request_tracker.hpp"
 
@@ -32,16 +32,18 @@
     if (request == nullptr || request->phase == request_phase::closing) {
         return;
     }
-    // A caller on a poor network comes back with the same key, through any
-    // node: what runs goes on, and its answer is kept for the repeat.
+    // A caller with an unreliable connection may repeat the request with the
+    // same key through any node. The attempt therefore continues, and its
+    // answer is stored for the repeat.
     if (request->submitted.key && request->attempt_open()) {
         request->detached = true;
         return;
     }
-    // Guards against a break of the caller's connection that ends its answer:
-    // a run that is cancelled has no rest to resume, and the caller sees a cut
-    // answer. Only who has got a token has an event id to resume by; a caller
-    // that is gone for good costs the engine its grace and no more.
+    // Guards against an answer that is lost with the caller's connection: a
+    // cancelled stream cannot be resumed, so the caller would get a truncated
+    // answer. A caller can resume only after it has received a token, since it
+    // needs an event id. If the caller does not return, the cost is the
+    // engine's grace period.
     request->resumable_by_caller =
         request->target_profile.kind == endpoint_kind::engine &&
         request->tokens > 0;
@@ -93,7 +95,7 @@
         again ? settings_.retry_after : std::chrono::milliseconds(0), now);
 }
 
-// Takes back whatever is under way for a request that gets its final answer.
+// Cancels the pending step of a request that gets its outcome.
 template <request_environment Environment>
 void request_tracker<Environment>::stop_attempt(
     live_request& request, instant now) {
--- a/src/Serving/request_tracker_routing.hpp
+++ b/src/Serving/request_tracker_routing.hpp
@@ -1,6 +1,7 @@
 #pragma once
 
-// The way of a request to its start: admission, key, grant.
+// Requests from their submission to the start of an attempt: admission, key,
+// grant.
 
 #include "Serving/request_tracker.hpp"
 
@@ -148,7 +149,7 @@
     return true;
 }
 
-// Guards against one request that ends endpoint after endpoint; see
+// Guards against a request that crashes one endpoint after another; see
 // request_quarantine.
 template <request_environment Environment>
 void request_tracker<Environment>::finish_quarantined(
@@ -159,7 +160,8 @@
         std::chrono::ceil<std::chrono::milliseconds>(remaining), now);
 }
 
-// The last replica's own reason says more than that nothing is left.
+// The reason of the last replica's refusal is more specific than that no
+// endpoint is left.
 template <request_environment Environment>
 void request_tracker<Environment>::finish_unroutable(
     live_request& request, reason why, std::chrono::milliseconds retry_after,
@@ -191,9 +193,9 @@
     live_request* const request =
         find_awaiting_grant(issued.request, issued.attempt, issued.replica);
     if (request == nullptr) {
-        // Guards against a grant that crossed its withdrawal: unless it is
-        // given back, the owner counts the slot as taken until a heartbeat
-        // says otherwise. One that came twice is in use and stays.
+        // Guards against a grant that crossed its cancellation: unless the
+        // grant is returned, the owner counts its slot as used until a
+        // heartbeat corrects it. A duplicate of a grant that is in use is kept.
         live_request const* const known = find_live(issued.request);
         bool const in_use = known != nullptr && known->grant &&
                             known->grant->attempt == issued.attempt;
@@ -206,9 +208,10 @@
         }
         return;
     }
-    // The owner counts from its reply's sending. Seen from here that was at the
-    // latest `queued` after the ask went out, so that a reply which was long
-    // under way, or read late by a paused node, is known to have lapsed.
+    // The owner's time limit starts when it sends the grant, which is at the
+    // earliest `queued` after this node sent its grant request. Counting from
+    // there, a grant that was delayed in transit, or read late by a paused
+    // node, is recognized as expired.
     instant const send_before = std::min(
         request->grant_requested_at + issued.queued + issued.send_within,
         request->deadline);
@@ -220,7 +223,7 @@
         route_request(*request, now);
         return;
     }
-    // It may have been held while this request waited for its grant.
+    // The request may have been quarantined while it waited for the grant.
     if (auto const remaining = environment_.quarantined_for(*request, now)) {
         cancel_grant_request(*request, now);
         request->phase = request_phase::routing;
--- a/src/Serving/serving_settings.hpp
+++ b/src/Serving/serving_settings.hpp
@@ -21,49 +21,49 @@
 
 namespace camphorpoint {
 
-/// How an entry node carries requests. docs/operating/requests.md says how an
-/// operator sees each of these at work.
+/// Settings of requests at their entry node. docs/operating/requests.md
+/// describes their effects for operators.
 struct request_settings {
-    /// Requests that one entry node carries at once. A request takes about
-    /// 1 KB here, so the bound keeps them under 16 MB; at the design size 33
-    /// requests a second of 30 s each are 1,000.
+    /// Maximum number of requests at one entry node. A request takes about 1
+    /// KB, so this limits them to 16 MB. At the design size, 33 requests per
+    /// second of 30 s each are 1,000 requests.
     std::size_t max_requests = 16'384;
-    /// A longer deadline is an error of the caller.
+    /// Requests with a longer deadline are refused.
     std::chrono::milliseconds max_deadline{3'600'000};
-    /// Replicas asked for one request. More would multiply the asks just when
-    /// all queues are full.
+    /// Maximum number of endpoints that are tried for one request. More would
+    /// multiply the load of grant requests when all queues are full.
     std::uint32_t max_grant_requests = 4;
-    /// Resumes of one stream in a row without a new token.
+    /// Maximum number of successive resumes of one stream without a new token.
     std::uint32_t max_resumes = 3;
-    /// Pause before the first resume; doubled before each further one.
+    /// Delay before the first resume. It doubles for each further one.
     std::chrono::milliseconds resume_backoff{50};
-    /// How long a request whose endpoint has ended waits for the word of the
-    /// nodes that count the ends of its content.
+    /// How long a request whose endpoint crashed waits for the quarantine
+    /// decision of the nodes that count the crashes.
     std::chrono::milliseconds quarantine_decision_timeout{20};
-    /// How long the end of a cancelled attempt is waited for before its grant
-    /// is let go all the same.
+    /// How long to wait for the end of a cancelled attempt. The grant is
+    /// released afterwards in any case.
     std::chrono::milliseconds close_timeout{5'000};
-    /// How often owners are told what runs on their replicas.
+    /// Interval of the heartbeats that list this node's requests for owners.
     std::chrono::milliseconds heartbeat_period{1'000};
-    /// How long an owner on whose replicas nothing runs any more still gets
-    /// heartbeats: they repair a lost release.
+    /// How long an owner gets heartbeats after its replicas ran the last
+    /// request of this node. They repair a lost release message.
     std::chrono::milliseconds idle_owner_heartbeat_period{10'000};
-    /// When a caller should come back, where nothing better is known.
+    /// When a caller should retry, unless a more specific delay is known.
     std::chrono::milliseconds retry_after{1'000};
 };
 
-/// All that a node's decisions are told at their start. Each part gives the
-/// reasons for its defaults; ownership and membership must be the same on all
+/// Settings of all decision services of a node. Each part explains its
+/// defaults. The settings of ownership and membership must be the same on all
 /// nodes.
 struct serving_settings {
-    /// This node, as the platform's list names it.
+    /// This node as listed by the platform.
     node_instance self;
-    /// When the process started, in milliseconds of the calendar clock: tells
-    /// this run from the node's earlier ones.
+    /// Start time of the process in milliseconds of the calendar clock.
+    /// Distinguishes it from earlier processes of the node.
     std::uint64_t start_time_ms = 0;
-    /// Of all random choices.
+    /// Seed of all random choices.
     std::uint64_t seed = 1;
-    /// The weight store that all replicas load from.
+    /// Name of the weight store from which all replicas load.
     std::string store = "weights";
 
     request_settings requests;
@@ -78,7 +78,8 @@
     retry_settings retries;
     service_settings services;
     health_settings health;
-    /// For each owned replica; its id, slots and batch come from the list.
+    /// Applies to each owned replica. Its id, adapter slots and batch limit
+    /// come from the platform's list.
     scheduler_settings scheduling;
     store_limits loading;
 };
