--- a/test/serving_authority_test.cpp
+++ b/test/serving_authority_test.cpp
@@ -27,10 +27,12 @@
 
 } // namespace
 
-// What one would see: an engine serves more than its batch, or a request's
-// adapter is evicted under it. An owner that has not read the log for longer
-// than its lease may have a successor, and must neither order nor grant.
-TEST_CASE("an owner whose leave has ended neither orders nor grants") {
+// Guards against an engine that runs more than its batch, or evicts the adapter
+// of a running request. An owner that has not read the log for longer than its
+// lease may have a successor, so it must neither send commands nor issue
+// grants.
+TEST_CASE(
+    "an owner whose authority has lapsed sends no commands and no grants") {
     test::cluster all(3, 1);
     all.publish(make_profile("warm"));
     all.publish(make_profile("cold"));
@@ -45,7 +47,7 @@
     };
     all.log.down = true;
 
-    SUBCASE("past the lease no order leaves; what is resident is served") {
+    SUBCASE("after the lease: no commands; resident adapters are served") {
         all.run(milliseconds(7'000));
         all.post(0, make_request("cold", "cold"));
         all.post(0, make_request("warm", "warm"));
@@ -53,7 +55,7 @@
         CHECK(loads == 0);
         CHECK(all.ended("warm").how == outcome::done);
     }
-    SUBCASE("past the grants' lease nothing new starts, queued or asked") {
+    SUBCASE("after the grants' lease: neither queued nor new requests start") {
         all.engines[0].token_time = milliseconds(1'000);
         all.engines[0].tokens = 15;
         all.run(milliseconds(290'000));
@@ -72,10 +74,10 @@
     }
 }
 
-// What one would see: after a node's death some requests stand still until
-// their deadline, though other nodes serve. They waited in the dead owner's
-// queue; their entry node sends nothing to it, so no connection breaks.
-TEST_CASE("a request waits in the queue of an owner that dies") {
+// Guards against requests that wait until their deadline after a node died,
+// though other nodes serve. They wait in the queue of the dead owner, and their
+// entry node sends nothing to it, so no connection breaks.
+TEST_CASE("a request waiting in the queue of a dead owner is refused") {
     test::cluster all(3, 1);
     all.publish(make_profile("warm"));
     all.run(milliseconds(30'000));
@@ -92,17 +94,19 @@
     all.run(milliseconds(100));
     REQUIRE(all.begun("waits") == 0);
     all.kill(owner);
-    // The probes find it dead long before its successor's claim takes effect.
+    // The probes detect the death long before the claim of its successor takes
+    // effect.
     all.run(milliseconds(3'000));
     CHECK(all.ended("waits").how == outcome::not_run);
     CHECK(all.ended("waits").why == reason::owner_unreachable);
     CHECK(all.begun("waits") == 0);
 }
 
-// What one would see: a running answer turns to garbage after some node died,
-// since its adapter was evicted. The dead owner's last grants may run for as
-// long as the grants' lease, unknown to the successor.
-TEST_CASE("a successor after a crash evicts nothing for the grants' lease") {
+// Guards against wrong answers after a node died, when the adapter of a running
+// request is evicted. Attempts under the dead owner's last grants may continue
+// for as long as the grants' lease, and the successor does not know them.
+TEST_CASE(
+    "a successor after a crash evicts no adapter during the grants' lease") {
     test::cluster all(3, 1);
     for (char const* const each : {"one", "two", "three"}) {
         all.publish(make_profile(each));
--- a/test/serving_cluster_test.cpp
+++ b/test/serving_cluster_test.cpp
@@ -25,7 +25,7 @@
     return result;
 }
 
-/// Three nodes before two engines, with one profile, all settled.
+/// Three nodes and two engines with one profile, after startup has settled.
 struct settled_cluster : test::cluster {
     explicit settled_cluster(bool idempotent = true)
         : cluster(3, 2) {
@@ -54,11 +54,10 @@
 
 } // namespace
 
-TEST_CASE("nodes serve a request together") {
+TEST_CASE("entry node and replica owner serve a request together") {
     settled_cluster all;
 
-    SUBCASE(
-        "the entry node need not own the replica; a cold adapter is loaded") {
+    SUBCASE("an entry node that owns no replica; the adapter is loaded first") {
         all.post(all.non_owner(), make_request("r"));
         all.run(milliseconds(3'000));
         CHECK(all.ended("r").how == outcome::done);
@@ -81,7 +80,7 @@
         CHECK(all.attempts.back().adapter.version == 2);
     }
 
-    SUBCASE("before a configuration is known nothing is served") {
+    SUBCASE("requests are refused until a configuration is known") {
         all.kill(1);
         all.kill(2);
         all.kill(0);
@@ -94,10 +93,10 @@
     }
 }
 
-// What one would see: a stream breaks off in mid-sentence because some other
-// machine died. The owner of the replica dies while the answer streams through
-// another node; it only granted, and is not on the stream's way.
-TEST_CASE("an owner dies while an answer streams") {
+// Guards against a stream that breaks off because another instance died. The
+// owner of the replica dies while the answer streams through a different node.
+// The owner only issued the grant and does not forward the stream.
+TEST_CASE("a stream continues when the replica's owner dies") {
     settled_cluster all;
     for (auto& engine : all.engines) {
         engine.tokens = 200;
@@ -112,8 +111,7 @@
 
     CHECK(all.ended("r").how == outcome::done);
     CHECK(all.begun("r") == 1);
-    SUBCASE(
-        "its successor serves the replica again, and evicts nothing in use") {
+    SUBCASE("the successor serves the replica and evicts no adapter in use") {
         all.run(milliseconds(20'000));
         all.post(entry, make_request("next"));
         all.run(milliseconds(5'000));
@@ -123,9 +121,10 @@
     }
 }
 
-// What one would see: a rolling restart cuts answers. A planned stop must let
-// streams finish, refuse new work as not run, and hand over what it owns.
-TEST_CASE("a planned stop cuts nothing") {
+// Guards against answers that are truncated by a rolling restart. A node that
+// shuts down as planned must complete its streams, refuse new requests as not
+// run, and hand over the resources that it owns.
+TEST_CASE("a planned shutdown truncates no answer") {
     settled_cluster all;
     for (auto& engine : all.engines) {
         engine.tokens = 200;
@@ -151,9 +150,10 @@
     CHECK(all.ended("after").how == outcome::done);
 }
 
-// What one would see: a booking stands twice. The caller's line breaks, and it
-// sends the same booking with the same key through another node.
-TEST_CASE("a booking is repeated through another node") {
+// Guards against a booking that is made twice: the caller's connection breaks,
+// and the caller sends the booking again with the same key through another
+// node.
+TEST_CASE("a booking repeated through another node runs once") {
     settled_cluster all(false);
     caller_request first = make_request("first");
     first.key = all.new_key();
@@ -161,19 +161,20 @@
     again.key = first.key;
     again.body_digest = first.body_digest;
 
-    SUBCASE("while it runs: the repeat joins it") {
+    SUBCASE("while it runs: the repeat gets the same answer") {
         all.post(0, first);
         all.run(milliseconds(100));
         all.post(1, again);
         all.run(milliseconds(5'000));
     }
-    SUBCASE("after it ran: the repeat gets the kept answer") {
+    SUBCASE("after completion: the repeat gets the stored answer") {
         all.post(0, first);
         all.run(milliseconds(5'000));
         all.post(1, again);
         all.run(milliseconds(5'000));
     }
-    SUBCASE("after its caller went away: it runs on, and the repeat joins it") {
+    SUBCASE(
+        "after its caller disconnected: it continues, the repeat joins it") {
         all.post(0, first);
         all.run(milliseconds(300));
         all.bring(0, caller_disconnected{request_id("first")});
--- a/test/serving_codec_test.cpp
+++ b/test/serving_codec_test.cpp
@@ -29,14 +29,14 @@
 
 } // namespace
 
-// What one would see: a node dies, or takes gigabytes, when a peer of another
-// version or a stray program sends it bytes. The cause would be a decoder that
-// believes lengths, truth values or enumerations from the wire.
+// Guards against a node that crashes or allocates gigabytes when a peer of
+// another version, or a foreign program, sends it arbitrary bytes. This happens
+// when the decoder trusts lengths, booleans or enumerations of the message.
 TEST_CASE("peer messages decode strictly") {
     std::string const request = encode_peer_message(example_grant_request());
     std::string const heartbeat = encode_peer_message(example_heartbeat());
 
-    SUBCASE("what was encoded comes back") {
+    SUBCASE("an encoded message decodes to an equal message") {
         auto const back = decode_peer_message(request);
         REQUIRE(back.has_value());
         CHECK(encode_peer_message(*back) == request);
@@ -45,21 +45,22 @@
         CHECK(decode_peer_message(heartbeat).has_value());
     }
 
-    SUBCASE("a message that ends early or goes on too long is refused") {
+    SUBCASE("truncated messages and messages with extra bytes are refused") {
         for (std::size_t length = 0; length < heartbeat.size(); ++length) {
             CHECK_FALSE(decode_peer_message(heartbeat.substr(0, length)));
         }
         CHECK_FALSE(decode_peer_message(heartbeat + '\0'));
     }
 
-    SUBCASE("a length far beyond the bytes is refused at once") {
-        // Byte 0 is the byte order, 1 to 4 the kind, then the vector's length.
+    SUBCASE("a length that exceeds the message is refused") {
+        // Byte 0 is the byte order and bytes 1 to 4 the index of the message
+        // type. The length of the vector follows.
         std::string oversized = heartbeat;
         oversized.replace(5, 8, std::string(6, '\xff') + std::string(2, '\0'));
         CHECK_FALSE(decode_peer_message(oversized));
     }
 
-    SUBCASE("a truth value or an enumeration without a name is refused") {
+    SUBCASE("an undeclared value of a boolean or enumeration is refused") {
         std::string malformed = heartbeat;
         malformed.back() = '\2';
         CHECK_FALSE(decode_peer_message(malformed));
@@ -68,7 +69,7 @@
         CHECK_FALSE(decode_peer_message(encode_peer_message(refused)));
     }
 
-    SUBCASE("a kind that does not exist is refused") {
+    SUBCASE("an unknown message type is refused") {
         std::string malformed = request;
         malformed[1] = '\x7f';
         CHECK_FALSE(decode_peer_message(malformed));
@@ -76,7 +77,7 @@
         CHECK_FALSE(decode_peer_message(malformed));
     }
 
-    SUBCASE("any bytes give a message or an error, and one form per message") {
+    SUBCASE("any accepted bytes are the only encoding of their message") {
         for (std::size_t at = 0; at < heartbeat.size(); ++at) {
             for (int value = 0; value < 256; ++value) {
                 std::string bytes = heartbeat;
--- a/test/serving_handover_test.cpp
+++ b/test/serving_handover_test.cpp
@@ -18,13 +18,14 @@
     return result;
 }
 
-/// Bookings, each with a fresh key, come through chosen nodes.
+/// Cluster that receives bookings, each with a new key, at chosen nodes.
 struct booking_cluster : test::cluster {
     booking_cluster()
         : cluster(5, 3) {
         publish(booking_profile());
     }
-    /// Books every 25 ms for a while, through the entry nodes in turn.
+    /// Sends a booking every 25 ms for the given time, to the entry nodes in
+    /// turn.
     void book(milliseconds time, std::vector<std::size_t> const& entries) {
         constexpr milliseconds period{25};
         for (milliseconds done{}; done < time; done += period) {
@@ -71,19 +72,19 @@
 
 } // namespace
 
-// What one would see: during a rolling restart some bookings end as "unknown",
-// though no node crashed, and a person has to look whether they stand. The
-// order: a node drains while bookings go on through the others; a shard passes
-// to its next owner without its table, so the next owner treats it as after a
-// crash and knows nothing of keys made up to 1.5 s after the claim.
-TEST_CASE("planned stops while bookings go on cost no booking its outcome") {
+// Guards against bookings that end as "unknown" during a rolling restart
+// although no node crashed; each would need a manual check. A node drains while
+// bookings continue at other nodes. When a key shard passes to its next owner
+// without its table, that owner treats it as after a crash and has no knowledge
+// of keys generated up to 1.5 s after its claim.
+TEST_CASE("planned shutdowns leave no booking with an unknown outcome") {
     booking_cluster all;
     milliseconds const settled{40'000};
 
-    SUBCASE("the cluster's first claims: nobody can have run anything") {
+    SUBCASE("first claims of a new cluster: no node can have run a request") {
         all.book(milliseconds(20'000), {0, 1, 2});
     }
-    SUBCASE("one node drains and ends") {
+    SUBCASE("one node drains and exits") {
         all.run(settled);
         all.drain(4);
         all.book(milliseconds(8'000), {0, 1, 2});
@@ -91,11 +92,11 @@
         all.kill(4);
         all.book(milliseconds(20'000), {0, 1, 2});
     }
-    SUBCASE("two nodes drain at once, each other's successors") {
+    SUBCASE("two nodes drain at once and are each other's successors") {
         all.run(settled);
         all.drain(3);
         all.drain(4);
-        // Sooner than an unanswered offer is given up.
+        // Shorter than the timeout of an unanswered handover offer.
         all.book(milliseconds(1'800), {0, 1, 2});
         CHECK(all.nodes[3].drained);
         CHECK(all.nodes[4].drained);
@@ -103,16 +104,16 @@
         all.kill(4);
         all.book(milliseconds(20'000), {0, 1, 2});
     }
-    SUBCASE("a node drains while it takes over from one that drains") {
+    SUBCASE("a node drains while it takes over from a draining node") {
         all.run(settled);
         milliseconds between{};
-        SUBCASE("its offers are accepted, the releases not yet appended") {
+        SUBCASE("offers are accepted, releases are not yet appended") {
             between = milliseconds(3);
         }
-        SUBCASE("the releases are appended, not yet read") {
+        SUBCASE("releases are appended, but not yet read") {
             between = milliseconds(150);
         }
-        SUBCASE("the releases are just read") {
+        SUBCASE("releases have just been read") {
             between = milliseconds(600);
         }
         all.drain(3);
@@ -125,13 +126,15 @@
         all.kill(4);
         all.book(milliseconds(20'000), {0, 1, 2});
     }
-    SUBCASE("a drained node ends as soon as it may") {
-        SUBCASE("all read the log at the same times") {
+    SUBCASE("a node exits as soon as it is drained") {
+        SUBCASE("all nodes read the log at the same times") {
             all.run(settled);
         }
-        SUBCASE("it leaves the list before others read its releases") {
-            // The list comes at 0 ms of each half second. Started without the
-            // log, all come to own their own share, and then write no more.
+        SUBCASE(
+            "it leaves the platform's list before others read its releases") {
+            // Nodes poll the platform's list at 0 ms of each half second. Nodes
+            // started while the log is down all become owners of their own
+            // partition, and write no further records afterwards.
             all.log.down = true;
             all.restart_nodes({0, 1, 2, 4}, milliseconds(120));
             all.restart_nodes({3}, milliseconds(100));
@@ -139,8 +142,8 @@
             all.log.down = false;
             all.run(settled);
         }
-        SUBCASE("others read how it came to own after they have its offer") {
-            // The list comes at 0 ms of each half second.
+        SUBCASE("others receive its offer before they read its claims") {
+            // Nodes poll the platform's list at 0 ms of each half second.
             all.kill(0);
             all.kill(1);
             all.kill(2);
@@ -166,16 +169,16 @@
     CHECK(all.count_endings(reason::none) > all.booked / 2);
 }
 
-// The order: a node gets another's shards and is itself told to stop, at each
-// moment from the offer to the first ticks as their owner.
-TEST_CASE("a successor stops at any moment of the handover") {
+// Guards against the same failure when the successor drains as well, at each
+// moment between the offer and its first ticks as owner of the shards.
+TEST_CASE("a successor drains at any moment of the handover") {
     std::size_t unknown = 0;
     std::size_t twice = 0;
     for (milliseconds gap{5}; gap < milliseconds(600); gap += tick_period) {
         booking_cluster all;
         all.kill(4);
         all.run(milliseconds(20'000));
-        // Too short a time to be given anything but by a stop.
+        // The node runs too briefly to gain resources other than by a handover.
         all.start(4);
         all.run(milliseconds(8'000));
         all.drain(3);
--- a/test/serving_poison_request_test.cpp
+++ b/test/serving_poison_request_test.cpp
@@ -12,8 +12,9 @@
 
 using test::milliseconds;
 
-/// Engines that one request may end: three before it is known for it, and
-/// three more that may be under way or come from a node not told yet.
+/// Maximum number of engines that one request may crash: three before it is
+/// quarantined, and three more by attempts that are running at that time or
+/// come from a node without the update.
 constexpr unsigned max_crashes = 6;
 constexpr std::size_t node_count = 3;
 constexpr std::size_t engine_count = 12;
@@ -28,7 +29,7 @@
     return result;
 }
 
-/// Three nodes before twelve engines that end when they run one body.
+/// Three nodes and twelve engines that crash when they run one specific body.
 struct poison_request_cluster : test::cluster {
     poison_request_cluster()
         : cluster(node_count, engine_count) {
@@ -40,9 +41,9 @@
         publish(result);
         run(milliseconds(30'000));
     }
-    /// Sends the body as a new request and waits for its end.
+    /// Sends the poison body as a new request and waits for its outcome.
     void send(std::size_t node) {
-        std::string const id = "deadly" + std::to_string(sent++);
+        std::string const id = "crash" + std::to_string(sent++);
         post(node, make_request(id, poison_body));
         while (!has_ended(id)) {
             run(milliseconds(20));
@@ -54,14 +55,14 @@
             }
         }
     }
-    /// Lets time pass; engines that run the body end within 20 ms.
+    /// Lets time pass. Engines that run the poison body crash within 20 ms.
     void advance(milliseconds time) {
         constexpr milliseconds step(20);
         for (milliseconds elapsed{0}; elapsed < time; elapsed += step) {
             run(step);
             for (std::size_t each = 0; each < engines.size(); ++each) {
                 auto const is_poison = [](auto const& running) {
-                    return running.first.str().starts_with("deadly");
+                    return running.first.str().starts_with("crash");
                 };
                 if (std::ranges::any_of(engines[each].running, is_poison)) {
                     ++crashed_engines;
@@ -70,10 +71,9 @@
             }
         }
     }
-    /// Sends the body as a new request and goes on.
+    /// Sends the poison body as a new request without waiting for its outcome.
     void send_async(std::size_t node) {
-        post(
-            node, make_request("deadly" + std::to_string(sent++), poison_body));
+        post(node, make_request("crash" + std::to_string(sent++), poison_body));
     }
     unsigned sent = 0;
     unsigned crashed_engines = 0;
@@ -81,9 +81,10 @@
 
 } // namespace
 
-// Guards against engines that end one after the other: retries looked at one
-// request, and its caller sends it again under a new id to any node.
-TEST_CASE("a request that ends its engines is soon run no more") {
+// Guards against a request that crashes one engine after another: retry limits
+// apply to one request, but its caller sends it again under a new id to any
+// node.
+TEST_CASE("a request that crashes engines is quarantined") {
     poison_request_cluster all;
     constexpr unsigned request_count = 18;
 
@@ -93,13 +94,13 @@
         }
         CHECK(all.crashed_engines <= max_crashes);
     }
-    SUBCASE("sent by turns to each node") {
+    SUBCASE("sent to the nodes in turn") {
         for (unsigned each = 0; each < request_count; ++each) {
             all.send(each % node_count);
         }
         CHECK(all.crashed_engines <= max_crashes);
     }
-    SUBCASE("others are served") {
+    SUBCASE("other requests are served") {
         for (unsigned each = 0; each < request_count; ++each) {
             all.send(each % node_count);
         }
@@ -110,10 +111,10 @@
     }
 }
 
-// Guards against what is known of the request at one node only, or for one
-// request only: engines are back before it comes again, so that nothing else
-// keeps their number down.
-TEST_CASE("what a request has done to engines is known at every node") {
+// Guards against crash counts that are kept only by one node, or only for one
+// request id. The engines have restarted before the request is repeated, so
+// nothing else limits the number of crashes.
+TEST_CASE("all nodes know the crashes that a request has caused") {
     constexpr unsigned request_count = 24;
     for (unsigned const seed : {1U, 2U, 3U, 4U, 5U, 6U, 7U, 8U}) {
         CAPTURE(seed);
@@ -127,11 +128,11 @@
     }
 }
 
-// Guards against an act on what is known here while the others' word is on its
-// way: the request comes to each node at the same moment.
-TEST_CASE("a request that ends engines comes to all nodes at once") {
+// Guards against nodes that act on their own counts while updates of other
+// nodes are in transit: each node receives the request at the same moment.
+TEST_CASE("a poison request arrives at all nodes at once") {
     constexpr unsigned request_count = 8;
-    // Three that are under way besides when the third of the first ones ends.
+    // Attempts of the other nodes may be running when the third engine crashes.
     constexpr unsigned max_concurrent_crashes = max_crashes + node_count;
     poison_request_cluster all;
     for (unsigned each = 0; each < request_count; ++each) {
@@ -143,9 +144,9 @@
     CHECK(all.crashed_engines <= max_concurrent_crashes);
 }
 
-// Guards against others' requests that are taken for the deadly one since they
-// were under way at engines that ended.
-TEST_CASE("requests beside one that ends engines are served") {
+// Guards against the quarantine of other requests that were running on engines
+// when the poison request crashed them.
+TEST_CASE("requests that run beside a poison request are served") {
     constexpr unsigned request_count = 18;
     constexpr unsigned max_unserved = 1;
     poison_request_cluster all;
@@ -166,8 +167,8 @@
     CHECK(all.crashed_engines <= max_crashes);
 }
 
-// Guards against a memory that ends with its node's process.
-TEST_CASE("a node that begins anew runs no request that others hold") {
+// Guards against a quarantine that is lost when the process of a node restarts.
+TEST_CASE("a restarted node runs no request that others have quarantined") {
     constexpr unsigned request_count = 6;
     for (std::size_t node = 0; node < node_count; ++node) {
         CAPTURE(node);
--- a/test/serving_tracker_test.cpp
+++ b/test/serving_tracker_test.cpp
@@ -57,7 +57,7 @@
         ended.how = how;
         tracker.on_attempt_ended(ended, now);
     }
-    /// @returns the one final answer; fails when there is not exactly one
+    /// @returns the only outcome; fails the test when there is not exactly one
     finish_request final_answer() const {
         auto const all = environment.all<finish_request>();
         REQUIRE(all.size() == 1);
@@ -77,7 +77,7 @@
     tracker_fixture fixture;
     fixture.post();
 
-    SUBCASE("the owner is asked, and nothing is sent before its grant") {
+    SUBCASE("nothing is sent before the owner's grant") {
         CHECK(fixture.environment.sent_count<grant_request>() == 1);
         CHECK(fixture.starts() == 0);
         fixture.grant();
@@ -90,8 +90,7 @@
         CHECK(fixture.tracker.size() == 0);
     }
 
-    SUBCASE(
-        "a new version comes into force while it queues: it keeps its own") {
+    SUBCASE("a queued request keeps its version when a new one is published") {
         fixture.environment.what.adapter.version = 4;
         fixture.environment.configuration = log_offset{8};
         fixture.grant();
@@ -101,15 +100,14 @@
     }
 }
 
-// What one would see: a caller is told "not run", and the booking stands in
-// the books. The deadline passes just as the grant arrives; were the two
-// decided in different places, each could win.
-TEST_CASE("a request times out as it is dispatched") {
+// Guards against a caller that gets the outcome "not run" for a booking that
+// was made. The deadline passes at the moment when the grant arrives. If two
+// components decided on timeout and dispatch, both could take effect.
+TEST_CASE("a timeout and a grant at the same time") {
     tracker_fixture fixture;
     fixture.post();
 
-    SUBCASE(
-        "the timeout comes first: the grant starts nothing, and goes back") {
+    SUBCASE("timeout first: the grant starts nothing and is returned") {
         fixture.advance(1'000);
         CHECK(fixture.final_answer().how == outcome::not_run);
         CHECK(fixture.final_answer().retry_after.count() > 0);
@@ -120,7 +118,7 @@
         CHECK(fixture.environment.sent_count<grant_cancelled>() == before + 1);
     }
 
-    SUBCASE("the grant comes first: the timeout says unknown, and cancels") {
+    SUBCASE("grant first: the timeout cancels, the outcome is unknown") {
         fixture.grant();
         fixture.advance(1'000);
         CHECK(fixture.final_answer().how == outcome::unknown);
@@ -143,15 +141,14 @@
         CHECK(start.send_before == instant{} + milliseconds(940));
     }
 
-    SUBCASE("a grant that comes twice starts one run, and is kept") {
+    SUBCASE("a duplicate grant starts one attempt and is kept") {
         fixture.grant();
         fixture.grant();
         CHECK(fixture.starts() == 1);
         CHECK(fixture.environment.sent_count<grant_cancelled>() == 0);
     }
 
-    SUBCASE(
-        "a grant that took too long to arrive has lapsed and starts nothing") {
+    SUBCASE("a grant that arrives too late has expired and starts nothing") {
         fixture.advance(500);
         fixture.grant();
         CHECK(fixture.starts() == 0);
@@ -160,14 +157,14 @@
     }
 }
 
-// What one would see: a caller gets an answer to a question it has given up
-// on, or that belongs to an earlier attempt. The end of an old attempt comes
-// late, after the request timed out or went on elsewhere.
-TEST_CASE("ends that come late are counted and dropped") {
+// Guards against a caller that gets the answer to a cancelled request or of an
+// earlier attempt. The end of the old attempt arrives late, after the request
+// has timed out or continued elsewhere.
+TEST_CASE("late ends of attempts are counted and dropped") {
     tracker_fixture fixture;
     fixture.run();
 
-    SUBCASE("after the request was given up") {
+    SUBCASE("after the request was cancelled") {
         fixture.advance(1'000);
         fixture.end(attempt_result::completed);
         CHECK(fixture.final_answer().how == outcome::unknown);
@@ -176,7 +173,7 @@
         CHECK(fixture.environment.dropped(reason::late_answer) == 2);
     }
 
-    SUBCASE("after the request went on to another attempt") {
+    SUBCASE("after the request started another attempt") {
         fixture.end(attempt_result::not_sent);
         fixture.grant("e2", 2);
         fixture.end(attempt_result::completed, 1);
@@ -187,13 +184,13 @@
     }
 }
 
-// What one would see: a booking stands twice in the inventory. Its connection
-// broke after the bytes had left, so that nobody knows whether it ran.
+// Guards against a booking that is made twice. Its connection broke after bytes
+// had been sent, so it is unknown whether it was executed.
 TEST_CASE("a non-idempotent request runs at most once") {
     tracker_fixture fixture(false);
     fixture.run();
 
-    SUBCASE("an attempt that may have run ends it as unknown") {
+    SUBCASE("after an attempt that may have run the outcome is unknown") {
         for (auto const how :
              {attempt_result::truncated, attempt_result::failed,
               attempt_result::mismatch, attempt_result::timed_out}) {
@@ -205,14 +202,14 @@
             CHECK(each.final_answer().how == outcome::unknown);
         }
     }
-    SUBCASE("an attempt that never ran goes to another replica") {
+    SUBCASE("after an attempt that did not run it goes to another replica") {
         fixture.end(attempt_result::not_sent);
         fixture.grant("e2", 2);
         CHECK(fixture.starts() == 2);
         fixture.end(attempt_result::truncated, 2);
         CHECK(fixture.final_answer().how == outcome::unknown);
     }
-    SUBCASE("a stream that is cut resumes on its engine: no second run") {
+    SUBCASE("a truncated stream resumes on its engine without a second run") {
         fixture.tokens(5);
         fixture.end(attempt_result::truncated);
         CHECK(fixture.unfinished());
@@ -225,7 +222,7 @@
         fixture.end(attempt_result::completed, 2);
         CHECK(fixture.final_answer().how == outcome::done);
     }
-    SUBCASE("a stream that can't be resumed ends as unknown") {
+    SUBCASE("the outcome is unknown when the stream cannot be resumed") {
         fixture.tokens(5);
         fixture.end(attempt_result::truncated);
         fixture.advance(50);
@@ -239,18 +236,18 @@
     }
 }
 
-TEST_CASE("an idempotent request is repeated within its budget") {
+TEST_CASE("an idempotent request is retried within its budget") {
     tracker_fixture fixture;
     fixture.run();
 
-    SUBCASE("not loaded: nothing ran, the owner learns it and is asked again") {
+    SUBCASE("not loaded: the grant is released and requested again") {
         fixture.end(attempt_result::refused_not_loaded);
         CHECK(fixture.unfinished());
         CHECK(fixture.environment.sent_count<grant_released>() == 1);
         CHECK(fixture.environment.sent_count<grant_request>() == 2);
     }
     SUBCASE(
-        "an answer of another version is not handed on; it runs elsewhere") {
+        "an answer of another version is dropped; another replica runs it") {
         fixture.end(attempt_result::mismatch);
         CHECK(fixture.unfinished());
         fixture.grant("e2", 2);
@@ -259,18 +256,18 @@
             "e2");
         CHECK(fixture.environment.all<start_attempt>().at(1).from_token == 0);
     }
-    SUBCASE("with an empty budget it ends as unknown, at once") {
+    SUBCASE("with an exhausted budget the outcome is unknown immediately") {
         fixture.environment.retry_allowed = false;
         fixture.end(attempt_result::failed);
         CHECK(fixture.final_answer().how == outcome::unknown);
         CHECK(fixture.final_answer().why == reason::retry_budget_empty);
     }
-    SUBCASE("not once tokens have reached the caller") {
+    SUBCASE("no retry after tokens have reached the caller") {
         fixture.tokens(1);
         fixture.end(attempt_result::failed);
         CHECK(fixture.final_answer().how == outcome::unknown);
     }
-    SUBCASE("a repeat that finds no replica is unknown, never 'not run'") {
+    SUBCASE("a retry without a replica is unknown, never 'not run'") {
         fixture.end(attempt_result::failed);
         fixture.environment.endpoints.clear();
         grant_refused refused;
@@ -284,24 +281,24 @@
     }
 }
 
-TEST_CASE("owners that cannot be reached") {
+TEST_CASE("unreachable owners") {
     tracker_fixture fixture;
 
-    SUBCASE("a waiting request goes to the next replica") {
+    SUBCASE("a waiting request is sent to the next replica") {
         fixture.post();
         fixture.tracker.on_owner_unreachable(endpoint_id("e1"), fixture.now);
         CHECK(fixture.environment.sent_count<grant_request>() == 2);
         fixture.grant("e2", 2);
         CHECK(fixture.starts() == 1);
     }
-    SUBCASE("a running one goes on") {
+    SUBCASE("a running request continues") {
         fixture.run();
         fixture.tracker.on_owner_unreachable(endpoint_id("e1"), fixture.now);
         CHECK(fixture.environment.all<cancel_attempt>().empty());
         fixture.end(attempt_result::completed);
         CHECK(fixture.final_answer().how == outcome::done);
     }
-    SUBCASE("with none left the caller is told at once when to come back") {
+    SUBCASE("without a reachable owner the caller gets a retry delay") {
         fixture.environment.owner_reachable = false;
         fixture.post();
         CHECK(fixture.final_answer().how == outcome::not_run);
@@ -310,26 +307,26 @@
     }
 }
 
-TEST_CASE("a caller goes away") {
+TEST_CASE("a caller disconnects") {
     tracker_fixture fixture;
 
-    SUBCASE("while it queues: the ask is taken back, nothing ran") {
+    SUBCASE("while queued: the grant request is cancelled, nothing ran") {
         fixture.post();
         fixture.tracker.on_caller_disconnected(fixture.id, fixture.now);
         CHECK(fixture.environment.sent_count<grant_cancelled>() == 1);
         CHECK(fixture.final_answer().how == outcome::not_run);
     }
-    SUBCASE("before its first token: the run is cancelled on the engine") {
+    SUBCASE("before the first token: the engine must abort the attempt") {
         fixture.run();
         fixture.tracker.on_caller_disconnected(fixture.id, fixture.now);
         REQUIRE(fixture.environment.all<cancel_attempt>().size() == 1);
         CHECK_FALSE(
             fixture.environment.all<cancel_attempt>().front().keep_for_resume);
     }
-    // A caller on a poor network loses its connection in mid-stream and resumes
-    // through another node. The first node cancelled the run at the engine as
-    // soon as the connection broke, so the resume found nothing: cut.
-    SUBCASE("in mid-stream: the run is left to the engine's grace") {
+    // A caller with an unreliable connection disconnects during a stream and
+    // resumes it through another node. If the first node cancelled the attempt
+    // at the engine on disconnection, the resume would find no stream.
+    SUBCASE("during the stream: the engine's grace period applies") {
         fixture.run();
         fixture.tokens(3);
         fixture.tracker.on_caller_disconnected(fixture.id, fixture.now);
@@ -339,7 +336,7 @@
         fixture.end(attempt_result::cancelled);
         CHECK(fixture.environment.sent_count<grant_released>() == 1);
     }
-    SUBCASE("a stream past its deadline is cancelled on the engine") {
+    SUBCASE("at the deadline of a stream the engine must abort it") {
         fixture.run();
         fixture.tokens(3);
         fixture.advance(1'000);
@@ -347,7 +344,7 @@
         CHECK_FALSE(
             fixture.environment.all<cancel_attempt>().front().keep_for_resume);
     }
-    SUBCASE("with a key: it runs on, and its answer is kept for the repeat") {
+    SUBCASE("with a key: it continues, and its answer is stored") {
         fixture.post(true);
         fixture.grant_key();
         fixture.grant();
@@ -358,16 +355,17 @@
             fixture.environment.ended_key_outcomes ==
             std::vector{outcome::done});
     }
-    // Its caller has left with what an answer is brought by. A further attempt
-    // would run nothing, and the key would stay taken until the deadline.
-    SUBCASE("with a key: a run that ends without an answer is the last") {
+    // The caller that could receive the answer has disconnected. Another
+    // attempt would execute nothing, and the key would stay in use until the
+    // deadline.
+    SUBCASE("with a key: no further attempt after one without an answer") {
         fixture.post(true);
         fixture.grant_key();
         fixture.grant();
         auto how = outcome::unknown;
         auto end = attempt_result::failed;
         SUBCASE("failed") {}
-        SUBCASE("cut") {
+        SUBCASE("truncated") {
             end = attempt_result::truncated;
             fixture.tokens(3);
         }
@@ -382,11 +380,11 @@
         CHECK(fixture.environment.sent_count<grant_request>() == 1);
         CHECK(fixture.environment.ended_key_outcomes == std::vector{how});
     }
-    SUBCASE("with a key, between two runs: no other begins") {
+    SUBCASE("with a key, between two attempts: no further attempt starts") {
         fixture.post(true);
         fixture.grant_key();
         fixture.grant();
-        SUBCASE("while it queues again") {
+        SUBCASE("while it waits for the next grant") {
             fixture.end(attempt_result::failed);
         }
         SUBCASE("while it waits to resume") {
@@ -404,13 +402,13 @@
     }
 }
 
-TEST_CASE("a request with a key waits for leave") {
+TEST_CASE("a request with a key waits for permission") {
     tracker_fixture fixture(false);
     fixture.post(true);
     CHECK(fixture.environment.key_request_count == 1);
     CHECK(fixture.environment.sent_messages.empty());
 
-    SUBCASE("a repeat gets the kept answer and runs nothing") {
+    SUBCASE("a repeat gets the stored answer and runs nothing") {
         key_decision kept;
         kept.request = fixture.id;
         kept.verdict = key_verdict::answer;
@@ -421,14 +419,14 @@
         CHECK(fixture.environment.sent_messages.empty());
         CHECK(fixture.environment.ended_key_outcomes.empty());
     }
-    SUBCASE("leave that comes after the deadline starts nothing") {
+    SUBCASE("permission after the deadline starts nothing") {
         fixture.advance(1'000);
         CHECK(fixture.final_answer().how == outcome::not_run);
         CHECK(fixture.environment.key_cancellation_count == 1);
         fixture.grant_key();
         CHECK(fixture.environment.sent_messages.empty());
     }
-    SUBCASE("leave that goes unused is given back as not run") {
+    SUBCASE("unused permission is returned as not run") {
         fixture.environment.endpoints.clear();
         fixture.grant_key();
         CHECK(fixture.final_answer().how == outcome::not_run);
@@ -438,7 +436,7 @@
     }
 }
 
-TEST_CASE("a cut stream resumes through another node") {
+TEST_CASE("a truncated stream resumes through another node") {
     tracker_fixture fixture;
     caller_resume request;
     request.id = fixture.id;
@@ -446,7 +444,7 @@
     request.endpoint = endpoint_id("e1");
     request.from_token = 9;
 
-    SUBCASE("the engine is asked for the rest, without a second run") {
+    SUBCASE("the engine sends the remaining tokens without a second run") {
         fixture.tracker.on_resume(request, fixture.now);
         auto const start = fixture.environment.all<start_attempt>().at(0);
         CHECK(start.from_token == 9);
@@ -455,7 +453,7 @@
         fixture.end(attempt_result::completed);
         CHECK(fixture.final_answer().how == outcome::done);
     }
-    SUBCASE("of an endpoint that is gone: unknown, since it had run") {
+    SUBCASE("the endpoint is gone: unknown, since the request had run") {
         request.endpoint = endpoint_id("gone");
         fixture.tracker.on_resume(request, fixture.now);
         CHECK(fixture.final_answer().how == outcome::unknown);
