--- a/src/Serving/grant_router.cpp
+++ b/src/Serving/grant_router.cpp
@@ -233,11 +233,12 @@
     } else if (auto const* const command = std::get_if<engine_order>(&action)) {
         send_command(replica, *command, now);
     } else if (
-        auto const* const want = std::get_if<send_load_request>(&action)) {
-        loads_.send_to_store_owner(want->message, now);
+        auto const* const request = std::get_if<send_load_request>(&action)) {
+        loads_.send_to_store_owner(request->message, now);
     } else if (
-        auto const* const gone = std::get_if<send_load_cancelled>(&action)) {
-        loads_.send_to_store_owner(gone->message, now);
+        auto const* const cancelled =
+            std::get_if<send_load_cancelled>(&action)) {
+        loads_.send_to_store_owner(cancelled->message, now);
     } else if (auto const* const end = std::get_if<send_load_result>(&action)) {
         loads_.send_to_store_owner(end->message, now);
     } else if (auto const* const wait = std::get_if<observed_wait>(&action)) {
--- a/src/Serving/key_router.cpp
+++ b/src/Serving/key_router.cpp
@@ -25,10 +25,10 @@
 }
 
 void key_router::on_message(
-    node_id const& from, key_permission_request const& ask,
+    node_id const& from, key_permission_request const& request,
     clock_reading const& clock) {
     services_.key_shards.on_permission_request(
-        from, ask, authority_until(ask.shard, clock.now), clock);
+        from, request, authority_until(request.shard, clock.now), clock);
 }
 
 void key_router::on_message(
@@ -64,13 +64,13 @@
 
 void key_router::gained(
     ownership_gained const& claim, clock_reading const& clock) {
-    key_claim taken;
-    taken.fencing = claim.fencing;
-    taken.previous = claim.previous;
-    taken.handed_over = claim.planned;
-    taken.first = claim.first;
+    key_claim gained_claim;
+    gained_claim.fencing = claim.fencing;
+    gained_claim.previous = claim.previous;
+    gained_claim.handed_over = claim.planned;
+    gained_claim.first = claim.first;
     services_.key_shards.on_shard_gained(
-        shard_of(claim.resource), taken, clock);
+        shard_of(claim.resource), gained_claim, clock);
 }
 
 void key_router::lost(resource_id const& shard) {
@@ -109,12 +109,12 @@
         } else if (auto const* const done = std::get_if<key_decision>(&each)) {
             settled.push_back(*done);
         } else {
-            auto const& apart = std::get<key_clock_skew>(each);
+            auto const& skew = std::get<key_clock_skew>(each);
             outbox_.emit(log_event{
                 event_code::key_clocks_differ, log_level::warning,
                 fmt::format(
-                    "peer={} ahead_ms={}", apart.peer.str(),
-                    apart.ahead.count())});
+                    "peer={} ahead_ms={}", skew.peer.str(),
+                    skew.ahead.count())});
         }
     }
     return settled;
--- a/src/Serving/key_router.hpp
+++ b/src/Serving/key_router.hpp
@@ -17,7 +17,7 @@
         , outbox_(outbox) {}
 
     void on_message(
-        node_id const& from, key_permission_request const& ask,
+        node_id const& from, key_permission_request const& request,
         clock_reading const& clock);
     void on_message(
         node_id const& from, key_reply const& reply,
--- a/src/Serving/node_core_dispatch.cpp
+++ b/src/Serving/node_core_dispatch.cpp
@@ -161,16 +161,17 @@
     for (auto& [name, service] : services_.plain_services) {
         for (service_action const& each : service.take_actions()) {
             any = true;
-            auto const* const go = std::get_if<service_dispatch>(&each);
-            if (go == nullptr) {
+            auto const* const dispatch = std::get_if<service_dispatch>(&each);
+            if (dispatch == nullptr) {
                 requests_.on_service_refusal(
                     std::get<service_refusal>(each), clock_.now);
                 continue;
             }
-            std::string const address = environment_.address_of(go->endpoint);
-            if (!requests_.on_dispatch(*go, address, clock_.now)) {
+            std::string const address =
+                environment_.address_of(dispatch->endpoint);
+            if (!requests_.on_dispatch(*dispatch, address, clock_.now)) {
                 service.on_finished(
-                    go->id, service_outcome::cancelled, clock_.now);
+                    dispatch->id, service_outcome::cancelled, clock_.now);
             }
         }
     }
--- a/test/serving_authority_test.cpp
+++ b/test/serving_authority_test.cpp
@@ -121,9 +121,10 @@
     REQUIRE(all.ended("b").how == outcome::done);
     std::size_t evictions = 0;
     all.filter = [&](std::size_t, node_action const& action) {
-        auto const* const order = std::get_if<engine_order>(&action);
+        auto const* const command = std::get_if<engine_order>(&action);
         evictions +=
-            order != nullptr && order->kind == engine_order_kind::evict ? 1 : 0;
+            command != nullptr && command->kind == engine_order_kind::evict ? 1
+                                                                            : 0;
         return true;
     };
     all.kill(owner);
--- a/test/serving_tracker_test.cpp
+++ b/test/serving_tracker_test.cpp
@@ -30,18 +30,18 @@
     }
     void advance(int time) { tracker.on_tick(now += milliseconds(time)); }
     void grant(char const* replica = "e1", std::uint32_t attempt = 1) {
-        grant_issued given;
-        given.request = id;
-        given.attempt = attempt;
-        given.replica = endpoint_id(replica);
-        given.send_within = milliseconds(500);
-        tracker.on_grant(node_id("owner"), given, now);
+        grant_issued issued;
+        issued.request = id;
+        issued.attempt = attempt;
+        issued.replica = endpoint_id(replica);
+        issued.send_within = milliseconds(500);
+        tracker.on_grant(node_id("owner"), issued, now);
     }
     void grant_key() {
-        key_decision settled;
-        settled.request = id;
-        settled.verdict = key_verdict::run;
-        tracker.on_key_decision(settled, now);
+        key_decision decision;
+        decision.request = id;
+        decision.verdict = key_verdict::run;
+        tracker.on_key_decision(decision, now);
     }
     void run() {
         post();
@@ -130,13 +130,13 @@
 
     SUBCASE("time in the owner's queue does not count against a grant") {
         fixture.advance(900);
-        grant_issued given;
-        given.request = fixture.id;
-        given.attempt = 1;
-        given.replica = endpoint_id("e1");
-        given.queued = milliseconds(890);
-        given.send_within = milliseconds(50);
-        fixture.tracker.on_grant(node_id("owner"), given, fixture.now);
+        grant_issued issued;
+        issued.request = fixture.id;
+        issued.attempt = 1;
+        issued.replica = endpoint_id("e1");
+        issued.queued = milliseconds(890);
+        issued.send_within = milliseconds(50);
+        fixture.tracker.on_grant(node_id("owner"), issued, fixture.now);
         auto const start = fixture.environment.all<start_attempt>().at(0);
         CHECK(start.send_before == instant{} + milliseconds(940));
     }
@@ -409,11 +409,11 @@
     CHECK(fixture.environment.sent_messages.empty());
 
     SUBCASE("a repeat gets the stored answer and runs nothing") {
-        key_decision kept;
-        kept.request = fixture.id;
-        kept.verdict = key_verdict::answer;
-        kept.answer = "booked";
-        fixture.tracker.on_key_decision(kept, fixture.now);
+        key_decision decision;
+        decision.request = fixture.id;
+        decision.verdict = key_verdict::answer;
+        decision.answer = "booked";
+        fixture.tracker.on_key_decision(decision, fixture.now);
         CHECK(fixture.final_answer().how == outcome::done);
         CHECK(fixture.final_answer().kept_answer == "booked");
         CHECK(fixture.environment.sent_messages.empty());
