--- a/test/serving_handover_test.cpp
+++ b/test/serving_handover_test.cpp
@@ -132,9 +132,10 @@
         }
         SUBCASE(
             "it leaves the platform's list before others read its releases") {
-            // Nodes poll the platform's list at 0 ms of each half second. Nodes
-            // started while the log is down all become owners of their own
-            // partition, and write no further records afterwards.
+            // Nodes receive the platform's list at 0 ms of each half second.
+            // Since all nodes start while the log is down, each becomes owner
+            // of its own part of the resources once the log is back, and writes
+            // no further records.
             all.log.down = true;
             all.restart_nodes({0, 1, 2, 4}, milliseconds(120));
             all.restart_nodes({3}, milliseconds(100));
@@ -143,7 +144,7 @@
             all.run(settled);
         }
         SUBCASE("others receive its offer before they read its claims") {
-            // Nodes poll the platform's list at 0 ms of each half second.
+            // Nodes receive the platform's list at 0 ms of each half second.
             all.kill(0);
             all.kill(1);
             all.kill(2);
