--- a/src/Serving/heartbeat_sender.hpp
+++ b/src/Serving/heartbeat_sender.hpp
@@ -10,9 +10,9 @@
 
 namespace camphorpoint {
 
-/// Tells each owner every second what this node has on the owner's replicas.
-/// One on whose replicas nothing runs any more still hears so for a while:
-/// that repairs a release which was lost.
+/// Sends each owner a periodic list of this node's requests on the owner's
+/// replicas. Heartbeats continue for a while after the last request, which
+/// repairs a lost release message.
 class heartbeat_sender {
 public:
     heartbeat_sender(
@@ -24,15 +24,16 @@
 
     /// @returns true when it is time for the next heartbeats
     bool due(instant now) const noexcept { return now >= next_; }
-    /// @param all what runs or waits on any replica
+    /// Sends the heartbeats.
+    /// @param all all requests that run or wait on any replica
     void send(std::vector<grant_in_use> const& all, instant now) {
         next_ = now + settings_.heartbeat_period;
-        std::map<node_id, grant_heartbeat> beats;
+        std::map<node_id, grant_heartbeat> heartbeats;
         for (grant_in_use const& each : all) {
             node_id const owner =
                 services_.reachable_owner(replica_resource(each.replica));
             if (!owner.empty()) {
-                beats[owner].grants.push_back(each);
+                heartbeats[owner].grants.push_back(each);
                 last_used_[owner] = now;
             }
         }
@@ -40,7 +41,7 @@
             return now - each.second > settings_.idle_owner_heartbeat_period;
         });
         for (auto const& [owner, used] : last_used_) {
-            outbox_.send(owner, std::move(beats[owner]));
+            outbox_.send(owner, std::move(heartbeats[owner]));
         }
     }
 
--- a/src/Serving/node_core.hpp
+++ b/src/Serving/node_core.hpp
@@ -21,34 +21,34 @@
 
 namespace camphorpoint {
 
-/// All decisions of one node: an event and the time go in, typed actions come
-/// out. It reads no clock, starts no thread and does no input or output, so
-/// that the same object runs in the node, in golden sessions and under the
-/// fuzzer. It only carries: what is decided, the services decide.
+/// All decisions of one node: the input is an event and the time, the output is
+/// a list of typed actions. The class reads no clock, starts no thread and does
+/// no input or output, so the same object runs in the node, in golden sessions
+/// and under the fuzzer. It only dispatches; the services decide.
 class node_core {
 public:
-    /// @param settings of this node and this run of it
+    /// @param settings settings of this node and its process
     explicit node_core(serving_settings settings);
-    // Its parts refer to one another.
+    // The members hold references to each other.
     node_core(node_core const&) = delete;
     node_core& operator=(node_core const&) = delete;
 
     /// Handles one event.
-    /// @param event what happened
+    /// @param event the event
     /// @param now   the monotonic clock, read after the calendar clock
     /// @param wall  the calendar clock
-    /// @param out   what is to be done is put behind what it holds, in order
+    /// @param out   the resulting actions are appended here, in order
     void handle(
         node_event const& event, instant now, wall_time wall,
         std::vector<node_action>& out);
 
-    /// @returns a copy of what operators may see
+    /// @returns a snapshot of the node for operators
     node_status status(instant now) const;
     /// @returns the configuration in force on this node
     configuration const& in_force() const noexcept {
         return services_.follower.current();
     }
-    /// @returns why the node takes no requests; none when it does
+    /// @returns why the node accepts no requests, or none when it accepts them
     reason not_ready(instant now) const;
 
 private:
@@ -70,16 +70,17 @@
     void on(drain_started const& event);
     void on(probe_received const& event);
 
-    void on_peer(node_id const& from, peer_message const& message);
-    void settle();
+    void
+    dispatch_peer_message(node_id const& from, peer_message const& message);
+    void run_pending_work();
     void pump_members();
     void pump_requests();
-    bool pump_plain();
+    bool pump_plain_services();
     void refresh_members();
-    void leave_lost_owners();
+    void reroute_from_unreachable_owners();
     void refresh_placement();
-    void refresh_plain();
-    void tell_readiness();
+    void refresh_plain_services();
+    void log_readiness();
     void finish_drain();
 
     serving_settings settings_;
@@ -90,12 +91,12 @@
     key_router keys_;
     ownership_router ownership_;
     config_router config_;
-    quarantine_router contents_;
-    request_services surroundings_;
+    quarantine_router quarantine_;
+    request_services environment_;
     request_tracker<request_services> requests_;
     heartbeat_sender heartbeats_;
     clock_reading clock_;
-    std::uint64_t members_seen_ = 0;
+    std::uint64_t seen_membership_changes_ = 0;
     bool ready_ = false;
     bool drained_ = false;
 };
--- a/src/Serving/quarantine_router.hpp
+++ b/src/Serving/quarantine_router.hpp
@@ -18,10 +18,11 @@
 
 namespace camphorpoint {
 
-/// Carries between nodes what a content has done to the endpoints that ran it.
-/// Ends are told to the few nodes that count the content, the same ones for
-/// all; what they decide spreads as a rumour, and what a rumour has missed is
-/// compared with one node a second.
+/// Shares between nodes which requests crash the endpoints that run them. Each
+/// crash is reported to a few nodes that count the crashes of the request, the
+/// same nodes for every reporter. Their decisions spread by gossip. Periodic
+/// rounds, in which each node sends updates to one other node, reach nodes that
+/// the gossip missed.
 /// Reference: A. Demers et al., "Epidemic algorithms for replicated database
 /// maintenance", PODC 1987.
 class quarantine_router {
@@ -30,47 +31,52 @@
         serving_settings const& settings, node_services& services,
         node_outbox& outbox);
 
-    /// An endpoint ended while it ran the content.
-    /// @returns true when other nodes count it and may say that it is held
-    bool
-    on_broken(request_fingerprint content, endpoint_id const& at, instant now);
-    /// A run of the content ended well.
-    void on_served(request_fingerprint content, instant now);
-    /// A peer's word.
+    /// Records and reports that an endpoint crashed while it ran the request.
+    /// @returns true when other nodes count the crash and may quarantine the
+    /// request
+    bool on_crash(
+        request_fingerprint fingerprint, endpoint_id const& at, instant now);
+    /// Records and reports that an attempt of the request completed.
+    void on_success(request_fingerprint fingerprint, instant now);
+    /// Handles a message from a peer.
     void on_message(
-        node_id const& from, replica_crash_message const& told, instant now);
+        node_id const& from, replica_crash_message const& message, instant now);
     void on_message(
-        node_id const& from, request_success_message const& told, instant now);
+        node_id const& from, request_success_message const& message,
+        instant now);
     void on_message(
-        node_id const& from, quarantine_message const& told, instant now);
+        node_id const& from, quarantine_message const& message, instant now);
     void on_message(
         node_id const& from, quarantine_sync_request const& asked, instant now);
-    /// Who is there may have changed: a node that has begun asks.
+    /// Handles a possible change of the live nodes. A starting node requests
+    /// the updates of others.
     void refresh_members();
     void on_tick(instant now);
 
 private:
-    /// Ends of one endpoint, by which its starts are told apart.
-    struct endpoint_ends {
-        std::uint64_t starts = 0;
-        instant newest;
+    /// Crashes of one endpoint, counted to distinguish its incarnations.
+    struct endpoint_crashes {
+        std::uint64_t crashes = 0;
+        instant last_seen;
     };
 
-    void count_end(replica_crash_message const& end, instant now);
-    void clear(request_fingerprint content, instant now);
-    void spread(quarantine_update const& word);
-    std::uint64_t start_of(std::uint64_t endpoint, instant now);
-    std::vector<node_id> counters_of(request_fingerprint content) const;
-    std::vector<node_id> some_others(std::size_t most);
+    void count_crash(replica_crash_message const& crash, instant now);
+    void record_success(request_fingerprint fingerprint, instant now);
+    void gossip(quarantine_update const& update);
+    std::uint64_t crash_id_of(std::uint64_t endpoint, instant now);
+    std::vector<node_id>
+    crash_counter_nodes(request_fingerprint fingerprint) const;
+    std::vector<node_id> sample_other_nodes(std::size_t most);
 
     node_services& services_;
     node_outbox& outbox_;
     std::mt19937_64 random_;
-    std::unordered_map<std::uint64_t, endpoint_ends> ends_;
-    /// Contents whose ends this node has told, and when it did last.
-    std::unordered_map<request_fingerprint, instant> told_;
-    std::size_t asks_left_;
-    instant next_round_{};
+    std::unordered_map<std::uint64_t, endpoint_crashes> crashes_;
+    /// Requests whose crashes this node has reported, with the time of the last
+    /// report.
+    std::unordered_map<request_fingerprint, instant> reported_;
+    std::size_t sync_requests_left_;
+    instant next_round_at_{};
 };
 
 } // namespace camphorpoint
