--- a/test/settings_test.cpp
+++ b/test/settings_test.cpp
@@ -66,7 +66,7 @@
         CHECK(settings.ownership.engines_refuse_busy_evictions);
         CHECK(settings.configuration.when_stale == staleness_policy::serve);
         CHECK(settings.keys.retention == std::chrono::hours(2));
-        CHECK(settings.members.period == std::chrono::seconds(2));
+        CHECK(settings.members.probe_period == std::chrono::seconds(2));
     }
 
     SUBCASE("everything that is wrong is found at once") {
