--- a/test/gateway/slow_link_test.cpp
+++ b/test/gateway/slow_link_test.cpp
@@ -30,7 +30,7 @@
         , link_(world.loop.executor(), [](std::string const&) {})
         , timer_(world.loop.io()) {
         REQUIRE(link_.listen(testing::local(0)).empty());
-        report_.present = true;
+        report_.alive = true;
         report_.declared_position = {store_epoch{}, place};
         report_.from = "127.0.0.1:" + std::to_string(link_.port());
         send_report();
